--- a/src/fleet/fleet_test.cpp
+++ b/src/autoscaler/autoscaler_test.cpp
@@ -1,4 +1,4 @@
-#include "fleet/fleet.h"
+#include "autoscaler/autoscaler.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 
 #include "testing/world.h"
 
-namespace basaltchute::fleet {
+namespace basaltchute::autoscaler {
 namespace {
 
 using namespace std::chrono_literals;
@@ -18,15 +18,15 @@
     FakeClock clock;
     settings::Settings settings = testing::someSettings();
     scheduler::Cluster cluster{settings, 1};
-    Fleet fleet{cluster, clock.now()};
+    Autoscaler fleet{cluster, clock.now()};
     FleetTest() { cluster.setCatalogue(testing::someCatalogue()); }
 
-    Listed listed(const std::string& name, const std::string& status, double age) {
+    ListedMachine listed(const std::string& name, const std::string& status, double age) {
         return {name, "", "box", "a", status, false, age};
     }
     void submit(const std::string& id, std::uint32_t tasks) {
         cluster.submit(testing::spec(id, tasks), clock.now(), clock.wall());
-        const auto key = cluster.take().dirty.at(0).first;
+        const auto key = cluster.takeEffects().dirtyRecords.at(0).first;
         cluster.committed(key, cluster.encode(key)->version);
     }
 };
@@ -35,40 +35,43 @@
     // Once every machine listed with a great age and not heard of yet was taken for a boot that
     // never ended, and deleted with all that ran on it.
     for (int i = 0; i < 15; ++i) {
-        fleet.listed({listed("n-1", "running", 300), listed("n-2", "starting", 300)}, clock.now());
-        EXPECT_TRUE(fleet.plan(clock.now()).remove.empty());
+        fleet.onMachineList({listed("n-1", "running", 300), listed("n-2", "starting", 300)},
+                            clock.now());
+        EXPECT_TRUE(fleet.plan(clock.now()).terminate.empty());
         clock.advance(1s);
     }
     clock.advance(20s);
-    fleet.listed({listed("n-1", "running", 330), listed("n-2", "starting", 330)}, clock.now());
-    EXPECT_EQ(fleet.plan(clock.now()).remove, std::vector<std::string>{"n-2"});
+    fleet.onMachineList({listed("n-1", "running", 330), listed("n-2", "starting", 330)},
+                        clock.now());
+    EXPECT_EQ(fleet.plan(clock.now()).terminate, std::vector<std::string>{"n-2"});
 }
 
 TEST_F(FleetTest, AsksAgainUnderTheSameNameWhenTheAnswerWasLost) {
-    fleet.listed({}, clock.now());
+    fleet.onMachineList({}, clock.now());
     submit("run-1", 4);
     clock.advance(11s);
-    const auto first = fleet.plan(clock.now()).rent;
+    const auto first = fleet.plan(clock.now()).scaleOut;
     ASSERT_FALSE(first.empty());
-    fleet.rentFailed(first[0], false, clock.now());
+    fleet.onScaleOutFailed(first[0], false, clock.now());
     clock.advance(1s);
-    const auto again = fleet.plan(clock.now()).rent;
+    const auto again = fleet.plan(clock.now()).scaleOut;
     ASSERT_FALSE(again.empty());
     EXPECT_EQ(again[0].booking, first[0].booking);
-    fleet.rented(again[0], {"n-1", "n-2", "n-3", "n-4"}, clock.now());
-    const auto after = fleet.plan(clock.now()).rent;
-    EXPECT_TRUE(std::none_of(after.begin(), after.end(),
-                             [&](const Rent& r) { return r.booking == first[0].booking; }));
+    fleet.onScaledOut(again[0], {"n-1", "n-2", "n-3", "n-4"}, clock.now());
+    const auto after = fleet.plan(clock.now()).scaleOut;
+    EXPECT_TRUE(std::none_of(after.begin(), after.end(), [&](const ScaleOutRequest& r) {
+        return r.booking == first[0].booking;
+    }));
 }
 
 TEST_F(FleetTest, ARefusedPoolIsLeftAloneForAWhile) {
-    fleet.listed({}, clock.now());
+    fleet.onMachineList({}, clock.now());
     submit("run-1", 4);
     clock.advance(11s);
-    const auto first = fleet.plan(clock.now()).rent;
+    const auto first = fleet.plan(clock.now()).scaleOut;
     ASSERT_FALSE(first.empty());
-    fleet.rentFailed(first[0], true, clock.now());
-    for (const auto& r : fleet.plan(clock.now()).rent)
+    fleet.onScaleOutFailed(first[0], true, clock.now());
+    for (const auto& r : fleet.plan(clock.now()).scaleOut)
         EXPECT_FALSE(r.type == first[0].type && r.zone == first[0].zone && r.spot == first[0].spot);
 }
 
@@ -77,7 +80,7 @@
     for (int i = 1; i <= 4; ++i) all.emplace_back("n-" + std::to_string(i));
     const auto everyoneReports = [&] {
         for (auto& w : all) {
-            w.execute(cluster.beat(w.next(), clock.now()));
+            w.execute(cluster.onHeartbeat(w.next(), clock.now()));
             w.report.token = cluster.token();
         }
     };
@@ -88,11 +91,11 @@
     for (int i = 0; i < 90; ++i) {
         clock.advance(1s);
         everyoneReports();
-        fleet.listed({}, clock.now());
+        fleet.onMachineList({}, clock.now());
         const auto plan = fleet.plan(clock.now());
-        for (const auto& name : plan.remove)
-            EXPECT_TRUE(cluster.machines()[*cluster.machines().find(name)].charges.empty());
-        returned = plan.remove.size();
+        for (const auto& name : plan.terminate)
+            EXPECT_TRUE(cluster.machines()[*cluster.machines().find(name)].allocations.empty());
+        returned = plan.terminate.size();
     }
     EXPECT_EQ(returned, 3U);
     EXPECT_EQ(cluster.find("run-1")->boundCount, 2U);
@@ -106,7 +109,7 @@
     for (int i = 1; i <= 20; ++i) all.emplace_back("n-" + std::to_string(i));
     const auto report = [&](std::size_t from) {
         for (std::size_t i = from; i < all.size(); ++i) {
-            all[i].execute(cluster.beat(all[i].next(), clock.now()));
+            all[i].execute(cluster.onHeartbeat(all[i].next(), clock.now()));
             all[i].report.token = cluster.token();
         }
     };
@@ -115,12 +118,12 @@
         for (int i = 0; i < 18; ++i) {
             clock.advance(1s);
             report(silent);
-            fleet.listed({}, clock.now());
+            fleet.onMachineList({}, clock.now());
             const auto plan = fleet.plan(clock.now());
-            for (const auto m : plan.ask) {
-                if (!answers) cluster.unanswered(m);
+            for (const auto m : plan.probe) {
+                if (!answers) cluster.onProbeUnanswered(m);
             }
-            removed.insert(plan.remove.begin(), plan.remove.end());
+            removed.insert(plan.terminate.begin(), plan.terminate.end());
         }
         return removed;
     };
@@ -133,7 +136,7 @@
     EXPECT_TRUE(run(11, false).empty()) << "eleven of twenty at once: the fault is ours";
     report(0);
     EXPECT_EQ(run(3, false), (std::set<std::string>{"n-1", "n-2", "n-3"})) << "well within a lease";
-    fleet.removed({"n-1", "n-2", "n-3"}, clock.now());
+    fleet.onTerminated({"n-1", "n-2", "n-3"}, clock.now());
     report(3);
     EXPECT_TRUE(run(10, false).empty()) << "seven more of seventeen: a part at a time is too much";
 }
@@ -145,7 +148,7 @@
     std::vector<Worker> all;
     for (int i = 0; i < 40; ++i) all.emplace_back("n-" + std::to_string(i));
     const auto report = [&](std::size_t i) {
-        all[i].execute(cluster.beat(all[i].next(), clock.now()));
+        all[i].execute(cluster.onHeartbeat(all[i].next(), clock.now()));
         all[i].report.token = cluster.token();
     };
     for (std::size_t i = 0; i < all.size(); ++i) report(i);
@@ -158,18 +161,18 @@
         clock.advance(1s);
         for (std::size_t i = 0; i < all.size(); ++i)  // every tenth second each; six die
             if (second % 10 == i % 10 && (second < death || i >= 6)) report(i);
-        fleet.listed({}, clock.now());
+        fleet.onMachineList({}, clock.now());
         const auto plan = fleet.plan(clock.now());
-        auto asked = plan.ask;
-        asked.insert(asked.end(), plan.sweep.begin(), plan.sweep.end());
+        auto asked = plan.probe;
+        asked.insert(asked.end(), plan.probeSample.begin(), plan.probeSample.end());
         for (const auto m : asked)
             if (cluster.machines()[m].name.size() == 3 && cluster.machines()[m].name[2] < '6' &&
                 second >= death)
-                cluster.unanswered(m);
+                cluster.onProbeUnanswered(m);
             else
                 report(m);
-        for (const auto& name : plan.remove) removed.try_emplace(name, second - death);
-        fleet.removed(plan.remove, clock.now());
+        for (const auto& name : plan.terminate) removed.try_emplace(name, second - death);
+        fleet.onTerminated(plan.terminate, clock.now());
     }
     ASSERT_EQ(removed.size(), 6U);
     for (const auto& [name, after] : removed) EXPECT_LE(after, 12U) << name;
@@ -177,11 +180,11 @@
 
 TEST_F(FleetTest, RentsAllThatIsLackingAtOnceAndFromAllZonesAlike) {
     // Four machines a request and 24 on their way: a fleet of hundreds grew by one a second.
-    fleet.listed({}, clock.now());
+    fleet.onMachineList({}, clock.now());
     submit("run-1", 120);  // 480 cores: 60 machines
     clock.advance(11s);
     std::map<std::string, unsigned> spot;
-    for (const auto& r : fleet.plan(clock.now()).rent) {
+    for (const auto& r : fleet.plan(clock.now()).scaleOut) {
         EXPECT_LE(r.count, 50U);
         if (r.spot) spot[r.zone] += r.count;
     }
@@ -191,7 +194,7 @@
 TEST_F(FleetTest, AfterATakeOverDeletesWhatTheCloudNoLongerLists) {
     // Machines that died around a take-over kept their tasks for a whole lease.
     Worker w("n-1");
-    w.execute(cluster.beat(w.next(), clock.now()));
+    w.execute(cluster.onHeartbeat(w.next(), clock.now()));
     submit("run-1", 2);
     cluster.place(clock.now());
     std::map<std::string, std::string> records;
@@ -201,14 +204,14 @@
     for (const auto& [key, data] : records)
         ASSERT_TRUE(next.load(key, data, clock.now(), clock.wall()));
     next.loaded(clock.now());
-    Fleet after{next, clock.now()};
+    Autoscaler after{next, clock.now()};
     std::set<std::string> removed;
     for (int i = 0; i < 25; ++i) {
         clock.advance(1s);
-        after.listed({}, clock.now());
+        after.onMachineList({}, clock.now());
         const auto plan = after.plan(clock.now());
-        EXPECT_TRUE(i >= 15 || plan.remove.empty()) << "the list lags";
-        removed.insert(plan.remove.begin(), plan.remove.end());
+        EXPECT_TRUE(i >= 15 || plan.terminate.empty()) << "the list lags";
+        removed.insert(plan.terminate.begin(), plan.terminate.end());
     }
     EXPECT_EQ(removed, std::set<std::string>{"n-1"});
 }
@@ -220,12 +223,12 @@
     const auto rentedFor = [&](const JobSpec& spec) {
         scheduler::Cluster other{settings, 1};
         other.setCatalogue(testing::someCatalogue());
-        Fleet fleet{other, clock.now()};
-        fleet.listed({}, clock.now());
+        Autoscaler fleet{other, clock.now()};
+        fleet.onMachineList({}, clock.now());
         other.submit(spec, clock.now(), clock.wall());
         clock.advance(11s);
         unsigned cores = 0;
-        for (const auto& r : fleet.plan(clock.now()).rent) cores += r.count * 8;
+        for (const auto& r : fleet.plan(clock.now()).scaleOut) cores += r.count * 8;
         return cores;
     };
     JobSpec guest = testing::spec("run-1", 25'000);
@@ -243,15 +246,15 @@
         settings.teams[0].coresMax = limit;
         scheduler::Cluster other{settings, 1};
         other.setCatalogue(testing::someCatalogue());
-        Fleet here{other, clock.now()};
-        here.listed({}, clock.now());
+        Autoscaler here{other, clock.now()};
+        here.onMachineList({}, clock.now());
         JobSpec urgent = testing::spec("run-1", 4);
         urgent.priority = Priority::high;
         other.submit(urgent, clock.now(), clock.wall());
         other.submit(testing::spec("run-2", 100), clock.now(), clock.wall());
         clock.advance(11s);
         unsigned cores = 0;
-        for (const auto& r : here.plan(clock.now()).rent) cores += r.count * 8;
+        for (const auto& r : here.plan(clock.now()).scaleOut) cores += r.count * 8;
         return cores;
     };
     EXPECT_GE(rentedFor(0), 416U) << "no limit";
@@ -266,8 +269,8 @@
     for (const bool spotAllowed : {true, false}) {
         scheduler::Cluster small{settings, 1};
         small.setCatalogue(testing::someCatalogue());
-        Fleet here{small, clock.now()};
-        here.listed({}, clock.now());
+        Autoscaler here{small, clock.now()};
+        here.onMachineList({}, clock.now());
         JobSpec spec = testing::spec("run-1", 4);
         spec.priority = Priority::low;
         spec.spotAllowed = spotAllowed;
@@ -277,19 +280,19 @@
         Worker w("n-1");
         for (int second = 0; second < 120; ++second) {
             clock.advance(1s);
-            small.expire(clock.now());
+            small.advanceTo(clock.now());
             if (ordinary > 0) {
                 // It comes, and is used.
-                w.execute(small.beat(w.next(), clock.now()));
+                w.execute(small.onHeartbeat(w.next(), clock.now()));
                 w.report.token = small.token();
                 small.place(clock.now());
                 std::map<std::string, std::string> records;
                 testing::commitAll(small, records);
             }
-            for (const auto& r : here.plan(clock.now()).rent) {
+            for (const auto& r : here.plan(clock.now()).scaleOut) {
                 ordinary += r.spot ? 0 : r.count;
-                here.rentFailed(r, r.spot, clock.now());
-                if (!r.spot) here.rented(r, {"n-1"}, clock.now());
+                here.onScaleOutFailed(r, r.spot, clock.now());
+                if (!r.spot) here.onScaledOut(r, {"n-1"}, clock.now());
             }
         }
         EXPECT_GT(ordinary, 0U) << spotAllowed;
@@ -305,13 +308,13 @@
         settings.objectives = {{"wait", "c", within, 0.95}};
         scheduler::Cluster other{settings, 1};
         other.setCatalogue(testing::someCatalogue());
-        Fleet fleet{other, clock.now()};
-        for (int i = 0; i < 200; ++i) fleet.experience().came("box", boots, 20s);
-        fleet.listed({}, clock.now());
+        Autoscaler fleet{other, clock.now()};
+        for (int i = 0; i < 200; ++i) fleet.statistics().came("box", boots, 20s);
+        fleet.onMachineList({}, clock.now());
         other.submit(testing::spec("run-1", 10), clock.now(), clock.wall());  // 40 cores
         clock.advance(11s);
         unsigned cores = 0;
-        for (const auto& r : fleet.plan(clock.now()).rent) cores += r.count * 8;
+        for (const auto& r : fleet.plan(clock.now()).scaleOut) cores += r.count * 8;
         return cores;
     };
     EXPECT_LE(rentedFor(60s, 20s), 48U) << "what there is";
@@ -320,15 +323,15 @@
 }
 
 TEST_F(FleetTest, MachinesForTheNextStageAreAskedForWhenTheyWouldComeInTime) {
-    fleet.listed({}, clock.now());
+    fleet.onMachineList({}, clock.now());
     Worker w("n-1");
-    w.execute(cluster.beat(w.next(), clock.now()));
+    w.execute(cluster.onHeartbeat(w.next(), clock.now()));
     std::map<std::string, std::string> records;
     const auto wanted = [&] {
         unsigned cores = 0;
-        for (const auto& r : fleet.plan(clock.now()).rent) {
+        for (const auto& r : fleet.plan(clock.now()).scaleOut) {
             cores += r.count * 8;
-            fleet.rentFailed(r, true, clock.now());
+            fleet.onScaleOutFailed(r, true, clock.now());
         }
         return cores;
     };
@@ -338,10 +341,10 @@
     cluster.place(clock.now());
     testing::commitAll(cluster, records);
     JobSpec second = testing::spec("run-2", 40);  // 160 cores
-    second.needs = {"run-1"};
+    second.dependencies = {"run-1"};
     cluster.submit(second, clock.now(), clock.wall());
     testing::commitAll(cluster, records);
-    for (int i = 0; i < 3; ++i) w.execute(cluster.beat(w.next(), clock.now()));
+    for (int i = 0; i < 3; ++i) w.execute(cluster.onHeartbeat(w.next(), clock.now()));
     clock.advance(11s);
     EXPECT_LE(wanted(), 8U) << "the first one runs for minutes yet";
     clock.advance(260s);
@@ -359,8 +362,8 @@
     const auto rentedFor = [&](Duration ahead) {
         scheduler::Cluster other{settings, 1};
         other.setCatalogue(testing::someCatalogue());
-        Fleet fleet{other, clock.now()};
-        fleet.listed({}, clock.now());
+        Autoscaler fleet{other, clock.now()};
+        fleet.onMachineList({}, clock.now());
         std::map<std::string, std::string> records;
         for (int i = 0; i < 6; ++i) {
             JobSpec need = testing::spec("first-" + std::to_string(i));
@@ -370,13 +373,13 @@
             other.submit(need, clock.now(), clock.wall());
             testing::commitAll(other, records);
             JobSpec next = testing::spec("run-" + std::to_string(i), 10);
-            next.needs = {need.id};
+            next.dependencies = {need.id};
             other.submit(next, clock.now(), clock.wall());
             testing::commitAll(other, records);
         }
         clock.advance(11s);
         unsigned cores = 0;
-        for (const auto& r : fleet.plan(clock.now()).rent) cores += r.count * 8;
+        for (const auto& r : fleet.plan(clock.now()).scaleOut) cores += r.count * 8;
         return cores;
     };
     EXPECT_GE(rentedFor(1s), 6 * 160U) << "four times the peak of what comes";
@@ -384,19 +387,19 @@
 }
 
 TEST_F(FleetTest, WhatAMachineTookToComeIsLearnt) {
-    fleet.listed({}, clock.now());
+    fleet.onMachineList({}, clock.now());
     submit("run-1", 40);
     clock.advance(11s);
-    const Duration before = fleet.experience().coming("box", 20s, 0.9);
-    for (const auto& r : fleet.plan(clock.now()).rent) {
+    const Duration before = fleet.statistics().coming("box", 20s, 0.9);
+    for (const auto& r : fleet.plan(clock.now()).scaleOut) {
         std::vector<std::string> names;
         for (unsigned i = 0; i < r.count; ++i) names.push_back(r.booking + std::to_string(i));
-        fleet.rented(r, names, clock.now());
+        fleet.onScaledOut(r, names, clock.now());
         clock.advance(50s);
-        for (const auto& n : names) cluster.beat(Worker(n, "a", r.spot).next(), clock.now());
+        for (const auto& n : names) cluster.onHeartbeat(Worker(n, "a", r.spot).next(), clock.now());
     }
     fleet.plan(clock.now());
-    EXPECT_GT(fleet.experience().coming("box", 20s, 0.9), before + 10s);
+    EXPECT_GT(fleet.statistics().coming("box", 20s, 0.9), before + 10s);
 }
 
 TEST_F(FleetTest, AZoneThatIsAwayLosesNoMachineAndKeepsNoOtherFromBeingGivenUp) {
@@ -406,35 +409,35 @@
     for (int i = 0; i < 20; ++i) all.emplace_back("n-" + std::to_string(i), i < 8 ? "b" : "a");
     const auto report = [&](std::size_t from) {
         for (std::size_t i = from; i < all.size(); ++i) {
-            all[i].execute(cluster.beat(all[i].next(), clock.now()));
+            all[i].execute(cluster.onHeartbeat(all[i].next(), clock.now()));
             all[i].report.token = cluster.token();
         }
     };
     report(0);
     submit("run-1", 40);
     cluster.place(clock.now());
-    cluster.setAway("b", true);
+    cluster.setZoneAway("b", true);
     std::set<std::string> removed;
     std::size_t most = 0;
     for (int i = 0; i < 30; ++i) {
         clock.advance(1s);
         report(9);  // n-8, in the other zone, dies
-        fleet.listed({}, clock.now());
+        fleet.onMachineList({}, clock.now());
         const auto plan = fleet.plan(clock.now());
-        most = std::max(most, plan.ask.size());
-        for (const auto m : plan.ask) cluster.unanswered(m);
-        removed.insert(plan.remove.begin(), plan.remove.end());
+        most = std::max(most, plan.probe.size());
+        for (const auto m : plan.probe) cluster.onProbeUnanswered(m);
+        removed.insert(plan.terminate.begin(), plan.terminate.end());
     }
     EXPECT_EQ(removed, std::set<std::string>{"n-8"});
     EXPECT_LE(most, 6U) << "a few are enough to see when the zone is back";
 }
 
 TEST_F(FleetTest, AJobThatFailsEverywhereRentsNothing) {
-    fleet.listed({}, clock.now());
+    fleet.onMachineList({}, clock.now());
     submit("run-1", 40);
-    cluster.find("run-1")->suspect = true;
+    cluster.find("run-1")->crashLooping = true;
     clock.advance(11s);
-    EXPECT_TRUE(fleet.plan(clock.now()).rent.empty());
+    EXPECT_TRUE(fleet.plan(clock.now()).scaleOut.empty());
 }
 
 TEST_F(FleetTest, RentsOnlyTypesThatATaskFitsOn) {
@@ -445,13 +448,13 @@
     tiny.price = tiny.spotPrice = 0.01;
     catalogue["tiny"] = tiny;
     cluster.setCatalogue(catalogue);
-    fleet.listed({}, clock.now());
+    fleet.onMachineList({}, clock.now());
     submit("run-1", 4);
     clock.advance(11s);
-    const auto rent = fleet.plan(clock.now()).rent;
+    const auto rent = fleet.plan(clock.now()).scaleOut;
     ASSERT_FALSE(rent.empty());
     for (const auto& r : rent) EXPECT_EQ(r.type, "box");
 }
 
 }  // namespace
-}  // namespace basaltchute::fleet
+}  // namespace basaltchute::autoscaler
--- a/src/fleet/catalogue.h
+++ b/src/autoscaler/catalogue.h
@@ -5,7 +5,7 @@
 
 #include "jobs/job.h"
 
-namespace basaltchute::fleet {
+namespace basaltchute::autoscaler {
 
 struct MachineType {
     std::string name;
@@ -17,4 +17,4 @@
 };
 using Catalogue = std::map<std::string, MachineType>;
 
-}  // namespace basaltchute::fleet
+}  // namespace basaltchute::autoscaler
--- a/src/fleet/cloud.cpp
+++ b/src/autoscaler/cloud_client.cpp
@@ -1,10 +1,10 @@
-#include "fleet/cloud.h"
+#include "autoscaler/cloud_client.h"
 
 #include <spdlog/spdlog.h>
 
 #include "json/json.h"
 
-namespace basaltchute::fleet {
+namespace basaltchute::autoscaler {
 
 using namespace std::chrono_literals;
 
@@ -14,24 +14,24 @@
 constexpr double keptForDeletions = 3;
 }  // namespace
 
-Cloud::Cloud(Loop& loop, const settings::Settings& s, std::function<bool()> mayAct)
+CloudClient::CloudClient(EventLoop& loop, const settings::Settings& s, std::function<bool()> mayAct)
     : loop_(loop),
       http_(loop, s.cloud, 4),
       calls_(s.cloudRps * 0.8, s.cloudRps, loop.now()),
       mayAct_(std::move(mayAct)) {}
 
-Task<http::Outcome> Cloud::send(http::Request request, Scope& scope, double reserve) {
+Task<http::RequestOutcome> CloudClient::send(http::Request request, Scope& scope, double reserve) {
     while (calls_.available(loop_.now()) < 1 + reserve) {
-        const Wake woke = co_await loop_.sleep(calls_.until(loop_.now(), 1 + reserve), scope);
-        if (woke == Wake::cancelled) co_return http::Outcome{};
+        const Wake woke = co_await loop_.sleep(calls_.timeUntil(loop_.now(), 1 + reserve), scope);
+        if (woke == Wake::cancelled) co_return http::RequestOutcome{};
     }
-    calls_.take(loop_.now());
-    if (!mayAct_()) co_return http::Outcome{};
+    calls_.tryTake(loop_.now());
+    if (!mayAct_()) co_return http::RequestOutcome{};
     auto outcome = co_await http_.request(std::move(request), 5s, scope);
     co_return outcome;
 }
 
-Task<std::optional<Catalogue>> Cloud::catalogue(Scope& scope) {
+Task<std::optional<Catalogue>> CloudClient::catalogue(Scope& scope) {
     http::Request request{"GET", "/catalog", ""};
     auto o = co_await send(std::move(request), scope);
     if (!o.answered || o.response.status != 200) co_return std::nullopt;
@@ -60,8 +60,8 @@
     co_return out;
 }
 
-Task<std::optional<std::vector<Listed>>> Cloud::list(Scope& scope) {
-    std::vector<Listed> all;
+Task<std::optional<std::vector<ListedMachine>>> CloudClient::list(Scope& scope) {
+    std::vector<ListedMachine> all;
     std::string after;
     while (true) {
         http::Request request{"GET", "/hosts?page=500" + (after.empty() ? "" : "&after=" + after),
@@ -75,7 +75,7 @@
             co_return std::nullopt;
         }
         for (const auto& h : hosts->GetArray()) {
-            Listed l;
+            ListedMachine l;
             l.name = json::string(h, "ref").value_or("");
             l.address = json::string(h, "addr").value_or("");
             l.type = json::string(h, "rigKind").value_or("");
@@ -91,13 +91,13 @@
     }
 }
 
-Task<Cloud::Rented> Cloud::rent(Rent rent, Scope& scope) {
+Task<CloudClient::ScaleOutResult> CloudClient::rent(ScaleOutRequest rent, Scope& scope) {
     json::Out out;
     out.open().field("booking", rent.booking).field("rigKind", rent.type).field("hall", rent.zone);
     out.field("loaners", rent.spot).field("howMany", rent.count).close();
     http::Request request{"POST", "/hosts", out.text()};
     auto o = co_await send(std::move(request), scope, keptForDeletions);
-    Rented result;
+    ScaleOutResult result;
     if (!o.answered) {
         if (!o.sent) result.answer = Answer::refused;
         co_return result;
@@ -116,7 +116,7 @@
     co_return result;
 }
 
-Task<bool> Cloud::remove(std::vector<std::string> names, Scope& scope) {
+Task<bool> CloudClient::remove(std::vector<std::string> names, Scope& scope) {
     json::Out out;
     out.open().key("hosts").openArray();
     for (const auto& n : names) out.value(n);
@@ -127,4 +127,4 @@
     co_return gone;
 }
 
-}  // namespace basaltchute::fleet
+}  // namespace basaltchute::autoscaler
--- a/src/fleet/demand.cpp
+++ b/src/autoscaler/demand.cpp
@@ -1,11 +1,11 @@
 #include <algorithm>
 #include <cmath>
 
-#include "fleet/fleet.h"
+#include "autoscaler/autoscaler.h"
 
 // How many cores the fleet should have: from the objectives, the work there is, and what is lent.
 
-namespace basaltchute::fleet {
+namespace basaltchute::autoscaler {
 
 using namespace std::chrono_literals;
 
@@ -22,30 +22,30 @@
 constexpr Duration patientSpan = 600s;  // for borrowing work that no objective hurries any more
 }  // namespace
 
-Duration Fleet::comesWithin(const ClassDemand& c, double q) const {
+Duration Autoscaler::startupTimeQuantile(const ClassDemand& c, double q) const {
     Duration soonest = Duration::max();
     for (const auto& [name, t] : cluster_.catalogue()) {
         const Demand& has = t.capacity;
-        if (c.each.cores > has.cores || c.each.ramGb > has.ramGb || c.each.gpus > has.gpus)
+        if (c.perTask.cores > has.cores || c.perTask.ramGb > has.ramGb || c.perTask.gpus > has.gpus)
             continue;
         const Duration fetch = fromSeconds(c.imageGb / std::max(t.fetchGbPerS, 1e-3));
-        soonest = std::min(soonest, experience_.coming(name, t.boot, q) + fetch);
+        soonest = std::min(soonest, statistics_.coming(name, t.boot, q) + fetch);
     }
     return soonest == Duration::max() ? soonest : soonest + noticeAndOrder;
 }
 
-bool Fleet::mustBeWarm(const std::string& jobClass, const ClassDemand& c) const {
+bool Autoscaler::needsWarmCapacity(const std::string& jobClass, const ClassDemand& c) const {
     // A class whose tasks may wait longer than a machine takes to come is served by machines
     // asked for as it comes. Kept warm like the others, the boards' checks had four times their
     // peak rented for a wait of 250 s: a price of 2.9 where 1.6 does.
     const auto& all = cluster_.settings().objectives;
     return std::any_of(all.begin(), all.end(), [&](const auto& o) {
         return o.jobClass == jobClass && o.kind == "wait" &&
-               o.within + cluster_.foreseen(jobClass) < comesWithin(c, o.share);
+               o.within + cluster_.arrivalLeadTime(jobClass) < startupTimeQuantile(c, o.share);
     });
 }
 
-void Fleet::measureLimits() {
+void Autoscaler::measureLimits() {
     withinLimit_.clear();
     const auto& teams = cluster_.settings().teams;
     if (std::none_of(teams.begin(), teams.end(), [](const auto& t) { return t.coresMax > 0; }))
@@ -64,27 +64,27 @@
     }
 }
 
-double Fleet::withinLimit(const Job& job) const {
+double Autoscaler::withinLimit(const Job& job) const {
     const auto team = withinLimit_.find(job.spec.team);
     if (team == withinLimit_.end()) return 1;
     const auto rank = team->second.find(job.rank);
     return rank == team->second.end() ? 1 : rank->second;
 }
 
-void Fleet::measure(TimePoint now) {
+void Autoscaler::measureDemand(TimePoint now) {
     measureLimits();
     std::map<std::string, bool> borrows;
     for (auto& [name, c] : classes_) c.now = 0;
     for (const Job* job : cluster_.openJobs()) {
         // What fails wherever it goes asks for no machines.
-        if (job->suspect) continue;
+        if (job->crashLooping) continue;
         ClassDemand& c = classes_[job->spec.jobClass];
         // Some jobs of a class may borrow while others have the priority of work after them.
-        const bool lent = cluster_.borrows(*job);
+        const bool lent = cluster_.isOpportunistic(*job);
         const auto seen = borrows.try_emplace(job->spec.jobClass, lent).first;
-        c.borrows = seen->second = seen->second && lent;
+        c.opportunistic = seen->second = seen->second && lent;
         c.spotAllowed = job->spec.spotAllowed;
-        c.each = job->spec.demand;
+        c.perTask = job->spec.demand;
         c.imageGb = std::max(c.imageGb, job->spec.imageGb);
         if (lent) continue;
         // What a team's limit does not let run asks for no machines either.
@@ -93,16 +93,16 @@
         c.largestJob = std::max(c.largestJob, each * job->spec.tasks);
     }
     // What waits for others asks for its machines when these, asked for now, would come in time.
-    for (const Job* job : cluster_.heldJobs()) {
+    for (const Job* job : cluster_.blockedJobs()) {
         ClassDemand& c = classes_[job->spec.jobClass];
-        if (cluster_.borrows(*job)) continue;
+        if (cluster_.isOpportunistic(*job)) continue;
         c.spotAllowed = job->spec.spotAllowed;
-        c.each = job->spec.demand;
+        c.perTask = job->spec.demand;
         c.imageGb = std::max(c.imageGb, job->spec.imageGb);
-        const Duration coming = comesWithin(c, usualBoots);
-        if (coming == Duration::max() || cluster_.releaseExpected(*job, now) > now + coming)
+        const Duration coming = startupTimeQuantile(c, usualBoots);
+        if (coming == Duration::max() || cluster_.expectedRelease(*job, now) > now + coming)
             continue;
-        c.borrows = false;
+        c.opportunistic = false;
         c.now += job->spec.demand.cores * job->spec.tasks;
     }
     // Up fast and down slowly: the work has to be run anyway, and a machine that comes late
@@ -114,68 +114,72 @@
     const double up = weight(rise), down = weight(fall);
     measuredAt_ = now;
     target_ = {};
-    warm_ = false;
+    wantsWarmSpot_ = false;
     for (auto& [name, c] : classes_) {
-        c.warm = mustBeWarm(name, c);
-        if (c.borrows) continue;
+        c.wantsWarmCapacity = needsWarmCapacity(name, c);
+        if (c.opportunistic) continue;
         c.smooth += (c.now - c.smooth) * (c.now > c.smooth ? up : down);
         c.peak = std::max(c.peak, c.now);
-        warm_ = warm_ || (c.warm && c.spotAllowed);
+        wantsWarmSpot_ = wantsWarmSpot_ || (c.wantsWarmCapacity && c.spotAllowed);
         double want = c.smooth;
-        if (c.warm && c.spotAllowed)
+        if (c.wantsWarmCapacity && c.spotAllowed)
             want = cluster_.openJobs().empty() ? 0 : c.peak * warmMargin + c.largestJob;
         // Services: what runs, and room for a few more at once.
-        if (c.warm && !c.spotAllowed) want = c.now * 1.1 + 4 * c.largestJob;
+        if (c.wantsWarmCapacity && !c.spotAllowed) want = c.now * 1.1 + 4 * c.largestJob;
         (c.spotAllowed ? target_.spot : target_.ordinary) += want;
     }
     // What such work uses of ordinary machines it keeps until it has run, as far as there are no
     // spot machines for it; idle room for replicas that it fills meanwhile is no reason to rent.
     for (const auto& m : cluster_.machines()) {
         if (!m.up() || m.spot) continue;
-        for (const auto& c : m.charges)
-            if (c.job->spec.spotAllowed && !cluster_.borrows(*c.job))
+        for (const auto& c : m.allocations)
+            if (c.job->spec.spotAllowed && !cluster_.isOpportunistic(*c.job))
                 target_.ordinaryUsed += c.job->spec.demand.cores;
     }
     target_.ordinaryUsed =
-        std::min(target_.ordinaryUsed, std::max(0.0, target_.spot - have(true).spot));
-    target_.late = lackForDeadlines(now);
-    target_.ordinary += lackForBorrowers(false, false, now);
+        std::min(target_.ordinaryUsed, std::max(0.0, target_.spot - capacity(true).spot));
+    target_.forDeadlines = missingCoresForDeadlines(now);
+    target_.ordinary += missingCoresForOpportunistic(false, false, now);
     const bool scarce = spotScarce(now);
-    const double lent = lackForBorrowers(true, scarce, now);
+    const double lent = missingCoresForOpportunistic(true, scarce, now);
     // Without spot machines its work once ran on nothing but leftovers: a class of low priority had
     // a fifth of its jobs served, and the ordinary machines that it used were returned.
     if (scarce)
-        target_.lentOrdinary = std::max(0.0, lent - std::max(0.0, have(true).spot - target_.spot));
+        target_.ordinaryForOpportunistic =
+            std::max(0.0, lent - std::max(0.0, capacity(true).spot - target_.spot));
     target_.spot += lent;
 }
 
-bool Fleet::spotScarce(TimePoint now) const {
+bool Autoscaler::spotScarce(TimePoint now) const {
     for (const auto& [name, t] : cluster_.catalogue()) {
         if (!servesSpot(name)) continue;
         for (const auto& zone : t.zones) {
-            const auto refused = refusedUntil_.find({name, zone, true});
-            if (refused == refusedUntil_.end() || refused->second + scarceFor < now) return false;
+            const auto refused = backOffUntil_.find({name, zone, true});
+            if (refused == backOffUntil_.end() || refused->second + scarceFor < now) return false;
         }
     }
     return true;
 }
 
-double Fleet::lackForBorrowers(bool spotAllowed, bool spotScarce, TimePoint now) const {
+double Autoscaler::missingCoresForOpportunistic(bool spotAllowed, bool spotScarce,
+                                                TimePoint now) const {
     // Their work, spread over the time they have: a guest that is patient needs few cores for
     // long, and mostly finds them idle. Counted by classes like the rest, one guest's array once
     // had every machine of the cloud rented for it.
     double pace = 0, hurried = 0;  // cores: without hurry, and for objectives that can still be met
     std::set<const Job*> inHurry;
     for (const Job* job : cluster_.openJobs()) {
-        if (!cluster_.borrows(*job) || job->suspect || job->spec.spotAllowed != spotAllowed)
+        if (!cluster_.isOpportunistic(*job) || job->crashLooping ||
+            job->spec.spotAllowed != spotAllowed)
             continue;
         const double run = std::max(1.0, toSeconds(cluster_.runTime(job->spec)));
-        const auto turn = cluster_.turn(*job, now);
-        const double left = turn.hopes ? toSeconds(turn.by - now - lendingDelay) : 0;
-        const double over = turn.hopes ? run + std::max(0.0, left) : toSeconds(patientSpan);
+        const auto turn = cluster_.schedulingPriority(*job, now);
+        const double left = turn.canMeetAnother ? toSeconds(turn.startBy - now - lendingDelay) : 0;
+        const double over =
+            turn.canMeetAnother ? run + std::max(0.0, left) : toSeconds(patientSpan);
         const double cores = job->spec.demand.cores * withinLimit(*job);
         const double need = cores * (job->spec.tasks - job->doneCount) * run / over;
-        if (!turn.hopes) {
+        if (!turn.canMeetAnother) {
             pace += need;
             continue;
         }
@@ -186,23 +190,23 @@
             hurried += cores * job->waitingCount() * run / over;
     }
     if (pace == 0 && inHurry.empty()) return 0;
-    Have others;  // cores in use
+    Capacity others;  // cores in use
     for (const auto& m : cluster_.machines())
-        for (const auto& c : m.charges) {
+        for (const auto& c : m.allocations) {
             const double cores = c.job->spec.demand.cores;
-            if (!cluster_.borrows(*c.job))
+            if (!cluster_.isOpportunistic(*c.job))
                 (m.spot ? others.spot : others.ordinary) += cores;
             else if ((m.spot || spotScarce || !spotAllowed) && inHurry.contains(c.job))
                 hurried += cores;
         }
-    const Have there = have(false);
+    const Capacity there = capacity(false);
     // Of idle ordinary machines much is kept warm for replicas.
     double idle = std::max(0.0, there.ordinary - others.ordinary) / 2;
     if (spotAllowed) idle += std::max(0.0, std::min(there.spot, target_.spot) - others.spot);
     return std::max(0.0, pace - idle) + hurried;
 }
 
-double Fleet::lackForDeadlines(TimePoint now) const {
+double Autoscaler::missingCoresForDeadlines(TimePoint now) const {
     // Served in the order of their latest start by what is there, whose cores come free once in a
     // run: what would start too late needs machines of its own. Those that come too late for the
     // shortest jobs serve the next such jobs.
@@ -214,22 +218,24 @@
     double running = 0, seconds = 0, open = 0;
     for (const Job* job : cluster_.openJobs()) {
         const JobSpec& s = job->spec;
-        if (!s.spotAllowed || job->suspect || cluster_.borrows(*job) ||
-            classes_.at(s.jobClass).warm)
+        if (!s.spotAllowed || job->crashLooping || cluster_.isOpportunistic(*job) ||
+            classes_.at(s.jobClass).wantsWarmCapacity)
             continue;
         running += s.demand.cores * job->boundCount;
         const double share = withinLimit(*job);
         const double left = share * s.demand.cores * (s.tasks - job->doneCount);
         open += left;
         seconds += left * std::max(1.0, toSeconds(cluster_.runTime(s)));
-        if (job->waitingCount() == 0 || now < job->notBefore) continue;
-        const auto turn = cluster_.turn(*job, now);
-        if (turn.hopes) queue.push_back({turn.by, share * s.demand.cores * job->waitingCount()});
+        if (job->waitingCount() == 0 || now < job->backOffUntil) continue;
+        const auto turn = cluster_.schedulingPriority(*job, now);
+        if (turn.canMeetAnother)
+            queue.push_back({turn.startBy, share * s.demand.cores * job->waitingCount()});
     }
     if (queue.empty()) return 0;
     std::sort(queue.begin(), queue.end(), [](const Wait& a, const Wait& b) { return a.by < b.by; });
     const double run = runMargin * seconds / open;
-    const double rate = std::max(running, have(true).spot) / run;  // cores that come free a second
+    const double rate =
+        std::max(running, capacity(true).spot) / run;  // cores that come free a second
     double lack = 0, ahead = 0;
     for (const Wait& w : queue) {
         ahead += w.cores;
@@ -238,4 +244,4 @@
     return lack;
 }
 
-}  // namespace basaltchute::fleet
+}  // namespace basaltchute::autoscaler
--- a/src/fleet/losses.cpp
+++ b/src/autoscaler/failure_detection.cpp
@@ -2,15 +2,15 @@
 
 #include <algorithm>
 
-#include "fleet/fleet.h"
+#include "autoscaler/autoscaler.h"
 
 // Machines that never came up, or that do not answer any more.
 
-namespace basaltchute::fleet {
+namespace basaltchute::autoscaler {
 
 using namespace std::chrono_literals;
-using workers::Machine;
-using workers::Presence;
+using worker_api::Machine;
+using worker_api::Presence;
 
 namespace {
 constexpr Duration worthDeleting = 10s;  // of a silent machine's lease still to run
@@ -25,9 +25,9 @@
 constexpr Duration sweepAge = 1500ms;  // a machine heard of since then is hardly dead
 }  // namespace
 
-void Fleet::replaceStuck(TimePoint now) {
+void Autoscaler::replaceStuck(TimePoint now) {
     const auto& s = cluster_.settings();
-    for (auto it = coming_.begin(); it != coming_.end();) {
+    for (auto it = booting_.begin(); it != booting_.end();) {
         const auto index = cluster_.machines().find(it->first);
         const auto type = cluster_.catalogue().find(std::get<0>(it->second.pool));
         const Duration boot = type == cluster_.catalogue().end() ? 60s : type->second.boot;
@@ -35,8 +35,8 @@
             const Machine& m = cluster_.machines()[*index];
             // Those of a former leader's days only had to find this one.
             if (m.up() && it->second.since > since_)
-                experience_.came(m.type, m.upSince - it->second.since, boot);
-            it = coming_.erase(it);
+                statistics_.came(m.type, m.upSince - it->second.since, boot);
+            it = booting_.erase(it);
             continue;
         }
         // Some boots never end, and are charged until the machine is deleted. The list lags, so
@@ -47,15 +47,15 @@
         const bool wouldHaveReported = now - since_ > s.lease + s.reportEvery * 2;
         if (it->second.starting && overdue && wouldHaveReported) {
             spdlog::warn("machine {} never came up: replacing it", it->first);
-            dead_.insert(it->first);
-            it = coming_.erase(it);
+            toTerminate_.insert(it->first);
+            it = booting_.erase(it);
             continue;
         }
         ++it;
     }
 }
 
-void Fleet::giveUpSilent(TimePoint now, Plan& plan) {
+void Autoscaler::removeUnresponsive(TimePoint now, ScalingPlan& plan) {
     const auto& s = cluster_.settings();
     // Reports come as much as a quarter late.
     const Duration overdue = s.reportEvery * 5 / 4 + reportDelay;
@@ -65,7 +65,7 @@
     std::vector<std::pair<TimePoint, MachineIndex>> unheard;
     for (MachineIndex i = 0; i < cluster_.machines().size(); ++i) {
         const Machine& m = cluster_.machines()[i];
-        if (m.presence == Presence::gone || (!m.up() && m.charges.empty())) continue;
+        if (m.presence == Presence::gone || (!m.up() && m.allocations.empty())) continue;
         ZoneCount& zone = zones[m.up() ? m.zone : m.listedZone];
         ++zone.up;
         ++up;
@@ -73,38 +73,39 @@
         // until it is gone.
         if (!m.up() && now - since_ > s.listLag * 2 + reportDelay && !names_.contains(m.name) &&
             !namesBefore_.contains(m.name)) {
-            dead_.insert(m.name);
+            toTerminate_.insert(m.name);
             continue;
         }
-        const TimePoint heard = m.up() ? m.heardAt : since_;
+        const TimePoint heard = m.up() ? m.lastHeardAt : since_;
         // Announced to be taken, and silent since: it is.
-        if (m.recalledAt && now > *m.recalledAt + s.reportEvery &&
-            now - m.heardAt > s.reportEvery * 2) {
-            dead_.insert(m.name);
+        if (m.interruptionAt && now > *m.interruptionAt + s.reportEvery &&
+            now - m.lastHeardAt > s.reportEvery * 2) {
+            toTerminate_.insert(m.name);
             continue;
         }
         // Waiting for its lease would leave its tasks down for longer than this takes.
-        if (m.charges.empty() || m.address.empty() ||
-            cluster_.possiblyUntil(m, now) - now <= worthDeleting)
+        if (m.allocations.empty() || m.address.empty() ||
+            cluster_.possiblyRunningUntil(m, now) - now <= worthDeleting)
             continue;
         const bool late = now - heard > overdue;
         // One that answers but does not report is asked as often as it would report.
-        const bool quiet = m.up() && !late && now - m.beatAt > overdue && !cluster_.away(m.zone);
-        if (quiet && now - m.heardAt > s.reportEvery / 2) plan.ask.push_back(i);
-        if (!late && m.unanswered == 0) {
+        const bool quiet =
+            m.up() && !late && now - m.lastHeartbeatAt > overdue && !cluster_.isZoneAway(m.zone);
+        if (quiet && now - m.lastHeardAt > s.reportEvery / 2) plan.probe.push_back(i);
+        if (!late && m.unansweredProbes == 0) {
             if (now - heard > sweepAge) unheard.emplace_back(heard, i);
             continue;
         }
         // A zone that is away with its controllers explains the silence of its machines. A few
         // are asked, to see when it is back; it is no reason to keep the dead of other zones.
-        if (cluster_.away(m.zone)) {
-            if (++askedAway <= fewAsked) plan.ask.push_back(i);
+        if (cluster_.isZoneAway(m.zone)) {
+            if (++askedAway <= fewAsked) plan.probe.push_back(i);
             continue;
         }
         ++zone.silent;
         // One that is not even late is asked once more: it may only have hung for a moment.
-        if (m.unanswered < askedInVain + (late ? 0 : 1))
-            plan.ask.push_back(i);
+        if (m.unansweredProbes < askedInVain + (late ? 0 : 1))
+            plan.probe.push_back(i);
         else
             lost.push_back(&m);
     }
@@ -113,30 +114,31 @@
     // few are found within a second or two, a sample is always asked.
     std::size_t dying = 0;
     for (const auto& m : cluster_.machines())
-        dying += m.up() && m.unanswered > 0 && !cluster_.away(m.zone) ? 1 : 0;
+        dying += m.up() && m.unansweredProbes > 0 && !cluster_.isZoneAway(m.zone) ? 1 : 0;
     std::sort(unheard.begin(), unheard.end());
     std::size_t asked = 0;
-    if (dying >= fewDying && now - sweptAt_ >= sweepAge) {
-        sweptAt_ = now;
+    if (dying >= fewDying && now - lastFullProbeAt_ >= sweepAge) {
+        lastFullProbeAt_ = now;
         asked = std::min(unheard.size(), sweepMost);
-    } else if (now - sampledAt_ >= sampleEvery) {
-        sampledAt_ = now;
+    } else if (now - lastSampleProbeAt_ >= sampleEvery) {
+        lastSampleProbeAt_ = now;
         asked = std::min(unheard.size(), std::clamp(up / 20, sampleLeast, sampleMost));
     }
-    for (std::size_t i = 0; i < asked; ++i) plan.sweep.push_back(unheard[i].second);
+    for (std::size_t i = 0; i < asked; ++i) plan.probeSample.push_back(unheard[i].second);
     // Most of a zone at once is rather a cut or this node's own starvation, whatever the evidence;
     // the machines are well and deleting them would be the damage. Those given up within a lease
     // count with them, or a long cut would take a part at a time.
-    while (!givenUpAt_.empty() && now - givenUpAt_.front().first > s.lease) givenUpAt_.pop_front();
-    for (const auto& [at, zone] : givenUpAt_) ++zones[zone].silent;
+    while (!recentlyLost_.empty() && now - recentlyLost_.front().first > s.lease)
+        recentlyLost_.pop_front();
+    for (const auto& [at, zone] : recentlyLost_) ++zones[zone].silent;
     for (const auto* m : lost) {
         const std::string& zone = m->up() ? m->zone : m->listedZone;
         if (zones[zone].silent > std::max<std::size_t>(1, zones[zone].up / 2)) continue;
-        if (!dead_.insert(m->name).second) continue;
-        givenUpAt_.emplace_back(now, zone);
+        if (!toTerminate_.insert(m->name).second) continue;
+        recentlyLost_.emplace_back(now, zone);
         spdlog::warn("machine {} is silent: giving it up to free its {} tasks", m->name,
-                     m->charges.size());
+                     m->allocations.size());
     }
 }
 
-}  // namespace basaltchute::fleet
+}  // namespace basaltchute::autoscaler
--- a/src/app/controller_test.cpp
+++ b/src/controller/controller_test.cpp
@@ -1,4 +1,4 @@
-#include "app/controller.h"
+#include "controller/controller.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 // Whole controllers on a fake clock, with the state service, the cloud, users and workers
 // played by their published protocols.
 
-namespace basaltchute::app {
+namespace basaltchute::controller {
 namespace {
 
 using namespace std::chrono_literals;
@@ -92,15 +92,16 @@
         return ask(node, "POST", "/v1/jobs", testing::submission(id, ",\"waitsOn\":" + needs))
             .response.status;
     }
-    http::Outcome ask(std::size_t node, const std::string& method, const std::string& target,
-                      const std::string& body = "") {
-        http::Outcome out;
+    http::RequestOutcome ask(std::size_t node, const std::string& method, const std::string& target,
+                             const std::string& body = "") {
+        http::RequestOutcome out;
         bool done = false;
         users.spawn(send(*nodes[node]->client, {method, target, body}, out, done));
         world.until([&] { return done; });
         return out;
     }
-    Task<void> send(http::Client& client, http::Request request, http::Outcome& out, bool& done) {
+    Task<void> send(http::Client& client, http::Request request, http::RequestOutcome& out,
+                    bool& done) {
         out = co_await client.request(std::move(request), 5s, users);
         done = true;
     }
@@ -374,20 +375,20 @@
     ASSERT_EQ(ask(0, "POST", "/agent/beat", beat(1, 0)).response.status, 200);
     const bool firstLeads = state.keys.at("lead/holder").data.find("rig-0") != std::string::npos;
     const std::size_t leader = firstLeads ? 0 : 1, holder = firstLeads ? 1 : 0;
-    const auto terms = delegation::Bounds::of(nodes[holder]->settings);
+    const auto terms = lease_delegation::DelegationLimits::from(nodes[holder]->settings);
     state.down = true;  // so that nobody takes over
     bool left = false;
     world.scope.spawn(stop(*nodes[leader]->controller, left));
     world.until([&] { return left; });
     unsigned tick = 1;
     EXPECT_NE(ask(holder, "POST", "/agent/beat", beat(++tick, 1)).response.status, 200);
-    world.run(terms.quiet + 500ms);
+    world.run(terms.leaderSilence + 500ms);
     const auto lent = ask(holder, "POST", "/agent/beat", beat(++tick, 1));
     EXPECT_EQ(lent.response.status, 200);
     EXPECT_EQ(lent.response.body, R"({"baton":1,"orders":[]})");
     EXPECT_NE(ask(holder, "POST", "/agent/beat", beat(++tick, 2)).response.status, 200)
         << "that worker would drop it";
-    world.run(terms.longest - terms.quiet - 3s);
+    world.run(terms.maxDuration - terms.leaderSilence - 3s);
     EXPECT_EQ(ask(holder, "POST", "/agent/beat", beat(++tick, 1)).response.status, 200);
     world.run(4s);
     EXPECT_NE(ask(holder, "POST", "/agent/beat", beat(++tick, 1)).response.status, 200);
@@ -408,36 +409,36 @@
         return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
                std::to_string(tick) + R"(,"baton":1,"recallS":null,"splits":[]})";
     };
-    const auto bounds = delegation::Bounds::of(nodes[0]->settings);
-    world.run(4s + bounds.quiet);
+    const auto bounds = lease_delegation::DelegationLimits::from(nodes[0]->settings);
+    world.run(4s + bounds.leaderSilence);
     EXPECT_EQ(ask(led, "GET", "/v1/jobs/run-9").response.status, 503) << "its right has ended";
     for (const std::size_t n : {other, led})
         EXPECT_EQ(ask(n, "POST", "/agent/beat", beat(static_cast<unsigned>(n) + 1)).response.status,
                   200)
             << n;
-    world.run(bounds.longest);
+    world.run(bounds.maxDuration);
     EXPECT_NE(ask(other, "POST", "/agent/beat", beat(9)).response.status, 200) << "to its end";
 }
 
 TEST_F(ControllerTest, ANodeThatPledgedDoesNotCampaignUntilItsWordHasEnded) {
     start(1);
-    state::Client client(world.loop, nodes[0]->settings);
+    kv_store::Client client(world.loop, nodes[0]->settings);
     Scope scope(world.loop);
     bool elected = false;
     auto settings = nodes[0]->settings;
     settings.node = "rig-9";
-    Leadership other(
-        world.loop, client, settings, "x",
-        {[&](FencingToken, state::Guard) { elected = true; }, []() -> Task<void> { co_return; },
-         [](FencingToken, Duration, const std::set<std::string>&) -> Task<bool> {
-             co_return false;
-         },
-         [](const std::string&) { return false; },
-         [](Duration) { return std::set<std::string>{}; }});
+    LeaderElection other(world.loop, client, settings, "x",
+                         {[&](FencingToken, kv_store::Precondition) { elected = true; },
+                          []() -> Task<void> { co_return; },
+                          [](FencingToken, Duration, const std::set<std::string>&) -> Task<bool> {
+                              co_return false;
+                          },
+                          [](const std::string&) { return false; },
+                          [](Duration) { return std::set<std::string>{}; }});
     scope.spawn(other.run(scope));
     world.run(5s);
-    EXPECT_TRUE(other.pledge(1, 3s));
-    EXPECT_FALSE(other.pledge(1, 1h)) << "longer than a restarted node would wait";
+    EXPECT_TRUE(other.acceptPledge(1, 3s));
+    EXPECT_FALSE(other.acceptPledge(1, 1h)) << "longer than a restarted node would wait";
     bool left = false;
     world.scope.spawn(stop(*nodes[0]->controller, left));  // the leader's key is free now
     world.until([&] { return left; });
@@ -602,7 +603,7 @@
         return {testing::StateService::Fault::Kind::late, 2s};
     };
     bool done = false;
-    http::Outcome lost;
+    http::RequestOutcome lost;
     users.spawn(
         send(*nodes[0]->client, {"POST", "/v1/jobs", testing::submission("run-1")}, lost, done));
     world.run(100ms);
@@ -678,7 +679,7 @@
         launch(*nodes[0]);
         world.run(step * 8ms);
         bool done = false;
-        http::Outcome maybe;
+        http::RequestOutcome maybe;
         const std::string id = "run-" + std::to_string(10 + step);
         users.spawn(
             send(*nodes[0]->client, {"POST", "/v1/jobs", testing::submission(id)}, maybe, done));
@@ -711,30 +712,30 @@
     const std::size_t led = leader();
     ASSERT_LT(led, 3U);
     const std::size_t first = (led + 1) % 3, second = (led + 2) % 3;
-    const auto terms = delegation::Bounds::of(nodes[0]->settings);
+    const auto terms = lease_delegation::DelegationLimits::from(nodes[0]->settings);
     state.down = true;  // so that nobody takes over
     kill(led);
     unsigned tick = 0;
     kill(first);
     launch(*nodes[first]);
-    world.run(terms.quiet + 300ms);
+    world.run(terms.leaderSilence + 300ms);
     EXPECT_EQ(ask(second, "POST", "/agent/beat", beat(++tick)).response.status, 200);
     world.run(1s);
     EXPECT_EQ(ask(first, "POST", "/agent/beat", beat(++tick)).response.status, 200);
     kill(second);
     launch(*nodes[second]);
-    world.run(terms.quiet + 1s);
+    world.run(terms.leaderSilence + 1s);
     EXPECT_EQ(ask(second, "POST", "/agent/beat", beat(++tick)).response.status, 200);
     EXPECT_EQ(ask(first, "POST", "/agent/beat", beat(++tick)).response.status, 200);
     EXPECT_NE(ask(first, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
-    world.run(terms.longest - terms.quiet * 2 - 2s);
+    world.run(terms.maxDuration - terms.leaderSilence * 2 - 2s);
     for (const auto n : {first, second})
         EXPECT_NE(ask(n, "POST", "/agent/beat", beat(++tick)).response.status, 200) << n;
 }
 
 TEST_F(ControllerTest, TheRightToActEndsBeforeTheGrantCan) {
     start(1, 1);  // the other node cannot pledge
-    const Duration life = Leadership::lifeFor(nodes[0]->settings);
+    const Duration life = LeaderElection::leaseTtlFor(nodes[0]->settings);
     state.down = true;
     const TimePoint from = world.clock.now();
     bool acted = true;
@@ -756,7 +757,7 @@
         hold = false;
         return {testing::StateService::Fault::Kind::late, 1200ms};
     };
-    http::Outcome waited;
+    http::RequestOutcome waited;
     bool done = false;
     users.spawn(
         send(*nodes[0]->client, {"POST", "/v1/jobs", testing::submission("run-1")}, waited, done));
@@ -794,17 +795,18 @@
 TEST_F(ControllerTest, AFormerLeadersWriteIsRefused) {
     start(1);
     auto settings = nodes[0]->settings;
-    state::Client client(world.loop, settings);
+    kv_store::Client client(world.loop, settings);
     Scope scope(world.loop);
     bool fenced = false, committed = false;
-    state::Writer writer(world.loop, client, 20, state::Guard{"lead/holder", 1},
-                         {[](const std::string&) {
-                              return state::Encoded{"{}", 1};
-                          },
-                          [&](const std::string&, std::uint64_t) { committed = true; }, [] {},
-                          [&] { fenced = true; }});
+    kv_store::TransactionWriter writer(
+        world.loop, client, 20, kv_store::Precondition{"lead/holder", 1},
+        {[](const std::string&) {
+             return kv_store::EncodedRecord{"{}", 1};
+         },
+         [&](const std::string&, std::uint64_t) { committed = true; }, [] {},
+         [&] { fenced = true; }});
     scope.spawn(writer.run(scope));
-    writer.dirty("jobs/run-1", state::Urgency::users);
+    writer.markDirty("jobs/run-1", kv_store::WritePriority::users);
     world.until([&] { return fenced || committed; });
     EXPECT_TRUE(fenced);
     EXPECT_FALSE(state.keys.contains("jobs/run-1"));
@@ -812,4 +814,4 @@
 }
 
 }  // namespace
-}  // namespace basaltchute::app
+}  // namespace basaltchute::controller
--- a/src/app/main.cpp
+++ b/src/controller/main.cpp
@@ -5,7 +5,7 @@
 #include <iostream>
 #include <random>
 
-#include "app/controller.h"
+#include "controller/controller.h"
 #include "runtime/log.h"
 
 namespace {
@@ -16,8 +16,8 @@
     endRequested = 1;
 }
 
-basaltchute::Task<void> waitForEnd(basaltchute::Loop& loop, basaltchute::Scope& scope,
-                                   basaltchute::app::Controller& controller) {
+basaltchute::Task<void> waitForEnd(basaltchute::EventLoop& loop, basaltchute::Scope& scope,
+                                   basaltchute::controller::Controller& controller) {
     while (endRequested == 0) {
         // The signal itself ends the wait in epoll; this looks at the flag now and then.
         co_await loop.sleep(std::chrono::milliseconds(500), scope);
@@ -44,7 +44,7 @@
         std::cerr << cli.help();
         return 2;
     }
-    basaltchute::setUpLog("basaltchute");
+    basaltchute::configureLogging("basaltchute");
     const std::string path = config.empty() ? check : config;
     auto loaded = settings::load(path);
     if (const auto* error = std::get_if<settings::Error>(&loaded)) {
@@ -68,12 +68,12 @@
     std::signal(SIGPIPE, SIG_IGN);
     try {
         const basaltchute::SystemClock clock;
-        basaltchute::Loop loop(clock);
+        basaltchute::EventLoop loop(clock);
         basaltchute::Scope scope(loop);
         std::random_device random;
         const std::string incarnation = std::to_string(random()) + std::to_string(random());
-        basaltchute::app::Controller controller(loop, platform, std::move(operatorSettings),
-                                                incarnation);
+        basaltchute::controller::Controller controller(loop, platform, std::move(operatorSettings),
+                                                       incarnation);
         controller.start();
         loop.spawn(waitForEnd(loop, scope, controller));
         loop.run();
--- /dev/null
+++ b/src/dependencies/dependency_graph_test.cpp
@@ -0,0 +1,169 @@
+#include "dependencies/dependency_graph.h"
+
+#include <gtest/gtest.h>
+
+#include <random>
+
+namespace basaltchute::dependencies {
+namespace {
+
+using namespace std::chrono_literals;
+
+const TimePoint start{std::chrono::hours(1)};
+
+JobProperties own(Priority p = Priority::low, Duration takes = 10s, Deadlines ends = {}) {
+    return {p, ends, takes};
+}
+Deadlines by(Duration first, Duration last) {
+    return {start + first, start + last};
+}
+
+class ChainsTest : public ::testing::Test {
+  protected:
+    DependencyGraph graph;
+    void add(const JobId& id, const std::vector<JobId>& needs, const JobProperties& what = own()) {
+        for (const auto& n : needs) graph.addJob(n, own(), JobOutcome::open);
+        graph.addJob(id, what, JobOutcome::open);
+        graph.addDependencies(id, needs);
+    }
+    /// clip -> two splits -> time -> post, with the deadline on the last.
+    void pipeline() {
+        add("clip", {});
+        add("split-1", {"clip"});
+        add("split-2", {"clip"}, own(Priority::low, 25s));
+        add("time", {"split-1", "split-2"}, own(Priority::normal, 20s));
+        add("post", {"time"}, own(Priority::high, 8s, by(100s, 150s)));
+        graph.takeChanges();
+    }
+};
+
+TEST_F(ChainsTest, AJobIsReleasedByTheLastThatItNeeds) {
+    pipeline();
+    EXPECT_FALSE(graph.isBlocked("clip"));
+    EXPECT_TRUE(graph.isBlocked("split-1"));
+    graph.setOutcome("clip", JobOutcome::done);
+    EXPECT_EQ(graph.takeChanges().released, (std::vector<JobId>{"split-1", "split-2"}));
+    graph.setOutcome("split-2", JobOutcome::done);
+    EXPECT_TRUE(graph.takeChanges().released.empty());
+    EXPECT_EQ(graph.unfinishedDependencies("time"), std::vector<JobId>{"split-1"});
+    graph.setOutcome("split-1", JobOutcome::done);
+    graph.setOutcome("split-1", JobOutcome::done);  // said again
+    EXPECT_EQ(graph.takeChanges().released, std::vector<JobId>{"time"});
+    add("later", {"clip", "split-1"});
+    EXPECT_FALSE(graph.isBlocked("later")) << "all that it needs was over when it came";
+}
+
+TEST_F(ChainsTest, ACancellationReachesAllAfterItOnceAndDoneWins) {
+    pipeline();
+    add("aside", {"clip"});
+    graph.setOutcome("split-1", JobOutcome::cancelled);
+    EXPECT_EQ(graph.takeChanges().cancelled, (std::vector<JobId>{"time", "post"}));
+    EXPECT_EQ(*graph.cancelledWith("post"), "split-1");
+    EXPECT_EQ(graph.cancelledWith("aside"), nullptr);
+    graph.setOutcome("split-2", JobOutcome::done);
+    EXPECT_FALSE(graph.isBlocked("time"));
+    EXPECT_TRUE(graph.takeChanges().released.empty()) << "what is cancelled is never released";
+    add("afterwards", {"post"});
+    EXPECT_EQ(*graph.cancelledWith("afterwards"), "split-1");
+    graph.setOutcome("clip", JobOutcome::done);
+    graph.setOutcome("clip", JobOutcome::cancelled);
+    EXPECT_TRUE(graph.takeChanges().cancelled.empty()) << "done before it was cancelled";
+}
+
+TEST_F(ChainsTest, UrgencyIsHandedUpTheLongestWayAndTakenBack) {
+    pipeline();
+    const InheritedUrgency clip = graph.inheritedUrgency("clip");
+    EXPECT_EQ(clip.priority, Priority::high);
+    // 100 s less 8 of the last, 20 of the third and 25 of the longer second.
+    EXPECT_EQ(clip.ends, by(47s, 97s));
+    EXPECT_EQ(graph.inheritedUrgency("split-1").ends, by(72s, 122s));
+    // A last job that comes late and is more urgent counts at once.
+    add("audit", {"split-1"}, own(Priority::production, 5s, by(40s, 40s)));
+    EXPECT_EQ(graph.inheritedUrgency("clip").priority, Priority::production);
+    EXPECT_EQ(graph.inheritedUrgency("clip").ends.first, start + 25s);
+    graph.setOutcome("audit", JobOutcome::cancelled);
+    EXPECT_EQ(graph.inheritedUrgency("clip"), clip);
+    graph.setDuration("split-2", 60s);
+    EXPECT_EQ(graph.inheritedUrgency("clip").ends.first, start + 12s);
+    graph.setOutcome("post", JobOutcome::cancelled);
+    EXPECT_EQ(graph.inheritedUrgency("clip").ends, Deadlines{});
+    EXPECT_EQ(graph.inheritedUrgency("clip").priority, Priority::normal) << "the third stage's own";
+    EXPECT_EQ(graph.findInconsistency(), "");
+}
+
+TEST_F(ChainsTest, WhatIsReadBackComesInAnOrderInWhichItCanBeLinked) {
+    const auto ordered = topologicalOrder(
+        {{"post", {"time"}}, {"time", {"split-1", "split-2"}}, {"split-1", {"clip"}}});
+    std::vector<JobId> ids;
+    for (const auto& w : ordered) ids.push_back(w.id);
+    EXPECT_EQ(ids, (std::vector<JobId>{"split-1", "time", "post"}));
+}
+
+TEST_F(ChainsTest, AllThatIsCountedAgreesWithAPlainRecount) {
+    for (unsigned seed = 1; seed <= 40; ++seed) {
+        DependencyGraph g;
+        std::mt19937 random(seed);
+        const auto below = [&](std::size_t n) { return random() % n; };
+        std::vector<JobId> ids;
+        for (int step = 0; step < 120; ++step) {
+            const auto what = below(10);
+            if (ids.size() < 2 || what < 5) {
+                const JobId id = "job-" + std::to_string(ids.size());
+                std::vector<JobId> needs;
+                for (std::size_t n = below(4); n > 0 && !ids.empty(); --n) {
+                    const JobId& need = ids[below(ids.size())];
+                    if (std::find(needs.begin(), needs.end(), need) == needs.end())
+                        needs.push_back(need);
+                }
+                const Duration end = std::chrono::seconds(50 + below(100));
+                g.addJob(id,
+                         own(static_cast<Priority>(below(4)), std::chrono::seconds(below(30)),
+                             below(2) == 0 ? Deadlines{} : by(end, end * 2)),
+                         JobOutcome::open);
+                g.addDependencies(id, needs);
+                ids.push_back(id);
+            } else {
+                const JobId& id = ids[below(ids.size())];
+                if (what < 8) {
+                    if (g.unfinishedDependencies(id).empty()) g.setOutcome(id, JobOutcome::done);
+                } else if (what == 8) {
+                    g.setOutcome(id, JobOutcome::cancelled);
+                } else {
+                    g.setDuration(id, std::chrono::seconds(below(40)));
+                }
+            }
+            ASSERT_EQ(g.findInconsistency(), "") << "seed " << seed << ", step " << step;
+        }
+    }
+}
+
+TEST_F(ChainsTest, EachChangeCostsWhatItChanges) {
+    // Among 10,000 that wait: a fan of 1,000 after one job, and a chain that is 100 deep.
+    for (int i = 0; i < 5000; ++i) {
+        add("a-" + std::to_string(i), {});
+        add("b-" + std::to_string(i), {"a-" + std::to_string(i)});
+    }
+    add("fan", {});
+    for (int i = 0; i < 1000; ++i) add("fan-" + std::to_string(i), {"fan"});
+    add("deep-0", {});
+    for (int i = 1; i <= 100; ++i)
+        add("deep-" + std::to_string(i), {"deep-" + std::to_string(i - 1)});
+    const auto cost = [&](const auto& change) {
+        const auto before = graph.visitedNodes();
+        change();
+        return graph.visitedNodes() - before;
+    };
+    EXPECT_LE(cost([&] { graph.setOutcome("a-17", JobOutcome::done); }), 2U);
+    EXPECT_LE(cost([&] { graph.setOutcome("fan-3", JobOutcome::cancelled); }), 4U);
+    EXPECT_LE(cost([&] { graph.setOutcome("fan", JobOutcome::done); }), 1001U);
+    // An urgent last job at the end of the chain reaches its first, each on the way once.
+    EXPECT_LE(cost([&] { add("last", {"deep-100"}, own(Priority::high, 1s, by(900s, 900s))); }),
+              110U);
+    EXPECT_EQ(graph.inheritedUrgency("deep-0").priority, Priority::high);
+    EXPECT_LE(cost([&] { graph.setOutcome("deep-0", JobOutcome::cancelled); }), 2 * 102U);
+    EXPECT_EQ(graph.takeChanges().cancelled.size(), 101U);
+    EXPECT_EQ(graph.findInconsistency(), "");
+}
+
+}  // namespace
+}  // namespace basaltchute::dependencies
--- a/src/gateway/amqp/connection.cpp
+++ b/src/gateway/amqp/connection.cpp
@@ -124,7 +124,7 @@
     Engine& operator=(const Engine&) = delete;
 };
 
-Connection::Connection(Loop& loop, std::unique_ptr<Socket> socket, Options options,
+Connection::Connection(EventLoop& loop, std::unique_ptr<Socket> socket, Options options,
                        Handler& handler)
     : loop_(loop),
       socket_(std::move(socket)),
--- a/src/gateway/amqp/connection.h
+++ b/src/gateway/amqp/connection.h
@@ -88,7 +88,7 @@
         Identity identity;
         TlsHandle tls;  // none: in the clear
     };
-    Connection(Loop& loop, std::unique_ptr<Socket> socket, Options options, Handler& handler);
+    Connection(EventLoop& loop, std::unique_ptr<Socket> socket, Options options, Handler& handler);
     ~Connection();
     Connection(const Connection&) = delete;
     Connection& operator=(const Connection&) = delete;
@@ -139,7 +139,7 @@
     [[nodiscard]] TimePoint tick();
     std::string wire();
 
-    Loop& loop_;
+    EventLoop& loop_;
     std::unique_ptr<Socket> socket_;
     Options options_;
     Handler& handler_;
--- a/src/gateway/app/cli.cpp
+++ b/src/gateway/app/cli.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Duration patience = 5s;
+constexpr Duration timeout = 5s;
 constexpr int mostHops = 3;
 
 std::string escaped(const std::string& s) {
@@ -90,16 +90,16 @@
 
 int ask(const Question& q) {
     const SystemClock clock;
-    Loop loop(clock);
+    EventLoop loop(clock);
     Scope scope(loop);
-    http::Outcome outcome;
+    http::RequestOutcome outcome;
     std::string at = q.admin;
-    loop.spawn([](Loop& l, Scope& s, const Question& asked, std::string& where,
-                  http::Outcome& out) -> Task<void> {
+    loop.spawn([](EventLoop& l, Scope& s, const Question& asked, std::string& where,
+                  http::RequestOutcome& out) -> Task<void> {
         for (int hop = 0; hop < mostHops; ++hop) {
             http::Client client(l, where, 0);
             http::Request request = requestOf(asked);
-            out = co_await client.request(std::move(request), patience, s);
+            out = co_await client.request(std::move(request), timeout, s);
             const auto doc = out.answered && out.response.status == 421
                                  ? json::parse(out.response.body)
                                  : std::nullopt;
--- a/src/gateway/app/front.cpp
+++ b/src/gateway/app/client_listener.cpp
@@ -1,4 +1,4 @@
-#include "gateway/app/front.h"
+#include "gateway/app/client_listener.h"
 
 #include <spdlog/spdlog.h>
 
@@ -22,9 +22,9 @@
 }  // namespace
 
 /// One client's connection and its links.
-class Front::Session final : public amqp::Handler {
+class ClientListener::Session final : public amqp::Handler {
   public:
-    explicit Session(Front& front) : front_(front) {}
+    explicit Session(ClientListener& front) : front_(front) {}
     std::shared_ptr<amqp::Connection> connection;
 
     void attached(amqp::Connection& c, amqp::LinkId id, const amqp::Attach& a) override {
@@ -84,7 +84,7 @@
         bool theySend = false;
         std::string address;
         QueueName queue;
-        std::shared_ptr<Tenure> tenure;  // none while nobody is known to hold the queue
+        std::shared_ptr<QueueOwner> tenure;  // none while nobody is known to hold the queue
     };
 
     [[nodiscard]] bool mayUse(const std::string& team) const {
@@ -146,25 +146,25 @@
         front_.hooks_.linkGone(*connection, id);
     }
 
-    Front& front_;
+    ClientListener& front_;
     std::map<amqp::LinkId, Link> links_;
 };
 
-Front::Front(Loop& loop, const Settings& settings, Counters& counters, amqp::TlsHandle tls,
-             Hooks hooks)
+ClientListener::ClientListener(EventLoop& loop, const Settings& settings, Counters& counters,
+                               amqp::TlsHandle tls, Hooks hooks)
     : loop_(loop),
       settings_(settings),
       counters_(counters),
       tls_(std::move(tls)),
       hooks_(std::move(hooks)),
       listener_(loop, settings.listen) {}
-Front::~Front() = default;
+ClientListener::~ClientListener() = default;
 
-void Front::start(Scope& scope) {
+void ClientListener::start(Scope& scope) {
     scope.spawn(acceptAll(scope));
 }
 
-Task<void> Front::acceptAll(Scope& scope) {
+Task<void> ClientListener::acceptAll(Scope& scope) {
     while (!scope.cancelled()) {
         auto socket = co_await listener_.accept(scope);
         if (!socket) co_return;
@@ -179,7 +179,7 @@
     }
 }
 
-Task<void> Front::serve(std::unique_ptr<Socket> socket, Scope& scope) {
+Task<void> ClientListener::serve(std::unique_ptr<Socket> socket, Scope& scope) {
     auto session = std::make_shared<Session>(*this);
     amqp::Connection::Options options;
     options.container = settings_.instance;
@@ -204,16 +204,16 @@
     sessions_.erase(at);
 }
 
-void Front::routesChanged() {
+void ClientListener::routesChanged() {
     for (const auto& s : std::list<std::shared_ptr<Session>>(sessions_)) s->routesChanged();
 }
 
-std::optional<Outlet> Front::outlet(const std::string& replyTo) const {
+std::optional<ReplyLink> ClientListener::outlet(const std::string& replyTo) const {
     const auto it = readers_.find(replyTo);
     if (it == readers_.end()) return std::nullopt;
     // One reader at a time, so that results keep their order: the one that came first.
     const auto& [session, link] = it->second.front();
-    return Outlet{session->connection, link};
+    return ReplyLink{session->connection, link};
 }
 
 }  // namespace basaltchute::gateway
--- a/src/gateway/app/consumer.cpp
+++ b/src/gateway/app/consumer.cpp
@@ -9,14 +9,14 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration connectPatience = 5s;
+constexpr Duration connectTimeout = 5s;
 constexpr Duration leastPause = 250ms, mostPause = 30s;  // between two connections
 constexpr Duration refusedPause = 5s;                    // of a link
 constexpr std::size_t mostSenders = 200;                 // reply-to addresses kept open
 }  // namespace
 
-Consumer::Consumer(Loop& loop, const Settings& settings, const Source& source, Front::Hooks hooks,
-                   std::uint64_t seed)
+Consumer::Consumer(EventLoop& loop, const Settings& settings, const Source& source,
+                   ClientListener::Hooks hooks, std::uint64_t seed)
     : loop_(loop),
       settings_(settings),
       source_(source),
@@ -67,7 +67,7 @@
         options.identity.external = !source_.tls->certificate.empty();
     }
     const auto to = parseAddress(source_.address);
-    auto socket = co_await Socket::connect(loop_, *to, loop_.now() + connectPatience, scope);
+    auto socket = co_await Socket::connect(loop_, *to, loop_.now() + connectTimeout, scope);
     if (!socket) {
         spdlog::debug("source {}: no connection to {}", source_.name, source_.address);
         co_return;
@@ -129,11 +129,11 @@
     }
 }
 
-std::optional<Outlet> Consumer::outlet(const std::string& replyTo) {
+std::optional<ReplyLink> Consumer::outlet(const std::string& replyTo) {
     if (!open_ || !connection_ || connection_->over()) return std::nullopt;
     for (const auto& [id, s] : senders_)
         if (s.address == replyTo)
-            return s.confirmed ? std::optional<Outlet>({connection_, id}) : std::nullopt;
+            return s.confirmed ? std::optional<ReplyLink>({connection_, id}) : std::nullopt;
     if (const auto it = refused_.find(replyTo); it != refused_.end() && it->second > loop_.now())
         return std::nullopt;
     if (senders_.size() >= mostSenders) {
--- a/src/gateway/app/consumer.h
+++ b/src/gateway/app/consumer.h
@@ -6,7 +6,7 @@
 #include <random>
 #include <string>
 
-#include "gateway/app/front.h"
+#include "gateway/app/client_listener.h"
 
 namespace basaltchute::gateway {
 
@@ -14,12 +14,12 @@
 /// feed, and sends results to reply-to addresses there.
 class Consumer final : public amqp::Handler {
   public:
-    Consumer(Loop& loop, const Settings& settings, const Source& source, Front::Hooks hooks,
-             std::uint64_t seed);
+    Consumer(EventLoop& loop, const Settings& settings, const Source& source,
+             ClientListener::Hooks hooks, std::uint64_t seed);
     void start(Scope& scope);
     void routesChanged();
     /// A confirmed sender to the address, opened if there is none yet.
-    [[nodiscard]] std::optional<Outlet> outlet(const std::string& replyTo);
+    [[nodiscard]] std::optional<ReplyLink> outlet(const std::string& replyTo);
     [[nodiscard]] const std::string& name() const { return source_.name; }
     [[nodiscard]] bool connected() const { return open_; }
 
@@ -36,7 +36,7 @@
   private:
     struct Receiver {
         QueueName queue;
-        std::shared_ptr<Tenure> tenure;
+        std::shared_ptr<QueueOwner> tenure;
     };
     struct Sender {
         std::string address;
@@ -47,10 +47,10 @@
     Task<void> connect(Scope& scope);
     void drop(amqp::LinkId id);
 
-    Loop& loop_;
+    EventLoop& loop_;
     const Settings& settings_;
     const Source& source_;
-    Front::Hooks hooks_;
+    ClientListener::Hooks hooks_;
     std::mt19937_64 random_;
     Event wake_;
     std::shared_ptr<amqp::Connection> connection_;
--- a/src/gateway/app/gateway.cpp
+++ b/src/gateway/app/gateway.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr Duration drainPatience = 40s;
+constexpr Duration drainTimeout = 40s;
 constexpr Duration farewell = 500ms;                     // for what is written to clients last
 constexpr std::size_t mostLines = 1000, fewLines = 100;  // of the ledger in one answer
 
@@ -61,54 +61,59 @@
 
 }  // namespace
 
-Gateway::Gateway(Loop& loop, Settings settings, std::string incarnation, std::uint64_t seed)
+Gateway::Gateway(EventLoop& loop, Settings settings, std::string incarnation, std::uint64_t seed)
     : loop_(loop),
       settings_(std::move(settings)),
       scope_(loop),
       state_(loop, settings_.state),
-      turnstile_(loop, state_.writes()),
+      turnstile_(loop, state_.writeLimiter()),
       controllers_(loop, settings_, seed),
       refs_(loop, state_, turnstile_, settings_),
       members_(loop, state_, turnstile_, settings_, std::move(incarnation),
-               {[this](const QueueName& q, state::Guard fence) { gained(q, std::move(fence)); },
+               {[this](const QueueName& q, kv_store::Precondition fence) {
+                    gained(q, std::move(fence));
+                },
                 [this](QueueName q) { return yield(std::move(q)); },
                 [this](const QueueName& q) { lost(q); }, [this] { routesChanged(); }}),
-      services_{loop,
-                settings_,
-                state_,
-                controllers_,
-                refs_,
-                counters_,
-                turnstile_,
-                [this](const QueueName& q) { return members_.holds(q); },
-                [this](const QueueName& q) { members_.fenced(q); },
-                [this](const std::string& origin, const std::string& to) -> std::optional<Outlet> {
-                    if (origin.empty()) return front_ ? front_->outlet(to) : std::nullopt;
-                    for (const auto& c : consumers_)
-                        if (c->name() == origin) return c->outlet(to);
-                    return std::nullopt;
-                },
-                [this] {
-                    std::size_t links = 1;
-                    for (const auto& [q, t] : tenures_) links += t->links();
-                    const auto& l = settings_.limits;
-                    const auto each = l.memoryBytes / l.messageBytes / links;
-                    return static_cast<int>(
-                        std::clamp<std::size_t>(each, 1, static_cast<std::size_t>(l.credit)));
-                }},
+      services_{
+          loop,
+          settings_,
+          state_,
+          controllers_,
+          refs_,
+          counters_,
+          turnstile_,
+          [this](const QueueName& q) { return members_.holds(q); },
+          [this](const QueueName& q) { members_.fenced(q); },
+          [this](const std::string& origin, const std::string& to) -> std::optional<ReplyLink> {
+              if (origin.empty()) return front_ ? front_->outlet(to) : std::nullopt;
+              for (const auto& c : consumers_)
+                  if (c->name() == origin) return c->outlet(to);
+              return std::nullopt;
+          },
+          [this] {
+              std::size_t links = 1;
+              for (const auto& [q, t] : tenures_) links += t->links();
+              const auto& l = settings_.limits;
+              const auto each = l.memoryBytes / l.messageBytes / links;
+              return static_cast<int>(
+                  std::clamp<std::size_t>(each, 1, static_cast<std::size_t>(l.credit)));
+          }},
       admin_(loop, settings_.admin, {}, [this](http::Request r) { return answer(std::move(r)); }) {
     if (!settings_.listen.empty())
-        front_ =
-            std::make_unique<Front>(loop_, settings_, counters_, tlsOf(settings_), linkHooks());
+        front_ = std::make_unique<ClientListener>(loop_, settings_, counters_, tlsOf(settings_),
+                                                  linkHooks());
     for (const auto& source : settings_.sources)
         consumers_.push_back(
             std::make_unique<Consumer>(loop_, settings_, source, linkHooks(), ++seed));
 }
 Gateway::~Gateway() = default;
 
-Front::Hooks Gateway::linkHooks() {
+ClientListener::Hooks Gateway::linkHooks() {
     return {[this](const QueueName& q) { return route(q); },
-            [this](const std::shared_ptr<Tenure>& t, Arrival a) { arrived(t, std::move(a)); },
+            [this](const std::shared_ptr<QueueOwner>& t, IncomingMessage a) {
+                arrived(t, std::move(a));
+            },
             [this](const std::string& tag, const amqp::Disposition& d) {
                 std::uint64_t serial = 0;
                 std::from_chars(tag.data(), tag.data() + tag.size(), serial);
@@ -141,7 +146,7 @@
     return std::nullopt;
 }
 
-std::shared_ptr<Tenure> Gateway::tenure(const QueueName& queue) const {
+std::shared_ptr<QueueOwner> Gateway::tenure(const QueueName& queue) const {
     const auto it = tenures_.find(queue);
     return it == tenures_.end() ? nullptr : it->second;
 }
@@ -158,11 +163,11 @@
     return {nullptr, holder->advertise};
 }
 
-void Gateway::gained(const QueueName& queue, state::Guard fence) {
+void Gateway::gained(const QueueName& queue, kv_store::Precondition fence) {
     ++counters_.queuesGained;
     std::erase_if(bySerial_, [](const auto& s) { return s.second.expired(); });
-    const auto t = std::make_shared<Tenure>(services_, settings_.queues.at(queue), std::move(fence),
-                                            nextSerial_++);
+    const auto t = std::make_shared<QueueOwner>(services_, settings_.queues.at(queue),
+                                                std::move(fence), nextSerial_++);
     tenures_[queue] = t;
     bySerial_[t->serial()] = t;
     t->start([this] { routesChanged(); });
@@ -183,7 +188,8 @@
     if (!t) return;
     ++counters_.queuesLost;
     tenures_.erase(queue);
-    scope_.spawn([](std::shared_ptr<Tenure> tenure) -> Task<void> { co_await tenure->end(); }(t));
+    scope_.spawn(
+        [](std::shared_ptr<QueueOwner> tenure) -> Task<void> { co_await tenure->end(); }(t));
     routesChanged();
 }
 
@@ -195,7 +201,7 @@
 
 // Messages, by team in turns.
 
-void Gateway::arrived(const std::shared_ptr<Tenure>& t, Arrival arrival) {
+void Gateway::arrived(const std::shared_ptr<QueueOwner>& t, IncomingMessage arrival) {
     t->arrived(arrival);
     turns_.push(t->queue().team, {t, std::move(arrival)});
     takeTurns();
@@ -225,7 +231,7 @@
 
 Task<void> Gateway::drainAndEnd() {
     members_.drain();
-    const TimePoint until = loop_.now() + drainPatience;
+    const TimePoint until = loop_.now() + drainTimeout;
     while (!members_.idle() && loop_.now() < until && !scope_.cancelled())
         co_await loop_.sleep(50ms, scope_);
     co_await loop_.sleep(farewell, scope_);
@@ -236,11 +242,11 @@
 
 Task<void> Gateway::end() {
     ended_ = true;
-    std::vector<std::shared_ptr<Tenure>> all;
+    std::vector<std::shared_ptr<QueueOwner>> all;
     for (const auto& [serial, weak] : bySerial_)
         if (auto t = weak.lock()) all.push_back(std::move(t));
     for (const auto& t : all) co_await t->end();
-    co_await scope_.end();
+    co_await scope_.cancelAndWait();
 }
 
 // The command line's side.
@@ -276,7 +282,7 @@
         out.open().field("queue", name);
         out.field("holder", holder == nullptr ? "" : holder->instance);
         if (const auto t = tenure(name)) {
-            const Book& b = t->book();
+            const MessageJournal& b = t->book();
             out.field("ready", t->ready());
             for (const Stage s :
                  {Stage::entered, Stage::refused, Stage::accepted, Stage::final, Stage::replied})
@@ -318,12 +324,12 @@
     if (auto refusal = notHere(queue)) return std::move(*refusal);
     const auto wanted = stageOf(stage);
     if (!stage.empty() && !wanted) return text(400, "stage: expected a stage of the ledger");
-    const Book& book = tenure(queue)->book();
-    std::map<std::string, const Entry*> lines;
+    const MessageJournal& book = tenure(queue)->book();
+    std::map<std::string, const JournalEntry*> lines;
     if (!key.empty()) {
-        if (const Entry* e = book.find(key)) lines[e->ref] = e;
+        if (const JournalEntry* e = book.find(key)) lines[e->ref] = e;
     } else {
-        book.each([&](const Entry& e) {
+        book.each([&](const JournalEntry& e) {
             if (wanted && e.stage != *wanted) return;
             lines[e.ref] = &e;
             if (lines.size() > most) lines.erase(lines.begin());  // the newest stay
@@ -336,7 +342,7 @@
         out.open().field("ref", ref).field("key", e->key).field("stage", nameOf(e->stage));
         out.field("status", e->status).field("number", e->number);
         out.field("attempts", e->attempts).field("origin", e->origin).field("replyTo", e->replyTo);
-        out.field("why", e->why).field("stands", book.stands(e->key));
+        out.field("why", e->why).field("stands", book.isDurable(e->key));
         out.field("forgetMs", static_cast<std::int64_t>(e->forget.count())).close();
     }
     out.closeArray().close();
--- a/src/gateway/app/gateway.h
+++ b/src/gateway/app/gateway.h
@@ -4,10 +4,10 @@
 #include <string>
 #include <vector>
 
+#include "gateway/app/client_listener.h"
 #include "gateway/app/consumer.h"
-#include "gateway/app/front.h"
-#include "gateway/custody/turns.h"
-#include "gateway/members/members.h"
+#include "gateway/membership/membership.h"
+#include "gateway/queue_owner/round_robin_queue.h"
 #include "http/server.h"
 
 namespace basaltchute::gateway {
@@ -17,7 +17,7 @@
   public:
     /// `incarnation`: unlike that of any other run of any instance. Throws if an address cannot be
     /// listened on or a certificate not be read.
-    Gateway(Loop& loop, Settings settings, std::string incarnation, std::uint64_t seed);
+    Gateway(EventLoop& loop, Settings settings, std::string incarnation, std::uint64_t seed);
     ~Gateway();
     void start();
     /// Reads the certificates again; connections that are open keep theirs. One line if they
@@ -29,24 +29,24 @@
     /// Ends at once, as a crash would.
     Task<void> end();
 
-    [[nodiscard]] const Members& members() const { return members_; }
+    [[nodiscard]] const Membership& members() const { return members_; }
     [[nodiscard]] const Counters& counters() const { return counters_; }
-    [[nodiscard]] std::shared_ptr<Tenure> tenure(const QueueName& queue) const;
+    [[nodiscard]] std::shared_ptr<QueueOwner> tenure(const QueueName& queue) const;
     [[nodiscard]] std::string address() const { return front_ ? front_->address() : ""; }
     [[nodiscard]] std::string admin() const { return admin_.address(); }
 
   private:
     struct Waiting {
-        std::shared_ptr<Tenure> tenure;
-        Arrival arrival;
+        std::shared_ptr<QueueOwner> tenure;
+        IncomingMessage arrival;
     };
     [[nodiscard]] Route route(const QueueName& queue) const;
-    [[nodiscard]] Front::Hooks linkHooks();
-    void gained(const QueueName& queue, state::Guard fence);
+    [[nodiscard]] ClientListener::Hooks linkHooks();
+    void gained(const QueueName& queue, kv_store::Precondition fence);
     Task<void> yield(QueueName queue);
     void lost(const QueueName& queue);
     void routesChanged();
-    void arrived(const std::shared_ptr<Tenure>& tenure, Arrival arrival);
+    void arrived(const std::shared_ptr<QueueOwner>& tenure, IncomingMessage arrival);
     void takeTurns();
     Task<void> take(Waiting waiting);
     Task<void> drainAndEnd();
@@ -58,23 +58,23 @@
     http::Response replay(const std::string& queue, const std::string& key);
     [[nodiscard]] std::optional<http::Response> notHere(const std::string& queue) const;
 
-    Loop& loop_;
+    EventLoop& loop_;
     Settings settings_;
     Scope scope_;
-    state::Client state_;
-    Turnstile turnstile_;
+    kv_store::Client state_;
+    WriteLimiter turnstile_;
     Controllers controllers_;
-    Refs refs_;
+    JobIdAllocator refs_;
     Counters counters_;
-    Members members_;
+    Membership members_;
     Services services_;
-    std::unique_ptr<Front> front_;
+    std::unique_ptr<ClientListener> front_;
     std::vector<std::unique_ptr<Consumer>> consumers_;
     http::Server admin_;
-    std::map<QueueName, std::shared_ptr<Tenure>> tenures_;
-    std::map<std::uint64_t, std::weak_ptr<Tenure>> bySerial_;
+    std::map<QueueName, std::shared_ptr<QueueOwner>> tenures_;
+    std::map<std::uint64_t, std::weak_ptr<QueueOwner>> bySerial_;
     std::uint64_t nextSerial_ = 1;
-    Turns<Waiting> turns_;
+    RoundRobinQueue<Waiting> turns_;
     std::size_t underWay_ = 0;
     bool draining_ = false, ended_ = false;
 };
--- a/src/gateway/app/gateway_test.cpp
+++ b/src/gateway/app/gateway_test.cpp
@@ -5,8 +5,8 @@
 #include <spdlog/spdlog.h>
 
 #include "gateway/testing/client.h"
-#include "gateway/testing/scene.h"
-#include "lab/query.h"
+#include "gateway/testing/gateway_fixture.h"
+#include "simulator/query.h"
 
 namespace basaltchute::gateway {
 namespace {
@@ -14,8 +14,8 @@
 using namespace std::chrono_literals;
 using amqp::Outcome;
 using testing::Client;
+using testing::GatewayFixture;
 using testing::JobService;
-using testing::Scene;
 
 const QueueName checks = "north/replay-verify";
 const std::string atBroker = "work/" + checks;
@@ -35,7 +35,7 @@
     bool taken(std::size_t n) {
         return s.until([&] { return queue().accepted == n && queue().unsettled == 0; }, 60s);
     }
-    const Entry* entry(const std::string& key) {
+    const JournalEntry* entry(const std::string& key) {
         Gateway* g = s.holder(checks);
         return g == nullptr ? nullptr : g->tenure(checks)->book().find(key);
     }
@@ -49,12 +49,12 @@
         s.until([&] { return c->linked(toQueue) || c->ends.contains(toQueue); });
         return c;
     }
-    Scene s;
+    GatewayFixture s;
 };
 
 TEST_F(GatewayTest, AMessageBecomesOneJobAndItsResultGoesBackOnce) {
     s.start("gw-1");
-    s.broker.publish(atBroker, Scene::message("m", "id-1", "answers"));
+    s.broker.publish(atBroker, GatewayFixture::message("m", "id-1", "answers"));
     ASSERT_TRUE(s.until([&] { return s.broker.received["answers"].size() == 1; }));
     EXPECT_EQ(queue().accepted, 1U);
     ASSERT_EQ(jobsOf("m"), 1U);
@@ -73,7 +73,7 @@
         if (r.method == "POST" && s.jobs.jobs.empty()) s.broker.cutAll();
         return JobService::Fault::none;
     };
-    s.broker.publish(atBroker, Scene::message("before", "1"));
+    s.broker.publish(atBroker, GatewayFixture::message("before", "1"));
     ASSERT_TRUE(taken(1));
     EXPECT_EQ(jobsOf("before"), 1U);
     // Cut after custody is on record, before the broker hears of it.
@@ -85,7 +85,7 @@
         }
         return basaltchute::testing::StateService::Fault{};
     };
-    s.broker.publish(atBroker, Scene::message("after", "2"));
+    s.broker.publish(atBroker, GatewayFixture::message("after", "2"));
     ASSERT_TRUE(taken(2));
     EXPECT_EQ(jobsOf("after"), 1U);
     EXPECT_EQ(s.holder(checks)->counters().duplicates, 2U) << "the ledger answered what came again";
@@ -105,7 +105,7 @@
         }
         return JobService::Fault::none;
     };
-    s.broker.publish(atBroker, Scene::message("m", "1", "answers"));
+    s.broker.publish(atBroker, GatewayFixture::message("m", "1", "answers"));
     ASSERT_TRUE(s.until([&] { return die; }));
     s.kill(first);
     ASSERT_TRUE(s.until([&] { return s.broker.received["answers"].size() == 1; }, 60s));
@@ -118,7 +118,7 @@
     auto& frozen = s.start("gw-1");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
     const auto tenure = frozen.tenure(checks);
-    s.broker.publish(atBroker, Scene::message("m", "1", "a"));
+    s.broker.publish(atBroker, GatewayFixture::message("m", "1", "a"));
     ASSERT_TRUE(s.until([&] { return entry("t:1") && entry("t:1")->stage == Stage::replied; }));
     s.world.run(1s);
     const auto records = s.state.keys;
@@ -134,7 +134,7 @@
         }
     EXPECT_EQ(s.broker.received["a"].size(), 1U) << "nothing is told that does not stand";
     EXPECT_GE(frozen.counters().queuesLost + other.counters().queuesGained, 1U);
-    s.broker.publish(atBroker, Scene::message("n", "2"));
+    s.broker.publish(atBroker, GatewayFixture::message("n", "2"));
     ASSERT_TRUE(taken(2));
     EXPECT_EQ(jobsOf("n"), 1U);
 }
@@ -147,7 +147,7 @@
     s.state.keys["gw/own/queue/" + checks].stamp += 1000;
     s.state.changeElsewhere(2000);
     const auto before = s.state.keys;
-    s.broker.publish(atBroker, Scene::message("m", "1"));
+    s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
     s.world.run(500ms);
     for (const auto& [key, e] : s.state.keys) {
         EXPECT_FALSE(key.starts_with("gw/q/")) << "an owner without the fence wrote " << key;
@@ -174,7 +174,7 @@
         }
     };
     for (int i = 0; i < 6; ++i)
-        s.broker.publish(atBroker, Scene::message("m" + std::to_string(i), std::to_string(i), "a"));
+        s.broker.publish(atBroker, GatewayFixture::message("m" + std::to_string(i), std::to_string(i), "a"));
     ASSERT_TRUE(s.until([&] { return s.broker.received["a"].size() >= 6; }, 120s));
     s.state.fault = nullptr;
     s.world.run(10s);
@@ -198,28 +198,28 @@
                             : JobService::Fault::none;
     };
     s.jobs.impossible.insert("never");
-    s.broker.publish(atBroker, Scene::message("m", "1"));
+    s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
     ASSERT_TRUE(taken(1));
     EXPECT_EQ(jobsOf("m"), 1U);
     EXPECT_EQ(posts, 3);
-    s.broker.publish(atBroker, Scene::message("never", "2"));
+    s.broker.publish(atBroker, GatewayFixture::message("never", "2"));
     ASSERT_TRUE(s.until([&] { return queue().dead.size() == 1; }));
     EXPECT_EQ(queue().dead[0].second.description, "fits no machine type");
     // From the dead letters it is refused again by the ledger, until an operator replays it.
-    s.broker.publish(atBroker, Scene::message("never", "2"));
+    s.broker.publish(atBroker, GatewayFixture::message("never", "2"));
     ASSERT_TRUE(s.until([&] { return queue().dead.size() == 2; }));
     s.jobs.impossible.clear();
     EXPECT_EQ(s.holder(checks)->tenure(checks)->replay("t:2"), std::nullopt);
-    s.broker.publish(atBroker, Scene::message("never", "2"));
+    s.broker.publish(atBroker, GatewayFixture::message("never", "2"));
     ASSERT_TRUE(taken(2));
     EXPECT_EQ(jobsOf("never"), 1U);
 }
 
 TEST_F(GatewayTest, WithoutAnAnswerAMessageIsGivenBackInsteadOfHeld) {
-    s.settings.limits.patience = 4s;
+    s.settings.limits.timeout = 4s;
     auto& g = s.start("gw-1");
     s.jobs.fault = [](const http::Request&) { return JobService::Fault::refused; };
-    s.broker.publish(atBroker, Scene::message("m", "1"));
+    s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
     ASSERT_TRUE(s.until([&] { return g.counters().released >= 2; }, 60s));
     s.jobs.fault = nullptr;
     ASSERT_TRUE(taken(1));
@@ -229,7 +229,7 @@
 
 TEST_F(GatewayTest, TenThousandMessagesWithOneIdAreOneJob) {
     s.start("gw-1");
-    for (int i = 0; i < 10'000; ++i) s.broker.publish(atBroker, Scene::message("m", "1", "a"));
+    for (int i = 0; i < 10'000; ++i) s.broker.publish(atBroker, GatewayFixture::message("m", "1", "a"));
     ASSERT_TRUE(taken(10'000));
     EXPECT_EQ(jobsOf("m"), 1U);
     ASSERT_TRUE(s.until([&] { return !s.broker.received["a"].empty(); }));
@@ -240,8 +240,8 @@
 
 TEST_F(GatewayTest, OneIdDoesNotStandForTwoMessages) {
     s.start("gw-1");
-    s.broker.publish(atBroker, Scene::message("m", "1"));
-    s.broker.publish(atBroker, Scene::message("other", "1"));
+    s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
+    s.broker.publish(atBroker, GatewayFixture::message("other", "1"));
     ASSERT_TRUE(s.until([&] { return queue().dead.size() == 1; }));
     EXPECT_EQ(queue().dead[0].second.name, "amqp:precondition-failed");
     EXPECT_EQ(jobsOf("m") + jobsOf("other"), 1U);
@@ -249,15 +249,15 @@
 
 TEST_F(GatewayTest, PoisonIsRejectedWithItsReasonAndDisturbsNobody) {
     s.start("gw-1");
-    auto none = Scene::message("m", "1");
+    auto none = GatewayFixture::message("m", "1");
     none.body = "no JSON";
-    auto foreign = Scene::message("m", "2");
+    auto foreign = GatewayFixture::message("m", "2");
     foreign.body = R"({"build":"m","crew":"south"})";
-    auto huge = Scene::message("m", "3");
+    auto huge = GatewayFixture::message("m", "3");
     huge.body.assign(std::size_t{1} << 20U, ' ');
-    for (const auto& m : {none, foreign, huge, Scene::message("m", "")})
+    for (const auto& m : {none, foreign, huge, GatewayFixture::message("m", "")})
         s.broker.publish(atBroker, m);
-    s.broker.publish(atBroker, Scene::message("good", "5"));
+    s.broker.publish(atBroker, GatewayFixture::message("good", "5"));
     ASSERT_TRUE(s.until([&] { return queue().dead.size() == 4 && jobsOf("good") == 1; }));
     EXPECT_EQ(jobsOf("m"), 0U);
     std::set<std::string> reasons;
@@ -275,15 +275,15 @@
         q.attempts = 2;
     });
     s.start("gw-1");
-    s.broker.publish(atBroker, Scene::message("once", ""));
-    s.broker.publish(atBroker, Scene::message("once", ""));
+    s.broker.publish(atBroker, GatewayFixture::message("once", ""));
+    s.broker.publish(atBroker, GatewayFixture::message("once", ""));
     ASSERT_TRUE(taken(2));
     EXPECT_EQ(jobsOf("once"), 1U);
     auto& again = s.broker.queues["work/south/again"];
-    s.broker.publish("work/south/again", Scene::message("again", ""));
+    s.broker.publish("work/south/again", GatewayFixture::message("again", ""));
     ASSERT_TRUE(s.until([&] { return again.accepted == 1; }));
     for (std::uint32_t count = 1; count <= 3; ++count) {
-        auto m = Scene::message("again", "");
+        auto m = GatewayFixture::message("again", "");
         m.deliveryCount = count;
         s.broker.publish("work/south/again", m);
         ASSERT_TRUE(s.until([&] { return again.accepted + again.dead.size() == 1 + count; }));
@@ -300,7 +300,7 @@
     });
     s.start("gw-1");
     auto& again = s.broker.queues["work/south/again"];
-    auto m = Scene::message("again", "");
+    auto m = GatewayFixture::message("again", "");
     m.deliveryCount = 1;
     s.broker.publish("work/south/again", m);
     ASSERT_TRUE(s.until([&] { return again.accepted == 1; }));
@@ -318,13 +318,13 @@
     ASSERT_TRUE(s.until([&] { return s.holder(checks) == &one; }));
     for (int i = 0; i < 40; ++i)
         s.broker.publish(atBroker,
-                         Scene::message("a" + std::to_string(i), "a" + std::to_string(i)));
+                         GatewayFixture::message("a" + std::to_string(i), "a" + std::to_string(i)));
     ASSERT_TRUE(s.until([&] { return one.tenure(checks)->untaken() > 0; }));
     one.drain();
     s.start("gw-2");
     for (int i = 0; i < 40; ++i)
         s.broker.publish(atBroker,
-                         Scene::message("b" + std::to_string(i), "b" + std::to_string(i)));
+                         GatewayFixture::message("b" + std::to_string(i), "b" + std::to_string(i)));
     ASSERT_TRUE(s.until([&] { return one.ended(); }, 60s));
     EXPECT_EQ(s.holder(checks), s.instances["gw-2"].get());
     ASSERT_TRUE(taken(80));
@@ -338,10 +338,10 @@
 TEST_F(GatewayTest, ADuplicateAfterItsEntryWasForgottenIsANewMessage) {
     s.settings.queues[checks].retain = 10s;
     s.start("gw-1");
-    s.broker.publish(atBroker, Scene::message("m", "1"));
+    s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
     ASSERT_TRUE(taken(1));
     s.world.run(5s);
-    s.broker.publish(atBroker, Scene::message("m", "1"));
+    s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
     ASSERT_TRUE(taken(2));
     EXPECT_EQ(jobsOf("m"), 1U) << "within the time it is remembered";
     s.world.run(20s);
@@ -349,7 +349,7 @@
     for (const auto& [key, e] : s.state.keys) {
         EXPECT_FALSE(key.starts_with("gw/q/")) << "records of forgotten entries go: " << key;
     }
-    s.broker.publish(atBroker, Scene::message("m", "1"));
+    s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
     ASSERT_TRUE(taken(3));
     EXPECT_EQ(jobsOf("m"), 2U) << "the retention is the promise, and it is over";
 }
@@ -362,14 +362,14 @@
         const bool first = r.method == "POST" && s.jobs.jobs.empty();
         return first ? JobService::Fault::mute : JobService::Fault::none;
     };
-    s.broker.publish(atBroker, Scene::message("m", "1"));
+    s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
     ASSERT_TRUE(s.until([&] { return !s.jobs.jobs.empty(); }));
     // Listings are under way all the time, each as old as its answer is late.
     using Fault = basaltchute::testing::StateService::Fault;
     s.state.fault = [&](const http::Request& r) {
         if (r.target.starts_with("/watch?under=gw/own/")) {
             // Something has changed whenever it is asked.
-            const auto after = std::stoull(lab::param(r.target, "after"));
+            const auto after = std::stoull(simulator::param(r.target, "after"));
             s.state.changeElsewhere(1);
             s.state.keys["gw/own/noise"] = {"{}", after + 1, 0};
         }
@@ -407,7 +407,7 @@
         const bool note = r.body.find("\"accepted\"") != std::string::npos;
         return note ? Fault{Fault::Kind::refused, {}} : Fault{};
     };
-    s.broker.publish(atBroker, Scene::message("m", "1"));
+    s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
     ASSERT_TRUE(taken(1));
     s.kill("gw-1");
     s.state.fault = nullptr;
@@ -415,7 +415,7 @@
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
     ASSERT_EQ(entry("t:1")->stage, Stage::entered);
     s.world.run(300ms);
-    for (int i = 0; i < 5; ++i) s.broker.publish(atBroker, Scene::message("m", "1"));
+    for (int i = 0; i < 5; ++i) s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
     ASSERT_TRUE(taken(6));
     silent = false;
     s.world.run(2s);
@@ -430,7 +430,7 @@
     s.start("gw-1");
     s.jobs.fault = [](const http::Request&) { return JobService::Fault::refused; };
     for (int i = 0; i < 50; ++i)
-        s.broker.publish(atBroker, Scene::message("m" + std::to_string(i), std::to_string(i)));
+        s.broker.publish(atBroker, GatewayFixture::message("m" + std::to_string(i), std::to_string(i)));
     s.world.run(3s);
     const std::size_t untaken = s.holder(checks)->tenure(checks)->untaken();
     EXPECT_GT(untaken, 0U);
@@ -445,16 +445,16 @@
     ASSERT_TRUE(s.until([&] { return s.holder(checks) && one.members().all().size() == 2; }));
     s.world.run(2s);
     Gateway& holder = *s.holder(checks);
-    s.broker.publish(atBroker, Scene::message("m", "1", "a"));
+    s.broker.publish(atBroker, GatewayFixture::message("m", "1", "a"));
     ASSERT_TRUE(s.until([&] { return s.broker.received["a"].size() == 1; }));
     s.world.run(1s);
     const auto ask = [&](Gateway& g, const std::string& method, const std::string& target) {
         http::Response answer;
         bool done = false;
-        s.world.scope.spawn([](Scene& scene, std::string to, http::Request r, http::Response& out,
+        s.world.scope.spawn([](GatewayFixture& fixture, std::string to, http::Request r, http::Response& out,
                                bool& flag) -> Task<void> {
-            http::Client client(scene.world.loop, std::move(to), 0);
-            auto o = co_await client.request(std::move(r), 5s, scene.world.scope);
+            http::Client client(fixture.world.loop, std::move(to), 0);
+            auto o = co_await client.request(std::move(r), 5s, fixture.world.scope);
             out = std::move(o.response);
             flag = true;
         }(s, g.admin(), http::Request{method, target, ""}, answer, done));
@@ -484,7 +484,7 @@
     const std::string answers = "reply/" + checks + "/me";
     for (int i = 0; i < 30; ++i)
         ASSERT_TRUE(c->send(toQueue,
-                            Scene::message("m" + std::to_string(i), std::to_string(i), answers),
+                            GatewayFixture::message("m" + std::to_string(i), std::to_string(i), answers),
                             std::to_string(i)));
     ASSERT_TRUE(s.until([&] { return c->decisions.size() == 30; }));
     s.world.run(5s);
@@ -531,10 +531,10 @@
     ASSERT_TRUE(s.until([&] { return s.holder("south/split") != nullptr; }));
     for (int i = 0; i < 3000; ++i)
         s.broker.publish(atBroker,
-                         Scene::message("f" + std::to_string(i), "f" + std::to_string(i)));
+                         GatewayFixture::message("f" + std::to_string(i), "f" + std::to_string(i)));
     s.world.run(1s);
     const TimePoint since = s.world.clock.now();
-    s.broker.publish("work/south/split", Scene::message("other", "1"));
+    s.broker.publish("work/south/split", GatewayFixture::message("other", "1"));
     ASSERT_TRUE(s.until([&] { return jobsOf("other") == 1; }));
     EXPECT_LT(s.world.clock.now() - since, 1s);
     EXPECT_LT(s.jobs.jobs.size(), 2900U) << "the flood was still under way";
@@ -545,7 +545,7 @@
     s.jobs.runTime = [] { return 8s; };
     s.start("gw-1");
     for (int i = 0; i < 50; ++i)
-        s.broker.publish(atBroker, Scene::message("m" + std::to_string(i), std::to_string(i)));
+        s.broker.publish(atBroker, GatewayFixture::message("m" + std::to_string(i), std::to_string(i)));
     s.world.run(6s);
     EXPECT_EQ(s.jobs.jobs.size(), 10U);
     EXPECT_EQ(queue().waiting.size(), 40U);
@@ -558,18 +558,18 @@
     auto good = client(g);
     const auto to = parseAddress(g.address());
     bool closed = false;
-    s.world.loop.spawn([](Scene& scene, sockaddr_in a, bool& flag) -> Task<void> {
+    s.world.loop.spawn([](GatewayFixture& fixture, sockaddr_in a, bool& flag) -> Task<void> {
         auto socket =
-            co_await Socket::connect(scene.world.loop, a, TimePoint::max(), scene.world.scope);
+            co_await Socket::connect(fixture.world.loop, a, TimePoint::max(), fixture.world.scope);
         const std::string noise = "GET / HTTP/1.1\r\nHost: x\r\n\r\n";
-        co_await socket->write(noise, TimePoint::max(), scene.world.scope);
+        co_await socket->write(noise, TimePoint::max(), fixture.world.scope);
         std::string answer;
         long n = 1;
-        while (n > 0) n = co_await socket->read(answer, TimePoint::max(), scene.world.scope);
+        while (n > 0) n = co_await socket->read(answer, TimePoint::max(), fixture.world.scope);
         flag = true;
     }(s, *to, closed));
     EXPECT_TRUE(s.until([&] { return closed; }));
-    ASSERT_TRUE(good->send(toQueue, Scene::message("m", "1"), "1"));
+    ASSERT_TRUE(good->send(toQueue, GatewayFixture::message("m", "1"), "1"));
     ASSERT_TRUE(s.until([&] { return good->decisions.contains("1"); }));
     EXPECT_EQ(good->decisions["1"].outcome, Outcome::accepted);
 }
--- a/src/gateway/app/main.cpp
+++ b/src/gateway/app/main.cpp
@@ -24,7 +24,7 @@
 }
 
 /// A first signal drains, a second one ends at once.
-basaltchute::Task<void> watchSignals(basaltchute::Loop& loop, basaltchute::Scope& scope,
+basaltchute::Task<void> watchSignals(basaltchute::EventLoop& loop, basaltchute::Scope& scope,
                                      gateway::Gateway& instance) {
     while (!instance.ended() && endsRequested < 2) {
         // The signal itself ends the wait in epoll; this looks at the flags now and then.
@@ -49,14 +49,14 @@
         return 2;
     }
     if (checkOnly) return 0;
-    basaltchute::setUpLog("basaltchute-gateway");
+    basaltchute::configureLogging("basaltchute-gateway");
     std::signal(SIGTERM, onSignal);
     std::signal(SIGINT, onSignal);
     std::signal(SIGHUP, onSignal);
     std::signal(SIGPIPE, SIG_IGN);
     try {
         const basaltchute::SystemClock clock;
-        basaltchute::Loop loop(clock);
+        basaltchute::EventLoop loop(clock);
         basaltchute::Scope scope(loop);
         std::random_device random;
         const std::string incarnation = std::to_string(random()) + std::to_string(random());
--- a/src/gateway/ledger/refs.cpp
+++ b/src/gateway/journal/job_id_allocator.cpp
@@ -1,4 +1,4 @@
-#include "gateway/ledger/refs.h"
+#include "gateway/journal/job_id_allocator.h"
 
 #include <spdlog/spdlog.h>
 
@@ -15,24 +15,25 @@
 constexpr std::size_t width = 6;  // digits, at least
 }  // namespace
 
-Refs::Refs(Loop& loop, state::Client& client, Turnstile& turnstile, const Settings& settings)
+JobIdAllocator::JobIdAllocator(EventLoop& loop, kv_store::Client& client, WriteLimiter& turnstile,
+                               const Settings& settings)
     : loop_(loop), client_(client), turnstile_(turnstile), settings_(settings), reserved_(loop) {}
 
-Task<bool> Refs::reserve(Scope& scope) {
+Task<bool> JobIdAllocator::reserve(Scope& scope) {
     const std::string key = settings_.statePrefix + "refs";
     const auto found = co_await client_.get(key, scope);
     std::uint64_t from = settings_.refsFrom;
-    state::Revision revision = 0;
-    if (found.verdict == state::Verdict::ok) {
-        const auto doc = json::parse(found.item->data);
+    kv_store::Revision revision = 0;
+    if (found.status == kv_store::Status::ok) {
+        const auto doc = json::parse(found.entry->data);
         const auto next = doc ? json::count(*doc, "next") : std::nullopt;
         if (!next) {
             spdlog::error("{}: expected a record with \"next\"; no refs are handed out", key);
             co_return false;
         }
         from = std::max(from, *next);
-        revision = found.item->revision;
-    } else if (found.verdict != state::Verdict::notFound) {
+        revision = found.entry->revision;
+    } else if (found.status != kv_store::Status::notFound) {
         co_return false;
     }
     const std::uint64_t to = std::min(from + block, settings_.refsTo);
@@ -40,22 +41,22 @@
         spdlog::error("the range of refs is used up: widen \"refs\" in the settings");
         co_return false;
     }
-    const bool may = co_await turnstile_.take(1, scope);
+    const bool may = co_await turnstile_.acquire(1, scope);
     if (!may) co_return false;
     json::Out out;
     out.open().field("next", to).close();
-    state::Transaction txn;
-    txn.guards = {{key, revision}};
+    kv_store::Transaction txn;
+    txn.preconditions = {{key, revision}};
     txn.puts = {{key, out.text(), std::nullopt}};
     const auto committed = co_await client_.commit(std::move(txn), scope);
     // Without an answer the block may be ours or not: it is left unused.
-    if (committed.verdict != state::Verdict::ok) co_return false;
+    if (committed.status != kv_store::Status::ok) co_return false;
     next_ = from;
     end_ = to;
     co_return true;
 }
 
-Task<std::optional<std::string>> Refs::next(Scope& scope) {
+Task<std::optional<std::string>> JobIdAllocator::next(Scope& scope) {
     while (next_ == end_) {
         if (reserving_) {
             const Wake woke = co_await loop_.wait(reserved_, TimePoint::max(), scope);
--- a/src/gateway/ledger/entry.h
+++ b/src/gateway/journal/journal_entry.h
@@ -17,7 +17,7 @@
 };
 
 /// One message's line in the ledger.
-struct Entry {
+struct JournalEntry {
     std::string key;           // what identifies the message within its queue
     std::string ref;           // of its job
     std::uint64_t digest = 0;  // of its body: one id does not stand for two messages
--- a/src/gateway/ledger/book.cpp
+++ b/src/gateway/journal/message_journal.cpp
@@ -1,4 +1,4 @@
-#include "gateway/ledger/book.h"
+#include "gateway/journal/message_journal.h"
 
 #include <algorithm>
 #include <charconv>
@@ -46,17 +46,17 @@
     return std::nullopt;
 }
 
-Book::Book(std::string prefix, std::size_t pageBytes)
+MessageJournal::MessageJournal(std::string prefix, std::size_t pageBytes)
     : prefix_(std::move(prefix)), pageBytes_(pageBytes) {}
 
-std::size_t Book::sizeOf(const Entry& e) {
+std::size_t MessageJournal::sizeOf(const JournalEntry& e) {
     return written(e.key) + written(e.ref) + written(e.origin) + written(e.replyTo) +
            written(e.correlation) + growth;
 }
-std::string Book::recordKey(PageNumber page) const {
+std::string MessageJournal::recordKey(PageNumber page) const {
     return prefix_ + std::to_string(page);
 }
-std::optional<Book::PageNumber> Book::pageOf(const std::string& key) const {
+std::optional<MessageJournal::PageNumber> MessageJournal::pageOf(const std::string& key) const {
     if (!key.starts_with(prefix_)) return std::nullopt;
     PageNumber n = 0;
     const char* end = key.data() + key.size();
@@ -65,7 +65,7 @@
     return n;
 }
 
-void Book::index(const Entry& e, bool in) {
+void MessageJournal::index(const JournalEntry& e, bool in) {
     auto& count = counts_[static_cast<std::size_t>(e.stage)];
     count += in ? 1 : std::size_t(-1);
     if (e.stage == Stage::final) {
@@ -83,7 +83,7 @@
     if (in) nextNumber_ = std::max(nextNumber_, e.number + 1);
 }
 
-void Book::place(Entry e, PageNumber number, std::uint64_t version) {
+void MessageJournal::place(JournalEntry e, PageNumber number, std::uint64_t version) {
     auto& page = pages_[number];
     const std::size_t bytes = sizeOf(e);
     page.keys.insert(e.key);
@@ -93,7 +93,8 @@
     entries_[key] = {std::move(e), number, version, bytes};
 }
 
-std::optional<std::string> Book::load(const std::string& recordKey, const std::string& data) {
+std::optional<std::string> MessageJournal::load(const std::string& recordKey,
+                                                const std::string& data) {
     const auto number = pageOf(recordKey);
     const auto doc = json::parse(data);
     const auto* list = doc ? json::array(*doc, "entries") : nullptr;
@@ -103,7 +104,7 @@
     page.closing = list->Empty();
     nextPage_ = std::max(nextPage_, *number + 1);
     for (const auto& v : list->GetArray()) {
-        Entry e;
+        JournalEntry e;
         const auto stage = stageOf(json::string(v, "stage").value_or(""));
         e.key = json::string(v, "key").value_or("");
         e.ref = json::string(v, "ref").value_or("");
@@ -124,18 +125,18 @@
     return std::nullopt;
 }
 
-const Entry* Book::find(const std::string& key) const {
+const JournalEntry* MessageJournal::find(const std::string& key) const {
     const auto it = entries_.find(key);
     return it == entries_.end() ? nullptr : &it->second.entry;
 }
-void Book::each(const std::function<void(const Entry&)>& visit) const {
+void MessageJournal::each(const std::function<void(const JournalEntry&)>& visit) const {
     for (const auto& [key, kept] : entries_) visit(kept.entry);
 }
-bool Book::fits(const Entry& e) const {
+bool MessageJournal::fits(const JournalEntry& e) const {
     return sizeOf(e) + frame <= pageBytes_;
 }
 
-Book::PageNumber Book::roomFor(std::size_t bytes) {
+MessageJournal::PageNumber MessageJournal::pageWithSpaceFor(std::size_t bytes) {
     // Only the newest pages take entries: what is busy now stays together, and old pages empty.
     std::size_t looked = 0;
     for (auto it = pages_.rbegin(); it != pages_.rend() && looked < openPages; ++it, ++looked)
@@ -143,14 +144,15 @@
     return nextPage_++;
 }
 
-std::string Book::add(Entry e) {
-    const PageNumber number = roomFor(sizeOf(e));
+std::string MessageJournal::add(JournalEntry e) {
+    const PageNumber number = pageWithSpaceFor(sizeOf(e));
     const std::uint64_t version = ++pages_[number].version;
     place(std::move(e), number, version);
     return recordKey(number);
 }
 
-std::string Book::change(const std::string& key, const std::function<void(Entry&)>& how) {
+std::string MessageJournal::change(const std::string& key,
+                                   const std::function<void(JournalEntry&)>& how) {
     auto& kept = entries_.at(key);
     index(kept.entry, false);
     how(kept.entry);
@@ -160,12 +162,12 @@
     return recordKey(kept.page);
 }
 
-bool Book::stands(const std::string& key) const {
+bool MessageJournal::isDurable(const std::string& key) const {
     const auto it = entries_.find(key);
     return it != entries_.end() && pages_.at(it->second.page).durable >= it->second.version;
 }
 
-state::Encoded Book::encode(const std::string& recordKey) const {
+kv_store::EncodedRecord MessageJournal::encode(const std::string& recordKey) const {
     const auto number = pageOf(recordKey);
     json::Out out;
     out.open().key("entries").openArray();
@@ -175,7 +177,7 @@
         return {out.text(), 0};
     }
     for (const auto& key : it->second.keys) {
-        const Entry& e = entries_.at(key).entry;
+        const JournalEntry& e = entries_.at(key).entry;
         out.open().field("key", e.key).field("ref", e.ref).field("stage", nameOf(e.stage));
         out.field("digest", e.digest);
         const auto text = [&](const char* name, const std::string& value) {
@@ -196,13 +198,13 @@
     return {out.text(), it->second.version};
 }
 
-void Book::committed(const std::string& recordKey, std::uint64_t version) {
+void MessageJournal::committed(const std::string& recordKey, std::uint64_t version) {
     const auto number = pageOf(recordKey);
     const auto it = number ? pages_.find(*number) : pages_.end();
     if (it != pages_.end()) it->second.durable = std::max(it->second.durable, version);
 }
 
-Book::Forgotten Book::forget(WallMillis now, std::size_t most) {
+MessageJournal::Forgotten MessageJournal::forget(WallMillis now, std::size_t most) {
     Forgotten out;
     std::set<PageNumber> touched;
     while (!byForget_.empty() && byForget_.begin()->first <= now && out.keys.size() < most) {
@@ -227,19 +229,19 @@
     return out;
 }
 
-std::vector<std::string> Book::closing() const {
+std::vector<std::string> MessageJournal::closing() const {
     std::vector<std::string> out;
     for (const auto& [number, page] : pages_)
         if (page.closing && page.durable == page.version) out.push_back(recordKey(number));
     return out;
 }
-void Book::deleted(const std::string& recordKey) {
+void MessageJournal::deleted(const std::string& recordKey) {
     const auto number = pageOf(recordKey);
     const auto it = number ? pages_.find(*number) : pages_.end();
     if (it != pages_.end() && it->second.closing) pages_.erase(it);
 }
 
-std::string Book::audit() const {
+std::string MessageJournal::findInconsistency() const {
     std::array<std::size_t, 5> counts{};
     std::map<std::uint64_t, std::string> unsent;
     std::map<PageNumber, std::size_t> bytes, keys;
--- a/src/gateway/ledger/book.h
+++ b/src/gateway/journal/message_journal.h
@@ -9,23 +9,23 @@
 #include <unordered_map>
 #include <vector>
 
-#include "gateway/ledger/entry.h"
-#include "state/writer.h"
+#include "gateway/journal/journal_entry.h"
+#include "kv_store/transaction_writer.h"
 
 namespace basaltchute::gateway {
 
 /// The ledger of one queue in its owner's memory: pages of entries, each page one record of the
 /// state service. Entries that are busy at the same time share pages, so that one write stands for
 /// the changes of many messages. Pure: it neither reads nor writes, nor knows the time.
-class Book {
+class MessageJournal {
   public:
     /// `prefix`: of its records' keys. `pageBytes`: the most that a record may have.
-    Book(std::string prefix, std::size_t pageBytes);
+    MessageJournal(std::string prefix, std::size_t pageBytes);
 
     /// Takes one record as it was read. One line that says what is wrong with it, or nothing.
     std::optional<std::string> load(const std::string& recordKey, const std::string& data);
 
-    [[nodiscard]] const Entry* find(const std::string& key) const;
+    [[nodiscard]] const JournalEntry* find(const std::string& key) const;
     [[nodiscard]] std::size_t size() const { return entries_.size(); }
     [[nodiscard]] std::size_t count(Stage stage) const {
         return counts_[static_cast<std::size_t>(stage)];
@@ -35,21 +35,21 @@
     }
     [[nodiscard]] std::size_t pages() const { return pages_.size(); }
     /// In no particular order; not to be changed meanwhile.
-    void each(const std::function<void(const Entry&)>& visit) const;
+    void each(const std::function<void(const JournalEntry&)>& visit) const;
     /// In the order of their numbers: final ones whose result is to be sent.
     [[nodiscard]] const std::map<std::uint64_t, std::string>& unsent() const { return unsent_; }
     [[nodiscard]] std::uint64_t nextNumber() const { return nextNumber_; }
 
     /// Whether the entry would fit onto a page at all.
-    [[nodiscard]] bool fits(const Entry& entry) const;
+    [[nodiscard]] bool fits(const JournalEntry& entry) const;
     /// The key must be new, and the entry fit. Returns the record that must be written.
-    std::string add(Entry entry);
+    std::string add(JournalEntry entry);
     /// Returns the record that must be written.
-    std::string change(const std::string& key, const std::function<void(Entry&)>& how);
+    std::string change(const std::string& key, const std::function<void(JournalEntry&)>& how);
     /// Whether what the entry says now is on record.
-    [[nodiscard]] bool stands(const std::string& key) const;
+    [[nodiscard]] bool isDurable(const std::string& key) const;
 
-    [[nodiscard]] state::Encoded encode(const std::string& recordKey) const;
+    [[nodiscard]] kv_store::EncodedRecord encode(const std::string& recordKey) const;
     void committed(const std::string& recordKey, std::uint64_t version);
 
     struct Forgotten {
@@ -65,7 +65,7 @@
     void deleted(const std::string& recordKey);
 
     /// What the indices say against a plain recount; empty if they agree. For tests.
-    [[nodiscard]] std::string audit() const;
+    [[nodiscard]] std::string findInconsistency() const;
 
   private:
     using PageNumber = std::uint64_t;
@@ -75,23 +75,23 @@
         std::uint64_t version = 0, durable = 0;
         bool closing = false;
     };
-    struct Kept {
-        Entry entry;
+    struct StoredEntry {
+        JournalEntry entry;
         PageNumber page = 0;
         std::uint64_t version = 0;  // of its page, when it changed last
         std::size_t bytes = 0;
     };
-    [[nodiscard]] static std::size_t sizeOf(const Entry& entry);
+    [[nodiscard]] static std::size_t sizeOf(const JournalEntry& entry);
     [[nodiscard]] std::string recordKey(PageNumber page) const;
     [[nodiscard]] std::optional<PageNumber> pageOf(const std::string& recordKey) const;
-    void index(const Entry& entry, bool in);
-    void place(Entry entry, PageNumber page, std::uint64_t version);
-    PageNumber roomFor(std::size_t bytes);
+    void index(const JournalEntry& entry, bool in);
+    void place(JournalEntry entry, PageNumber page, std::uint64_t version);
+    PageNumber pageWithSpaceFor(std::size_t bytes);
 
     std::string prefix_;
     std::size_t pageBytes_;
     std::map<PageNumber, Page> pages_;
-    std::unordered_map<std::string, Kept> entries_;
+    std::unordered_map<std::string, StoredEntry> entries_;
     std::array<std::size_t, 5> counts_{};
     std::map<std::uint64_t, std::string> unsent_;
     std::set<std::pair<WallMillis, std::string>> byForget_;
--- a/src/gateway/ledger/book_test.cpp
+++ b/src/gateway/journal/message_journal_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/ledger/book.h"
+#include "gateway/journal/message_journal.h"
 
 #include <gtest/gtest.h>
 
@@ -9,8 +9,8 @@
 
 using namespace std::chrono_literals;
 
-Entry entry(const std::string& key) {
-    Entry e;
+JournalEntry entry(const std::string& key) {
+    JournalEntry e;
     e.key = key;
     e.ref = "run-" + key;
     e.replyTo = "answers";
@@ -18,21 +18,21 @@
     return e;
 }
 
-TEST(Book, AnEntryStandsOnlyOnceItsPageIsWrittenAsItIsNow) {
-    Book b("q/", 4096);
+TEST(MessageJournal, AnEntryStandsOnlyOnceItsPageIsWrittenAsItIsNow) {
+    MessageJournal b("q/", 4096);
     const auto record = b.add(entry("1"));
     const auto first = b.encode(record);
-    EXPECT_FALSE(b.stands("1"));
-    b.change("1", [](Entry& e) { e.stage = Stage::accepted; });
+    EXPECT_FALSE(b.isDurable("1"));
+    b.change("1", [](JournalEntry& e) { e.stage = Stage::accepted; });
     b.committed(record, first.version);
-    EXPECT_FALSE(b.stands("1")) << "what was written is older";
+    EXPECT_FALSE(b.isDurable("1")) << "what was written is older";
     b.committed(record, b.encode(record).version);
-    EXPECT_TRUE(b.stands("1"));
+    EXPECT_TRUE(b.isDurable("1"));
 }
 
-TEST(Book, IndicesAgreeWithARecountAndWithWhatIsReadBack) {
+TEST(MessageJournal, IndicesAgreeWithARecountAndWithWhatIsReadBack) {
     std::mt19937_64 random(5);
-    Book b("q/", 4096);
+    MessageJournal b("q/", 4096);
     std::map<std::string, std::string> records;
     std::uint64_t now = 1000, next = 0;
     const auto write = [&](const std::string& record) {
@@ -49,7 +49,7 @@
             const std::string& key = keys[random() % keys.size()];
             if (b.find(key) == nullptr) continue;
             const auto number = b.nextNumber();
-            write(b.change(key, [&](Entry& e) {
+            write(b.change(key, [&](JournalEntry& e) {
                 switch (e.stage) {
                     case Stage::entered:
                         e.stage = random() % 5 == 0 ? Stage::refused : Stage::accepted;
@@ -74,29 +74,29 @@
                 b.deleted(record);
                 records.erase(record);
             }
-            ASSERT_EQ(b.audit(), "") << step;
+            ASSERT_EQ(b.findInconsistency(), "") << step;
         }
     }
-    Book again("q/", 4096);
+    MessageJournal again("q/", 4096);
     for (const auto& [key, data] : records) ASSERT_EQ(again.load(key, data), std::nullopt) << data;
-    EXPECT_EQ(again.audit(), "");
+    EXPECT_EQ(again.findInconsistency(), "");
     EXPECT_EQ(again.size(), b.size());
     EXPECT_EQ(again.unsent(), b.unsent());
     EXPECT_GT(b.pages(), 3U);
     for (const auto& key : keys)
         if (b.find(key) != nullptr)
-            write(b.change(key, [](Entry& e) {
+            write(b.change(key, [](JournalEntry& e) {
                 e.stage = Stage::replied;
                 e.forget = WallMillis(1);
             }));
     for (const auto& record : b.forget(WallMillis(now), 10'000).changed) write(record);
     for (const auto& record : b.closing()) b.deleted(record);
-    EXPECT_EQ(b.audit(), "");
+    EXPECT_EQ(b.findInconsistency(), "");
     EXPECT_EQ(b.pages(), 0U) << "pages that are empty go";
 }
 
-TEST(Book, ARecordThatCannotBeReadIsAnErrorThatNamesIt) {
-    Book b("q/", 4096);
+TEST(MessageJournal, ARecordThatCannotBeReadIsAnErrorThatNamesIt) {
+    MessageJournal b("q/", 4096);
     EXPECT_EQ(b.load("q/1", "{}"), "q/1: expected a page of entries");
     EXPECT_EQ(b.load("q/x", R"({"entries":[]})"), "q/x: expected a page of entries");
     EXPECT_EQ(b.load("q/1", R"({"entries":[{"key":"a","ref":"r","stage":"lost"}]})"),
--- a/src/gateway/members/members.cpp
+++ b/src/gateway/membership/membership.cpp
@@ -1,4 +1,4 @@
-#include "gateway/members/members.h"
+#include "gateway/membership/membership.h"
 
 #include <spdlog/spdlog.h>
 #include <xxhash.h>
@@ -10,15 +10,15 @@
 namespace basaltchute::gateway {
 
 using namespace std::chrono_literals;
-using state::Verdict;
+using kv_store::Status;
 
 namespace {
 
 constexpr Duration lookPause = 200ms;  // between two looks, however much changes
-constexpr Duration watchPatience = 10s;
+constexpr Duration watchTimeout = 10s;
 constexpr Duration blindPause = 1s;
 constexpr double safety = 0.9;  // of a grant's life: clocks drift, and writes take time
-constexpr Duration touchPatience = 1s;
+constexpr Duration touchTimeout = 1s;
 
 std::uint64_t weight(const QueueName& queue, const std::string& instance) {
     const std::string both = queue + '\n' + instance;
@@ -56,8 +56,8 @@
     return best;
 }
 
-Members::Members(Loop& loop, state::Client& client, Turnstile& turnstile, const Settings& settings,
-                 std::string incarnation, Hooks hooks)
+Membership::Membership(EventLoop& loop, kv_store::Client& client, WriteLimiter& turnstile,
+                       const Settings& settings, std::string incarnation, Hooks hooks)
     : loop_(loop),
       client_(client),
       turnstile_(turnstile),
@@ -67,18 +67,18 @@
       changed_(loop),
       drained_(loop) {}
 
-void Members::start(Scope& scope) {
-    scope.spawn(keepGrant(scope));
-    scope.spawn(look(scope));
+void Membership::start(Scope& scope) {
+    scope.spawn(keepLease(scope));
+    scope.spawn(refresh(scope));
 }
 
-std::string Members::memberKey() const {
+std::string Membership::memberKey() const {
     return settings_.statePrefix + "own/member/" + settings_.instance;
 }
-std::string Members::queueKey(const QueueName& queue) const {
+std::string Membership::queueKey(const QueueName& queue) const {
     return settings_.statePrefix + "own/queue/" + queue;
 }
-std::string Members::record() const {
+std::string Membership::record() const {
     json::Out out;
     out.open().field("instance", settings_.instance).field("incarnation", incarnation_);
     out.field("advertise", settings_.advertise).field("admin", settings_.admin);
@@ -88,13 +88,13 @@
     return out.text();
 }
 
-bool Members::granted() const {
-    return grant_ != 0 && loop_.now() < grantedUntil_;
+bool Membership::leaseValid() const {
+    return leaseId_ != 0 && loop_.now() < leaseValidUntil_;
 }
-bool Members::holds(const QueueName& queue) const {
-    return granted() && held_.contains(queue);
+bool Membership::holds(const QueueName& queue) const {
+    return leaseValid() && ownedQueues_.contains(queue);
 }
-const Member* Members::holder(const QueueName& queue) const {
+const Member* Membership::holder(const QueueName& queue) const {
     const auto it = owners_.find(queue);
     if (it == owners_.end()) return nullptr;
     for (const auto& [name, m] : members_)
@@ -102,45 +102,45 @@
     return nullptr;
 }
 
-void Members::lose(const QueueName& queue) {
-    const auto held = held_.find(queue);
-    if (held == held_.end()) return;
+void Membership::lose(const QueueName& queue) {
+    const auto held = ownedQueues_.find(queue);
+    if (held == ownedQueues_.end()) return;
     past_[queue] = held->second.revision;
-    held_.erase(held);
+    ownedQueues_.erase(held);
     spdlog::warn("queue {}: no longer held by this instance", queue);
     hooks_.lost(queue);
 }
-void Members::loseAll() {
-    grant_ = 0;
+void Membership::loseAll() {
+    leaseId_ = 0;
     memberRevision_ = 0;
-    while (!held_.empty()) lose(QueueName(held_.begin()->first));
+    while (!ownedQueues_.empty()) lose(QueueName(ownedQueues_.begin()->first));
     hooks_.changed();
 }
-void Members::fenced(const QueueName& queue) {
+void Membership::fenced(const QueueName& queue) {
     lose(queue);
     changed_.notify();
 }
 
-Task<bool> Members::enlist(Scope& scope) {
-    const bool may = co_await turnstile_.take(1, scope);
+Task<bool> Membership::register_(Scope& scope) {
+    const bool may = co_await turnstile_.acquire(1, scope);
     if (!may) co_return false;
     const bool said = draining_;
-    state::Transaction txn;
+    kv_store::Transaction txn;
     // An earlier run of this instance, or another of its name, may still be there: it ends first.
-    txn.guards = {{memberKey(), memberRevision_}};
-    txn.puts = {{memberKey(), record(), grant_}};
+    txn.preconditions = {{memberKey(), memberRevision_}};
+    txn.puts = {{memberKey(), record(), leaseId_}};
     const auto committed = co_await client_.commit(std::move(txn), scope);
-    if (committed.verdict == Verdict::ok) {
+    if (committed.status == Status::ok) {
         memberRevision_ = committed.revision;
         announced_ = said;
         co_return true;
     }
-    if (committed.verdict == Verdict::conflict) {
+    if (committed.status == Status::conflict) {
         const auto found = co_await client_.get(memberKey(), scope);
-        const auto other = found.item ? memberOf(found.item->data) : std::nullopt;
+        const auto other = found.entry ? memberOf(found.entry->data) : std::nullopt;
         if (other && other->incarnation == incarnation_) {
             // Our own, applied although its answer was lost.
-            memberRevision_ = found.item->revision;
+            memberRevision_ = found.entry->revision;
             announced_ = other->draining;
             co_return true;
         }
@@ -152,37 +152,37 @@
     co_return false;
 }
 
-Task<void> Members::keepGrant(Scope& scope) {
+Task<void> Membership::keepLease(Scope& scope) {
     const Duration every = settings_.grant / 4;
     while (!scope.cancelled()) {
-        if (grant_ == 0) {
-            const auto g = co_await client_.grant(settings_.grant, scope);
-            if (g.verdict == Verdict::ok) {
-                grant_ = g.id;
-                grantedUntil_ = g.sentAt + fromSeconds(toSeconds(settings_.grant) * safety);
+        if (leaseId_ == 0) {
+            const auto g = co_await client_.grantLease(settings_.grant, scope);
+            if (g.status == Status::ok) {
+                leaseId_ = g.id;
+                leaseValidUntil_ = g.sentAt + fromSeconds(toSeconds(settings_.grant) * safety);
             }
         } else {
-            const auto g = co_await client_.touch(grant_, touchPatience, scope);
+            const auto g = co_await client_.keepAlive(leaseId_, touchTimeout, scope);
             if (scope.cancelled()) co_return;
-            if (g.verdict == Verdict::ok)
-                grantedUntil_ = g.sentAt + fromSeconds(toSeconds(settings_.grant) * safety);
-            if (g.verdict == Verdict::notFound) {
+            if (g.status == Status::ok)
+                leaseValidUntil_ = g.sentAt + fromSeconds(toSeconds(settings_.grant) * safety);
+            if (g.status == Status::notFound) {
                 spdlog::warn("the grant has ended: all queues go back");
                 loseAll();
                 continue;
             }
         }
-        if (grant_ != 0 && (memberRevision_ == 0 || announced_ != draining_)) {
-            const bool listed = co_await enlist(scope);
+        if (leaseId_ != 0 && (memberRevision_ == 0 || announced_ != draining_)) {
+            const bool listed = co_await register_(scope);
             if (listed) changed_.notify();
         }
-        const bool waiting = grant_ == 0 || memberRevision_ == 0;
+        const bool waiting = leaseId_ == 0 || memberRevision_ == 0;
         const Duration pause = waiting ? std::min(every, Duration(blindPause)) : every;
         co_await loop_.wait(drained_, loop_.now() + pause, scope);
     }
 }
 
-void Members::read(const std::vector<state::Item>& items) {
+void Membership::read(const std::vector<kv_store::KeyValue>& items) {
     const std::string members = settings_.statePrefix + "own/member/";
     const std::string queues = settings_.statePrefix + "own/queue/";
     members_.clear();
@@ -199,45 +199,46 @@
     }
 }
 
-Task<void> Members::look(Scope& scope) {
+Task<void> Membership::refresh(Scope& scope) {
     while (!scope.cancelled()) {
         const auto listing = co_await client_.list(settings_.statePrefix + "own/", scope);
         if (scope.cancelled()) co_return;
-        if (listing.verdict != Verdict::ok) {
+        if (listing.status != Status::ok) {
             co_await loop_.sleep(blindPause, scope);
             continue;
         }
-        read(listing.items);
+        read(listing.entries);
         act(listing.at, scope);
         hooks_.changed();
         co_await loop_.sleep(lookPause, scope);
-        const auto verdict = co_await client_.watch(settings_.statePrefix + "own/", listing.at,
-                                                    watchPatience, scope);
-        if (verdict != Verdict::ok) co_await loop_.wait(changed_, loop_.now() + blindPause, scope);
+        const auto status =
+            co_await client_.watch(settings_.statePrefix + "own/", listing.at, watchTimeout, scope);
+        if (status != Status::ok) co_await loop_.wait(changed_, loop_.now() + blindPause, scope);
     }
 }
 
-void Members::act(state::Revision at, Scope& scope) {
+void Membership::act(kv_store::Revision at, Scope& scope) {
     for (const auto& [queue, q] : settings_.queues) {
         const auto owner = owners_.find(queue);
         const bool mine = owner != owners_.end() && owner->second.first == incarnation_;
-        const auto held = held_.find(queue);
-        if (held != held_.end() && (!mine || owner->second.second != held->second.revision)) {
+        const auto held = ownedQueues_.find(queue);
+        if (held != ownedQueues_.end() &&
+            (!mine || owner->second.second != held->second.revision)) {
             // A listing may be older than a claim of ours that was answered meanwhile.
             if (at >= held->second.revision) lose(queue);
             continue;
         }
         const Member* wanted = ownerOf(queue, members_);
         const bool wantsMe = wanted != nullptr && wanted->incarnation == incarnation_;
-        if (mine && held == held_.end() && !claiming_.contains(queue) &&
+        if (mine && held == ownedQueues_.end() && !claiming_.contains(queue) &&
             owner->second.second > past_[queue]) {
             // A claim of ours whose answer was lost.
-            held_[queue] = {owner->second.second, false};
+            ownedQueues_[queue] = {owner->second.second, false};
             hooks_.gained(queue, {queueKey(queue), owner->second.second});
-        } else if (owner == owners_.end() && wantsMe && !draining_ && granted() &&
+        } else if (owner == owners_.end() && wantsMe && !draining_ && leaseValid() &&
                    claiming_.insert(queue).second) {
             scope.spawn(claim(queue, scope));
-        } else if (held != held_.end() && !held->second.yielding &&
+        } else if (held != ownedQueues_.end() && !held->second.yielding &&
                    (draining_ || (wanted != nullptr && !wantsMe))) {
             held->second.yielding = true;
             scope.spawn(giveAway(queue, scope));
@@ -245,22 +246,22 @@
     }
 }
 
-Task<void> Members::claim(QueueName queue, Scope& scope) {
-    const bool may = co_await turnstile_.take(1, scope);
+Task<void> Membership::claim(QueueName queue, Scope& scope) {
+    const bool may = co_await turnstile_.acquire(1, scope);
     json::Out out;
     out.open().field("incarnation", incarnation_).field("instance", settings_.instance).close();
-    state::Transaction txn;
+    kv_store::Transaction txn;
     // Guarded by the own record too: a member that was taken for dead claims nothing.
-    txn.guards = {{queueKey(queue), 0}, {memberKey(), memberRevision_}};
-    txn.puts = {{queueKey(queue), out.text(), grant_}};
-    state::Committed committed;
-    if (may && granted() && memberRevision_ != 0)
+    txn.preconditions = {{queueKey(queue), 0}, {memberKey(), memberRevision_}};
+    txn.puts = {{queueKey(queue), out.text(), leaseId_}};
+    kv_store::CommitResult committed;
+    if (may && leaseValid() && memberRevision_ != 0)
         committed = co_await client_.commit(std::move(txn), scope);
     claiming_.erase(queue);
     if (scope.cancelled()) co_return;
-    if (committed.verdict == Verdict::ok && granted()) {
+    if (committed.status == Status::ok && leaseValid()) {
         owners_[queue] = {incarnation_, committed.revision};
-        held_[queue] = {committed.revision, false};
+        ownedQueues_[queue] = {committed.revision, false};
         spdlog::info("queue {}: held by this instance now", queue);
         hooks_.gained(queue, {queueKey(queue), committed.revision});
         hooks_.changed();
@@ -268,38 +269,38 @@
     changed_.notify();
 }
 
-Task<void> Members::giveAway(QueueName queue, Scope& scope) {
-    const state::Revision revision = held_.at(queue).revision;
+Task<void> Membership::giveAway(QueueName queue, Scope& scope) {
+    const kv_store::Revision revision = ownedQueues_.at(queue).revision;
     co_await hooks_.yield(queue);
     while (!scope.cancelled()) {
-        const auto held = held_.find(queue);
-        if (held == held_.end() || held->second.revision != revision) co_return;
-        const bool may = co_await turnstile_.take(1, scope);
+        const auto held = ownedQueues_.find(queue);
+        if (held == ownedQueues_.end() || held->second.revision != revision) co_return;
+        const bool may = co_await turnstile_.acquire(1, scope);
         if (!may) co_return;
-        state::Transaction txn;
-        txn.guards = {{queueKey(queue), revision}};
+        kv_store::Transaction txn;
+        txn.preconditions = {{queueKey(queue), revision}};
         txn.deletes = {queueKey(queue)};
         const auto committed = co_await client_.commit(std::move(txn), scope);
-        if (committed.verdict == Verdict::ok || committed.verdict == Verdict::conflict) break;
+        if (committed.status == Status::ok || committed.status == Status::conflict) break;
         co_await loop_.sleep(blindPause, scope);
     }
     if (scope.cancelled()) co_return;
     spdlog::info("queue {}: given away", queue);
     past_[queue] = revision;
-    held_.erase(queue);
+    ownedQueues_.erase(queue);
     owners_.erase(queue);
     hooks_.changed();
     changed_.notify();
 }
 
-void Members::drain() {
+void Membership::drain() {
     draining_ = true;
     drained_.notify();
 }
 
-Task<void> Members::leave(Scope& scope) {
-    if (grant_ != 0) co_await client_.drop(grant_, scope);
-    grant_ = 0;
+Task<void> Membership::leave(Scope& scope) {
+    if (leaseId_ != 0) co_await client_.revokeLease(leaseId_, scope);
+    leaseId_ = 0;
 }
 
 }  // namespace basaltchute::gateway
--- a/src/gateway/members/members.h
+++ b/src/gateway/membership/membership.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "gateway/custody/turnstile.h"
+#include "gateway/queue_owner/write_limiter.h"
 #include "gateway/settings/settings.h"
-#include "state/client.h"
+#include "kv_store/client.h"
 
 namespace basaltchute::gateway {
 
@@ -26,10 +26,10 @@
 /// Membership and ownership of queues. Each instance keeps a record under a grant; a queue's owner
 /// keeps one for the queue under the same grant, and the revision of that one is its fence: every
 /// ledger write is guarded by it, so an owner whose grant has ended writes nothing more.
-class Members {
+class Membership {
   public:
     struct Hooks {
-        std::function<void(const QueueName&, state::Guard fence)> gained;
+        std::function<void(const QueueName&, kv_store::Precondition fence)> gained;
         /// Ends what is under way in good order; the queue is given away afterwards.
         std::function<Task<void>(QueueName)> yield;
         /// The grant has ended, or somebody else holds the queue.
@@ -37,8 +37,8 @@
         /// Somebody's ownership has changed.
         std::function<void()> changed;
     };
-    Members(Loop& loop, state::Client& client, Turnstile& turnstile, const Settings& settings,
-            std::string incarnation, Hooks hooks);
+    Membership(EventLoop& loop, kv_store::Client& client, WriteLimiter& turnstile,
+               const Settings& settings, std::string incarnation, Hooks hooks);
     void start(Scope& scope);
     /// Whether this instance may act as the queue's owner, by its own clock.
     [[nodiscard]] bool holds(const QueueName& queue) const;
@@ -49,49 +49,50 @@
     void drain();
     [[nodiscard]] bool draining() const { return draining_; }
     /// Holds no queue, nor is about to.
-    [[nodiscard]] bool idle() const { return held_.empty() && claiming_.empty(); }
+    [[nodiscard]] bool idle() const { return ownedQueues_.empty() && claiming_.empty(); }
     /// A write met another owner's fence.
     void fenced(const QueueName& queue);
     /// Ends the grant, and with it all records under it.
     Task<void> leave(Scope& scope);
 
   private:
-    struct Held {
-        state::Revision revision = 0;
+    struct OwnedQueue {
+        kv_store::Revision revision = 0;
         bool yielding = false;
     };
     [[nodiscard]] std::string memberKey() const;
     [[nodiscard]] std::string queueKey(const QueueName& queue) const;
     [[nodiscard]] std::string record() const;
-    [[nodiscard]] bool granted() const;
-    Task<void> keepGrant(Scope& scope);
-    Task<bool> enlist(Scope& scope);
-    Task<void> look(Scope& scope);
-    void read(const std::vector<state::Item>& items);
-    void act(state::Revision at, Scope& scope);
+    [[nodiscard]] bool leaseValid() const;
+    Task<void> keepLease(Scope& scope);
+    Task<bool> register_(Scope& scope);
+    Task<void> refresh(Scope& scope);
+    void read(const std::vector<kv_store::KeyValue>& items);
+    void act(kv_store::Revision at, Scope& scope);
     Task<void> claim(QueueName queue, Scope& scope);
     Task<void> giveAway(QueueName queue, Scope& scope);
     void lose(const QueueName& queue);
     void loseAll();
 
-    Loop& loop_;
-    state::Client& client_;
-    Turnstile& turnstile_;
+    EventLoop& loop_;
+    kv_store::Client& client_;
+    WriteLimiter& turnstile_;
     const Settings& settings_;
     std::string incarnation_;
     Hooks hooks_;
-    state::GrantId grant_ = 0;
-    TimePoint grantedUntil_{};
-    state::Revision memberRevision_ = 0;
+    kv_store::LeaseId leaseId_ = 0;
+    TimePoint leaseValidUntil_{};
+    kv_store::Revision memberRevision_ = 0;
     bool draining_ = false, announced_ = false;
     Event changed_, drained_;
     std::map<std::string, Member> members_;
-    std::map<QueueName, std::pair<std::string, state::Revision>> owners_;  // incarnation, revision
-    std::map<QueueName, Held> held_;
+    std::map<QueueName, std::pair<std::string, kv_store::Revision>>
+        owners_;  // incarnation, revision
+    std::map<QueueName, OwnedQueue> ownedQueues_;
     std::set<QueueName> claiming_;
     /// The revision under which a queue was held last: a listing that is older than its end must
     /// not bring it back.
-    std::map<QueueName, state::Revision> past_;
+    std::map<QueueName, kv_store::Revision> past_;
 };
 
 }  // namespace basaltchute::gateway
--- a/src/gateway/members/members_test.cpp
+++ b/src/gateway/membership/membership_test.cpp
@@ -1,10 +1,10 @@
-#include "gateway/members/members.h"
+#include "gateway/membership/membership.h"
 
 #include <gtest/gtest.h>
 
-#include "gateway/custody/pace.h"
-#include "gateway/custody/turns.h"
-#include "gateway/custody/turnstile.h"
+#include "gateway/queue_owner/concurrency_limiter.h"
+#include "gateway/queue_owner/round_robin_queue.h"
+#include "gateway/queue_owner/write_limiter.h"
 #include "testing/world.h"
 
 namespace basaltchute::gateway {
@@ -21,7 +21,7 @@
     return out;
 }
 
-TEST(Members, QueuesAreSpreadAndOnlyThoseOfWhoComesOrGoesMove) {
+TEST(Membership, QueuesAreSpreadAndOnlyThoseOfWhoComesOrGoesMove) {
     std::set<QueueName> queues;
     for (int i = 0; i < 200; ++i) queues.insert("team/" + std::to_string(i));
     auto all = members(4, queues);
@@ -42,8 +42,8 @@
     EXPECT_EQ(ownerOf("team/0", {}), nullptr);
 }
 
-TEST(Turns, TeamsAreServedInTurnHoweverManyOneHasWaiting) {
-    Turns<int> t;
+TEST(RoundRobinQueue, TeamsAreServedInTurnHoweverManyOneHasWaiting) {
+    RoundRobinQueue<int> t;
     for (int i = 0; i < 5; ++i) t.push("a", i);
     t.push("b", 10);
     t.push("c", 20);
@@ -52,32 +52,32 @@
     EXPECT_EQ(order, (std::vector<int>{0, 10, 20, 1, 2, 3, 4}));
 }
 
-TEST(Turnstile, EachPassesInItsTurnAndWhoHasGoneHoldsUpNobody) {
+TEST(WriteLimiter, EachPassesInItsTurnAndWhoHasGoneHoldsUpNobody) {
     basaltchute::testing::World world;
-    Budget writes(1, 1, world.clock.now());
-    Turnstile t(world.loop, writes);
-    EXPECT_FALSE(t.pass(1, 0s, 0.5));
-    EXPECT_FALSE(t.pass(2, 0s, 1)) << "the first one waits for the budget";
-    EXPECT_TRUE(t.pass(2, 0s, 2)) << "which has enough for both";
-    EXPECT_FALSE(t.pass(2, 0s, 1));
-    EXPECT_TRUE(t.pass(1, 0s, 1));
-    EXPECT_FALSE(t.pass(1, 0s, 1)) << "once a turn";
-    EXPECT_TRUE(t.pass(2, 0s, 1));
+    RateLimiter writes(1, 1, world.clock.now());
+    WriteLimiter t(world.loop, writes);
+    EXPECT_FALSE(t.tryAcquire(1, 0s, 0.5));
+    EXPECT_FALSE(t.tryAcquire(2, 0s, 1)) << "the first one waits for the budget";
+    EXPECT_TRUE(t.tryAcquire(2, 0s, 2)) << "which has enough for both";
+    EXPECT_FALSE(t.tryAcquire(2, 0s, 1));
+    EXPECT_TRUE(t.tryAcquire(1, 0s, 1));
+    EXPECT_FALSE(t.tryAcquire(1, 0s, 1)) << "once a turn";
+    EXPECT_TRUE(t.tryAcquire(2, 0s, 1));
     world.run(1s);
-    EXPECT_TRUE(t.pass(2, 0s, 1)) << "the other one no longer asks";
-    EXPECT_FALSE(t.pass(4, 3s, 0.5));
-    EXPECT_TRUE(t.pass(5, 0s, 1)) << "what is due at once goes before what may wait";
+    EXPECT_TRUE(t.tryAcquire(2, 0s, 1)) << "the other one no longer asks";
+    EXPECT_FALSE(t.tryAcquire(4, 3s, 0.5));
+    EXPECT_TRUE(t.tryAcquire(5, 0s, 1)) << "what is due at once goes before what may wait";
     // A ledger that is always ready to write leaves room for a claim.
-    writes.take(world.clock.now());
+    writes.tryTake(world.clock.now());
     bool claimed = false;
-    world.scope.spawn([](Turnstile& turnstile, Scope& scope, bool& flag) -> Task<void> {
-        flag = co_await turnstile.take(1, scope);
+    world.scope.spawn([](WriteLimiter& turnstile, Scope& scope, bool& flag) -> Task<void> {
+        flag = co_await turnstile.acquire(1, scope);
     }(t, world.scope, claimed));
     int passed = 0;
     EXPECT_TRUE(world.until(
         [&] {
-            if (t.pass(3, 0s, writes.available(world.clock.now()))) {
-                writes.take(world.clock.now());
+            if (t.tryAcquire(3, 0s, writes.available(world.clock.now()))) {
+                writes.tryTake(world.clock.now());
                 ++passed;
             }
             return claimed;
@@ -87,8 +87,8 @@
     world.end(world.scope);
 }
 
-TEST(Pace, HalvesWhileMessagesWaitLongAndComesBackInSteps) {
-    Pace p(64);
+TEST(ConcurrencyLimiter, HalvesWhileMessagesWaitLongAndComesBackInSteps) {
+    ConcurrencyLimiter p(64);
     for (int i = 0; i < 10; ++i) p.observe(5s, 2s);
     EXPECT_EQ(p.window(), 1);
     p.observe(1s, 2s);
--- a/src/gateway/custody/pace.h
+++ b/src/gateway/queue_owner/concurrency_limiter.h
@@ -8,9 +8,9 @@
 /// How many messages of a queue may be on their way to custody. Grows by one step while the oldest
 /// of them is young and halves while it is not: whatever is scarce, the write budget or the
 /// controllers, shows in that age.
-class Pace {
+class ConcurrencyLimiter {
   public:
-    explicit Pace(int most) : most_(most), window_(most) {}
+    explicit ConcurrencyLimiter(int most) : most_(most), window_(most) {}
     [[nodiscard]] int window() const { return window_; }
     /// Once a second. `oldest`: age of the oldest message that is not in custody yet.
     void observe(Duration oldest, Duration aim) {
--- a/src/gateway/custody/controllers.cpp
+++ b/src/gateway/queue_owner/controllers.cpp
@@ -1,4 +1,4 @@
-#include "gateway/custody/controllers.h"
+#include "gateway/queue_owner/controllers.h"
 
 #include <algorithm>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Duration submitPatience = 5s, queryPatience = 2s;  // as the protocol gives users
+constexpr Duration submitTimeout = 5s, queryTimeout = 2s;  // as the protocol gives users
 constexpr Duration leastPause = 1s, mostPause = 30s;
 constexpr std::size_t keptConnections = 16;  // to each node
 constexpr std::size_t longestReason = 100;
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-Controllers::Controllers(Loop& loop, const Settings& settings, std::uint64_t seed)
+Controllers::Controllers(EventLoop& loop, const Settings& settings, std::uint64_t seed)
     : loop_(loop),
       settings_(settings),
       polls_(settings.limits.pollsPerSecond, std::max(1.0, settings.limits.pollsPerSecond),
@@ -38,13 +38,13 @@
 }
 
 Task<Controllers::Answer> Controllers::submit(std::string body, Scope& scope) {
-    const TimePoint until = loop_.now() + settings_.limits.patience;
+    const TimePoint until = loop_.now() + settings_.limits.timeout;
     std::uniform_real_distribution<double> jitter(1.0, 1.5);
     Answer answer;
     while (!scope.cancelled()) {
         http::Request request{"POST", "/v1/jobs", body};
         http::Client& node = next();
-        const auto o = co_await node.request(std::move(request), submitPatience, scope);
+        const auto o = co_await node.request(std::move(request), submitTimeout, scope);
         const int status = o.answered ? o.response.status : 0;
         if (status == 200 || status == 201) {
             answer.kind = Answer::Kind::accepted;
@@ -72,7 +72,7 @@
 Task<Controllers::State> Controllers::query(std::string ref, Scope& scope) {
     http::Request request{"GET", "/v1/jobs/" + ref, ""};
     http::Client& node = next();
-    const auto o = co_await node.request(std::move(request), queryPatience, scope);
+    const auto o = co_await node.request(std::move(request), queryTimeout, scope);
     State state;
     if (o.answered && o.response.status == 200) {
         state.status = memberOf(o.response.body, "status");
--- a/src/gateway/custody/controllers.h
+++ b/src/gateway/queue_owner/controllers.h
@@ -13,7 +13,7 @@
 /// The controllers, by the users' interface alone.
 class Controllers {
   public:
-    Controllers(Loop& loop, const Settings& settings, std::uint64_t seed);
+    Controllers(EventLoop& loop, const Settings& settings, std::uint64_t seed);
 
     struct Answer {
         /// `undecided`: nobody took it within the patience; it may have been taken nevertheless.
@@ -31,16 +31,16 @@
     Task<State> query(std::string ref, Scope& scope);
 
     /// Polls that may be sent now; what is not at hand is asked later.
-    [[nodiscard]] Budget& polls() { return polls_; }
+    [[nodiscard]] RateLimiter& polls() { return polls_; }
     [[nodiscard]] std::uint64_t retries() const { return retries_; }
 
   private:
     http::Client& next();
-    Loop& loop_;
+    EventLoop& loop_;
     const Settings& settings_;
     std::vector<std::unique_ptr<http::Client>> nodes_;
     std::size_t at_ = 0;
-    Budget polls_;
+    RateLimiter polls_;
     std::mt19937_64 random_;
     std::uint64_t retries_ = 0;
 };
--- a/src/gateway/custody/prepare.cpp
+++ b/src/gateway/queue_owner/prepare.cpp
@@ -1,4 +1,4 @@
-#include "gateway/custody/prepare.h"
+#include "gateway/queue_owner/prepare.h"
 
 #include <xxhash.h>
 
@@ -29,7 +29,7 @@
 std::variant<Prepared, std::string> prepare(const QueueSettings& queue, const std::string& origin,
                                             const amqp::Message& m) {
     Prepared out;
-    Entry& e = out.entry;
+    JournalEntry& e = out.entry;
     e.origin = origin;
     e.digest = XXH3_64bits(m.body.data(), m.body.size());
     e.replyTo = m.replyTo;
--- a/src/gateway/custody/prepare.h
+++ b/src/gateway/queue_owner/prepare.h
@@ -3,14 +3,14 @@
 #include <variant>
 
 #include "gateway/amqp/message.h"
-#include "gateway/ledger/entry.h"
+#include "gateway/journal/journal_entry.h"
 #include "gateway/settings/settings.h"
 
 namespace basaltchute::gateway {
 
 /// A message as the ledger and the controllers take it.
 struct Prepared {
-    Entry entry;             // without a ref; of a message without id, the key of its content
+    JournalEntry entry;      // without a ref; of a message without id, the key of its content
     std::string job;         // a submission without its ref: JSON members, no braces
     bool anonymous = false;  // without id
     bool redelivered = false;
--- a/src/gateway/custody/tenure.cpp
+++ b/src/gateway/queue_owner/queue_owner.cpp
@@ -1,4 +1,4 @@
-#include "gateway/custody/tenure.h"
+#include "gateway/queue_owner/queue_owner.h"
 
 #include <spdlog/spdlog.h>
 
@@ -21,7 +21,7 @@
 constexpr Duration resultSlack = 3s;
 constexpr std::size_t pollsAtOnce = 16;
 constexpr Duration laneRest = 1s;  // after a receiver has given a reply back
-constexpr Duration windDownPatience = 12s;
+constexpr Duration windDownTimeout = 12s;
 constexpr Duration reloadPause = 1s;
 constexpr std::size_t forgetAtOnce = 500;
 constexpr double pageShare = 0.75;  // of the largest value
@@ -48,8 +48,8 @@
 
 }  // namespace
 
-Tenure::Tenure(Services& services, const QueueSettings& queue, state::Guard fence,
-               std::uint64_t serial)
+QueueOwner::QueueOwner(Services& services, const QueueSettings& queue, kv_store::Precondition fence,
+                       std::uint64_t serial)
     : services_(services),
       loop_(services.loop),
       queue_(queue),
@@ -67,29 +67,29 @@
                    pump();
                },
                [] {}, [this] { services_.fenced(queue_.name); },
-               [this](state::Urgency urgency, double available) {
+               [this](kv_store::WritePriority urgency, double available) {
                    const Duration slack =
-                       urgency == state::Urgency::users ? Duration::zero() : resultSlack;
-                   return services_.turnstile.pass(serial_, slack, available);
+                       urgency == kv_store::WritePriority::users ? Duration::zero() : resultSlack;
+                   return services_.turnstile.tryAcquire(serial_, slack, available);
                }}),
       pace_(services.settings.limits.credit),
       committed_(loop_),
       freed_(loop_),
       polled_(loop_) {}
 
-void Tenure::start(std::function<void()> ready) {
+void QueueOwner::start(std::function<void()> ready) {
     scope_.spawn(open(std::move(ready)));
 }
 
-Task<void> Tenure::open(std::function<void()> ready) {
+Task<void> QueueOwner::open(std::function<void()> ready) {
     const auto self = shared_from_this();
     const std::string prefix = services_.settings.statePrefix + "q/" + queue_.name + '/';
     while (!scope_.cancelled()) {
         const auto listing = co_await services_.state.list(prefix, scope_);
         if (scope_.cancelled()) co_return;
-        if (listing.verdict == state::Verdict::ok) {
+        if (listing.status == kv_store::Status::ok) {
             // A record that cannot be read is not guessed at: what it held might run twice.
-            if (!load(listing.items)) co_return;
+            if (!load(listing.entries)) co_return;
             break;
         }
         co_await loop_.sleep(reloadPause, scope_);
@@ -103,15 +103,15 @@
     ready();
 }
 
-bool Tenure::load(const std::vector<state::Item>& items) {
+bool QueueOwner::load(const std::vector<kv_store::KeyValue>& items) {
     for (const auto& item : items) {
         if (const auto wrong = book_.load(item.key, item.data)) {
             spdlog::error("queue {} is not served: {}", queue_.name, *wrong);
             return false;
         }
-        writer_.known(item.key, item.revision);
+        writer_.setKnownRevision(item.key, item.revision);
     }
-    book_.each([&](const Entry& e) {
+    book_.each([&](const JournalEntry& e) {
         if (e.stage == Stage::entered || e.stage == Stage::accepted)
             pollLater(e.key, Duration::zero());
         if (e.stage == Stage::final) lanes_[{e.origin, e.replyTo}].waiting.insert(e.number);
@@ -123,18 +123,18 @@
     return true;
 }
 
-Task<void> Tenure::end() {
+Task<void> QueueOwner::end() {
     closing_ = true;
     const auto self = shared_from_this();
-    co_await scope_.end();
+    co_await scope_.cancelAndWait();
 }
 
-Task<void> Tenure::windDown() {
+Task<void> QueueOwner::windDown() {
     const auto self = shared_from_this();
     closing_ = true;
     for (const auto& [place, inlet] : inlets_)
         if (const auto c = inlet.connection.lock()) c->drain(place.second);
-    const TimePoint until = loop_.now() + windDownPatience;
+    const TimePoint until = loop_.now() + windDownTimeout;
     const auto flying = [&] {
         return std::any_of(lanes_.begin(), lanes_.end(),
                            [](const auto& l) { return !l.second.flying.empty(); });
@@ -145,13 +145,13 @@
 
 // Inlets and credit.
 
-void Tenure::addInlet(const std::shared_ptr<amqp::Connection>& connection, amqp::LinkId link,
-                      std::string origin) {
+void QueueOwner::addInlet(const std::shared_ptr<amqp::Connection>& connection, amqp::LinkId link,
+                          std::string origin) {
     const Place place{connection.get(), link};
     inlets_[place] = {connection, std::move(origin), 0};
     refill(place, inlets_[place]);
 }
-void Tenure::refill(const Place& place, Inlet& inlet) {
+void QueueOwner::refill(const Place& place, Inlet& inlet) {
     const auto c = inlet.connection.lock();
     if (!c || closing_ || !ready_) return;
     // The team's room, as far as the gateway knows it: jobs of this queue that are not over.
@@ -163,15 +163,15 @@
     const int aim = std::min(static_cast<int>(fair), services_.memoryWindow());
     c->give(place.second, aim - c->credit(place.second) - inlet.inHand);
 }
-void Tenure::refillAll() {
+void QueueOwner::refillAll() {
     for (auto& [place, inlet] : inlets_) refill(place, inlet);
 }
 
-Duration Tenure::oldest() const {
+Duration QueueOwner::oldest() const {
     return untaken_.empty() ? Duration::zero() : loop_.now() - *untaken_.begin();
 }
 
-Task<void> Tenure::everySecond() {
+Task<void> QueueOwner::everySecond() {
     while (!scope_.cancelled()) {
         co_await loop_.sleep(1s, scope_);
         if (scope_.cancelled()) co_return;
@@ -184,7 +184,7 @@
 
 // From arrival to custody.
 
-void Tenure::arrived(const Arrival& a) {
+void QueueOwner::arrived(const IncomingMessage& a) {
     untaken_.insert(a.since);
     ++services_.counters.arrived;
     const auto c = a.connection.lock();
@@ -192,7 +192,7 @@
     if (inlet != inlets_.end()) ++inlet->second.inHand;
 }
 
-Task<void> Tenure::take(Arrival a) {
+Task<void> QueueOwner::take(IncomingMessage a) {
     const auto self = shared_from_this();
     std::string origin;
     const auto before = a.connection.lock();
@@ -217,20 +217,20 @@
     freed_.notify();
 }
 
-std::optional<std::string> Tenure::runKey(const Prepared& p) {
+std::optional<std::string> QueueOwner::runKey(const Prepared& p) {
     const std::string& content = p.entry.key;
     const std::uint32_t last = runs_.contains(content) ? runs_.at(content) : 0;
     if (p.redelivered && last > 0) {
         // A delivery of it failed before. What was not taken then goes on; what was may be the
         // same message or an equal one, so it runs again as often as its class allows.
-        const Entry* e = book_.find(runOf(content, last));
+        const JournalEntry* e = book_.find(runOf(content, last));
         if (e != nullptr && e->stage == Stage::entered) return e->key;
         if (last >= queue_.attempts) return std::nullopt;
     }
     return runOf(content, ++runs_[content]);
 }
 
-Task<Disposition> Tenure::decide(const Arrival& a, const std::string& origin) {
+Task<Disposition> QueueOwner::decide(const IncomingMessage& a, const std::string& origin) {
     if (!a.broken.empty()) co_return rejected("amqp:decode-error", a.broken);
     auto read = prepare(queue_, origin, a.message);
     if (const auto* why = std::get_if<std::string>(&read)) co_return rejected(invalidField, *why);
@@ -247,13 +247,13 @@
     co_return d;
 }
 
-Task<Disposition> Tenure::enter(Prepared p) {
+Task<Disposition> QueueOwner::enter(Prepared p) {
     const std::string key = p.entry.key;
     while (busy_.contains(key)) {
         const Wake woke = co_await loop_.wait(freed_, TimePoint::max(), scope_);
         if (woke == Wake::cancelled) co_return released();
     }
-    const Entry* known = book_.find(key);
+    const JournalEntry* known = book_.find(key);
     if (known != nullptr && known->digest != p.entry.digest)
         co_return rejected(failedBefore, "its id stands for a message with another body");
     if (known != nullptr && known->stage != Stage::entered) {
@@ -267,9 +267,9 @@
     if (closing_) co_return released();
 
     struct Busy {
-        Tenure& tenure;
+        QueueOwner& tenure;
         const std::string& key;
-        Busy(Tenure& t, const std::string& k) : tenure(t), key(k) { tenure.busy_.insert(key); }
+        Busy(QueueOwner& t, const std::string& k) : tenure(t), key(k) { tenure.busy_.insert(key); }
         Busy(const Busy&) = delete;
         Busy& operator=(const Busy&) = delete;
         ~Busy() {
@@ -284,10 +284,10 @@
         p.entry.ref = *ref;
         // Until its job is known to exist, the entry is worth no more than a repetition.
         p.entry.forget = forgetAt();
-        changed(book_.add(p.entry), state::Urgency::users);
+        changed(book_.add(p.entry), kv_store::WritePriority::users);
     } else {
         p.entry.ref = known->ref;
-        change(key, state::Urgency::users, [&](Entry& e) {
+        change(key, kv_store::WritePriority::users, [&](JournalEntry& e) {
             ++e.attempts;
             e.forget = forgetAt();
         });
@@ -310,7 +310,7 @@
     }
     const bool refuse = answer.kind == Kind::refused && open;
     if (refuse) {
-        change(key, state::Urgency::users, [&](Entry& e) {
+        change(key, kv_store::WritePriority::users, [&](JournalEntry& e) {
             e.stage = Stage::refused;
             e.why = answer.text;
             e.forget = forgetAt();
@@ -318,7 +318,7 @@
     } else if (open) {
         // Custody has passed already: the ref stands here and the job with the controllers, so
         // that whoever owns the queue next finds it by a poll. This note of it takes its time.
-        change(key, state::Urgency::rest, [](Entry& e) {
+        change(key, kv_store::WritePriority::rest, [](JournalEntry& e) {
             e.stage = Stage::accepted;
             e.forget = WallMillis(0);
         });
@@ -330,8 +330,8 @@
     co_return rejected(invalidField, answer.text);
 }
 
-Task<bool> Tenure::standing(std::string key) {
-    while (!book_.stands(key)) {
+Task<bool> QueueOwner::standing(std::string key) {
+    while (!book_.isDurable(key)) {
         if (book_.find(key) == nullptr) co_return false;
         const Wake woke = co_await loop_.wait(committed_, TimePoint::max(), scope_);
         if (woke == Wake::cancelled) co_return false;
@@ -339,20 +339,20 @@
     co_return !scope_.cancelled();
 }
 
-void Tenure::changed(const std::string& record, state::Urgency urgency) {
-    writer_.dirty(record, urgency);
+void QueueOwner::changed(const std::string& record, kv_store::WritePriority urgency) {
+    writer_.markDirty(record, urgency);
 }
-void Tenure::change(const std::string& key, state::Urgency urgency,
-                    const std::function<void(Entry&)>& how) {
+void QueueOwner::change(const std::string& key, kv_store::WritePriority urgency,
+                        const std::function<void(JournalEntry&)>& how) {
     changed(book_.change(key, how), urgency);
 }
-WallMillis Tenure::forgetAt() const {
+WallMillis QueueOwner::forgetAt() const {
     return loop_.clock().wall() + queue_.retain;
 }
 
 // From custody to the result.
 
-void Tenure::pollLater(const std::string& key, Duration in) {
+void QueueOwner::pollLater(const std::string& key, Duration in) {
     // One poll at a time: a message that comes again must not have its job asked for twice as
     // often.
     if (!followed_.insert(key).second) return;
@@ -360,15 +360,15 @@
     polled_.notify();
 }
 
-Task<void> Tenure::pollAll() {
+Task<void> QueueOwner::pollAll() {
     while (!scope_.cancelled()) {
         if (polls_.empty() || polls_.begin()->first > loop_.now()) {
             const TimePoint until = polls_.empty() ? TimePoint::max() : polls_.begin()->first;
             co_await loop_.wait(polled_, until, scope_);
             continue;
         }
-        if (pollsUnderWay_ >= pollsAtOnce || !services_.controllers.polls().take(loop_.now())) {
-            const Duration pause = services_.controllers.polls().until(loop_.now());
+        if (pollsUnderWay_ >= pollsAtOnce || !services_.controllers.polls().tryTake(loop_.now())) {
+            const Duration pause = services_.controllers.polls().timeUntil(loop_.now());
             co_await loop_.sleep(std::max(pause, Duration(20ms)), scope_);
             continue;
         }
@@ -379,8 +379,8 @@
     }
 }
 
-Task<void> Tenure::poll(std::string key) {
-    const Entry* e = book_.find(key);
+Task<void> QueueOwner::poll(std::string key) {
+    const JournalEntry* e = book_.find(key);
     Controllers::State state;
     const bool asked = e != nullptr && !busy_.contains(key);
     if (asked) state = co_await services_.controllers.query(e->ref, scope_);
@@ -396,7 +396,7 @@
             co_return;
         }
         if (e->stage == Stage::entered)
-            change(key, state::Urgency::rest, [](Entry& entry) {
+            change(key, kv_store::WritePriority::rest, [](JournalEntry& entry) {
                 entry.stage = Stage::accepted;
                 entry.forget = WallMillis(0);
             });
@@ -406,22 +406,22 @@
     pollLater(key, services_.settings.limits.poll);
 }
 
-void Tenure::finish(const std::string& key, const std::string& status) {
+void QueueOwner::finish(const std::string& key, const std::string& status) {
     ++services_.counters.finals;
     const std::uint64_t number = book_.nextNumber();
-    change(key, state::Urgency::bindings, [&](Entry& e) {
+    change(key, kv_store::WritePriority::bindings, [&](JournalEntry& e) {
         e.status = status;
         e.number = number;
         e.stage = e.replyTo.empty() ? Stage::replied : Stage::final;
         e.forget = forgetAt();
     });
-    const Entry& e = *book_.find(key);
+    const JournalEntry& e = *book_.find(key);
     if (e.stage == Stage::final) lanes_[{e.origin, e.replyTo}].waiting.insert(number);
 }
 
 // Replies.
 
-void Tenure::pump() {
+void QueueOwner::pump() {
     if (!ready_ || closing_ || !services_.holds(queue_.name)) return;
     for (auto it = lanes_.begin(); it != lanes_.end();) {
         auto& [key, lane] = *it;
@@ -436,7 +436,7 @@
     }
 }
 
-void Tenure::send(const LaneKey& to, Lane& lane, const Outlet& outlet) {
+void QueueOwner::send(const LaneKey& to, Lane& lane, const ReplyLink& outlet) {
     while (!lane.waiting.empty() && lane.flying.size() < flightWindow &&
            outlet.connection->credit(outlet.link) > 0) {
         const std::uint64_t number = *lane.waiting.begin();
@@ -446,8 +446,8 @@
             continue;
         }
         // Only what stands is told, and nothing overtakes it.
-        if (!book_.stands(unsent->second)) return;
-        const Entry& e = *book_.find(unsent->second);
+        if (!book_.isDurable(unsent->second)) return;
+        const JournalEntry& e = *book_.find(unsent->second);
         amqp::Message m;
         // The receiver's key: the same however often this reply has to be sent.
         m.id = {amqp::Id::Kind::text, "result/" + e.ref};
@@ -468,15 +468,15 @@
     }
 }
 
-void Tenure::answered(const std::string& key, const std::string& why) {
-    change(key, state::Urgency::bindings, [&](Entry& e) {
+void QueueOwner::answered(const std::string& key, const std::string& why) {
+    change(key, kv_store::WritePriority::bindings, [&](JournalEntry& e) {
         e.stage = Stage::replied;
         e.why = why;
         e.forget = forgetAt();
     });
 }
 
-void Tenure::decided(const std::string& tag, const Disposition& d) {
+void QueueOwner::decided(const std::string& tag, const Disposition& d) {
     for (auto& [key, lane] : lanes_) {
         const auto flight = lane.flying.find(tag);
         if (flight == lane.flying.end()) continue;
@@ -503,7 +503,7 @@
     pump();
 }
 
-void Tenure::linkGone(const amqp::Connection& connection, amqp::LinkId link) {
+void QueueOwner::linkGone(const amqp::Connection& connection, amqp::LinkId link) {
     const Place place{&connection, link};
     inlets_.erase(place);
     for (auto& [key, lane] : lanes_)
@@ -520,12 +520,12 @@
     freed_.notify();
 }
 
-std::optional<std::string> Tenure::replay(const std::string& key) {
-    const Entry* e = book_.find(key);
+std::optional<std::string> QueueOwner::replay(const std::string& key) {
+    const JournalEntry* e = book_.find(key);
     if (e == nullptr) return "no such key in " + queue_.name;
     if (e->stage == Stage::refused) {
         // The message may be sent again, from the dead letters or anew, and goes on from here.
-        change(key, state::Urgency::users, [&](Entry& entry) {
+        change(key, kv_store::WritePriority::users, [&](JournalEntry& entry) {
             entry.stage = Stage::entered;
             entry.why.clear();
             entry.forget = forgetAt();
@@ -535,7 +535,7 @@
     if (e->stage != Stage::replied || e->replyTo.empty())
         return key + " is " + nameOf(e->stage) +
                (e->replyTo.empty() ? " and has no reply-to" : ": there is nothing to send again");
-    change(key, state::Urgency::users, [&](Entry& entry) {
+    change(key, kv_store::WritePriority::users, [&](JournalEntry& entry) {
         entry.stage = Stage::final;
         entry.why.clear();
         entry.forget = forgetAt();
@@ -546,14 +546,14 @@
 
 // The end of an entry.
 
-Task<void> Tenure::forget() {
+Task<void> QueueOwner::forget() {
     const Duration every = std::clamp<Duration>(queue_.retain / 100, 1s, 60s);
     while (!scope_.cancelled()) {
         co_await loop_.sleep(every, scope_);
         if (scope_.cancelled()) co_return;
         if (!services_.holds(queue_.name)) continue;
         const auto gone = book_.forget(loop_.clock().wall(), forgetAtOnce);
-        for (const auto& record : gone.changed) changed(record, state::Urgency::rest);
+        for (const auto& record : gone.changed) changed(record, kv_store::WritePriority::rest);
         for (const auto& key : gone.keys)
             if (const auto run = contentOf(key)) {
                 const auto last = runs_.find(run->first);
@@ -567,16 +567,16 @@
         auto records = book_.closing();
         if (records.empty()) continue;
         const auto most = std::min(static_cast<double>(services_.settings.state.txnOps),
-                                   std::floor(services_.state.writes().burst()));
+                                   std::floor(services_.state.writeLimiter().burst()));
         records.resize(std::min(records.size(), static_cast<std::size_t>(most)));
         const bool may =
-            co_await services_.turnstile.take(static_cast<double>(records.size()), scope_);
+            co_await services_.turnstile.acquire(static_cast<double>(records.size()), scope_);
         if (!may) co_return;
-        state::Transaction txn;
-        txn.guards = {fence_};
+        kv_store::Transaction txn;
+        txn.preconditions = {fence_};
         txn.deletes = records;
         const auto committed = co_await services_.state.commit(std::move(txn), scope_);
-        if (committed.verdict != state::Verdict::ok) continue;
+        if (committed.status != kv_store::Status::ok) continue;
         for (const auto& record : records) {
             book_.deleted(record);
             writer_.forget(record);
--- a/src/gateway/custody/tenure.h
+++ b/src/gateway/queue_owner/queue_owner.h
@@ -9,18 +9,18 @@
 #include <unordered_set>
 
 #include "gateway/amqp/connection.h"
-#include "gateway/custody/controllers.h"
-#include "gateway/custody/counters.h"
-#include "gateway/custody/pace.h"
-#include "gateway/custody/prepare.h"
-#include "gateway/custody/turnstile.h"
-#include "gateway/ledger/book.h"
-#include "gateway/ledger/refs.h"
+#include "gateway/journal/job_id_allocator.h"
+#include "gateway/journal/message_journal.h"
+#include "gateway/queue_owner/concurrency_limiter.h"
+#include "gateway/queue_owner/controllers.h"
+#include "gateway/queue_owner/counters.h"
+#include "gateway/queue_owner/prepare.h"
+#include "gateway/queue_owner/write_limiter.h"
 
 namespace basaltchute::gateway {
 
 /// A message that came on some link and has no disposition yet.
-struct Arrival {
+struct IncomingMessage {
     std::weak_ptr<amqp::Connection> connection;
     amqp::LinkId link = 0;
     amqp::DeliveryId delivery = 0;
@@ -30,23 +30,23 @@
 };
 
 /// A link on which replies to one address can be sent.
-struct Outlet {
+struct ReplyLink {
     std::shared_ptr<amqp::Connection> connection;
     amqp::LinkId link = 0;
 };
 
 /// What a queue's owner needs of the instance.
 struct Services {
-    Loop& loop;
+    EventLoop& loop;
     const Settings& settings;
-    state::Client& state;
+    kv_store::Client& state;
     Controllers& controllers;
-    Refs& refs;
+    JobIdAllocator& refs;
     Counters& counters;
-    Turnstile& turnstile;
+    WriteLimiter& turnstile;
     std::function<bool(const QueueName&)> holds;   // by the clock, now
     std::function<void(const QueueName&)> fenced;  // a write met another owner's fence
-    std::function<std::optional<Outlet>(const std::string& origin, const std::string& replyTo)>
+    std::function<std::optional<ReplyLink>(const std::string& origin, const std::string& replyTo)>
         outlet;
     std::function<int()> memoryWindow;  // credit that the memory allows a link
 };
@@ -55,10 +55,10 @@
 /// follows their jobs, and sends results in the order in which they became final. Each step stands
 /// in the ledger before the next one begins, so that whoever owns the queue next repeats at most
 /// one step, which has no further effect. `docs/amqp.md` has the reasoning.
-class Tenure : public std::enable_shared_from_this<Tenure> {
+class QueueOwner : public std::enable_shared_from_this<QueueOwner> {
   public:
-    Tenure(Services& services, const QueueSettings& queue, state::Guard fence,
-           std::uint64_t serial);
+    QueueOwner(Services& services, const QueueSettings& queue, kv_store::Precondition fence,
+               std::uint64_t serial);
 
     /// Reads the ledger, then serves until `end`.
     void start(std::function<void()> ready);
@@ -72,8 +72,8 @@
     void addInlet(const std::shared_ptr<amqp::Connection>& connection, amqp::LinkId link,
                   std::string origin);
     /// Counts the message as under way; `take` must follow.
-    void arrived(const Arrival& arrival);
-    Task<void> take(Arrival arrival);
+    void arrived(const IncomingMessage& arrival);
+    Task<void> take(IncomingMessage arrival);
 
     /// Sends what can be sent.
     void pump();
@@ -81,7 +81,7 @@
     void linkGone(const amqp::Connection& connection, amqp::LinkId link);
     [[nodiscard]] std::uint64_t serial() const { return serial_; }
 
-    [[nodiscard]] const Book& book() const { return book_; }
+    [[nodiscard]] const MessageJournal& book() const { return book_; }
     [[nodiscard]] const QueueSettings& queue() const { return queue_; }
     [[nodiscard]] std::size_t untaken() const { return untaken_.size(); }
     [[nodiscard]] Duration oldest() const;
@@ -109,14 +109,14 @@
     using LaneKey = std::pair<std::string, std::string>;  // origin, reply-to
 
     Task<void> open(std::function<void()> ready);
-    bool load(const std::vector<state::Item>& items);
-    Task<amqp::Disposition> decide(const Arrival& arrival, const std::string& origin);
+    bool load(const std::vector<kv_store::KeyValue>& items);
+    Task<amqp::Disposition> decide(const IncomingMessage& arrival, const std::string& origin);
     Task<amqp::Disposition> enter(Prepared prepared);
     [[nodiscard]] std::optional<std::string> runKey(const Prepared& prepared);
     Task<bool> standing(std::string key);
-    void changed(const std::string& record, state::Urgency urgency);
-    void change(const std::string& key, state::Urgency urgency,
-                const std::function<void(Entry&)>& how);
+    void changed(const std::string& record, kv_store::WritePriority urgency);
+    void change(const std::string& key, kv_store::WritePriority urgency,
+                const std::function<void(JournalEntry&)>& how);
     void refill(const Place& place, Inlet& inlet);
     void refillAll();
     Task<void> everySecond();
@@ -124,20 +124,20 @@
     Task<void> poll(std::string key);
     void pollLater(const std::string& key, Duration in);
     void finish(const std::string& key, const std::string& status);
-    void send(const LaneKey& key, Lane& lane, const Outlet& outlet);
+    void send(const LaneKey& key, Lane& lane, const ReplyLink& outlet);
     void answered(const std::string& key, const std::string& why);
     Task<void> forget();
     [[nodiscard]] WallMillis forgetAt() const;
 
     Services& services_;
-    Loop& loop_;
+    EventLoop& loop_;
     const QueueSettings& queue_;
-    state::Guard fence_;
+    kv_store::Precondition fence_;
     std::uint64_t serial_;
     Scope scope_;
-    Book book_;
-    state::Writer writer_;
-    Pace pace_;
+    MessageJournal book_;
+    kv_store::TransactionWriter writer_;
+    ConcurrencyLimiter pace_;
     Duration round_{};  // that an entry lately took to stand
     bool ready_ = false, closing_ = false;
     Event committed_, freed_, polled_;
--- a/src/gateway/custody/turns.h
+++ b/src/gateway/queue_owner/round_robin_queue.h
@@ -8,7 +8,7 @@
 
 /// What waits, taken by team in turns: a flood of one team delays another's by one place each.
 template <typename T>
-class Turns {
+class RoundRobinQueue {
   public:
     void push(const std::string& team, T item) {
         waiting_[team].push_back(std::move(item));
--- a/src/gateway/settings/settings.cpp
+++ b/src/gateway/settings/settings.cpp
@@ -178,7 +178,7 @@
         l.underWay = json::count(*v, "underWay").value_or(l.underWay);
         l.pollsPerSecond = json::number(*v, "pollsPerSecond").value_or(l.pollsPerSecond);
         l.poll = seconds(*v, "pollSeconds", l.poll);
-        l.patience = seconds(*v, "patienceSeconds", l.patience);
+        l.timeout = seconds(*v, "patienceSeconds", l.timeout);
         l.age = seconds(*v, "ageSeconds", l.age);
     }
 
--- a/src/gateway/settings/settings.h
+++ b/src/gateway/settings/settings.h
@@ -46,7 +46,7 @@
     std::size_t messageBytes = 60 * 1024, memoryBytes = std::size_t{64} << 20U;
     std::size_t underWay = 256;
     double pollsPerSecond = 50;
-    Duration poll = std::chrono::seconds(3), patience = std::chrono::seconds(20),
+    Duration poll = std::chrono::seconds(3), timeout = std::chrono::seconds(20),
              age = std::chrono::seconds(2);
 };
 
--- a/src/gateway/testing/broker.cpp
+++ b/src/gateway/testing/broker.cpp
@@ -115,7 +115,7 @@
     std::uint64_t nextTag_ = 0;
 };
 
-Broker::Broker(Loop& loop, Scope& scope)
+Broker::Broker(EventLoop& loop, Scope& scope)
     : loop_(loop), scope_(scope), listener_(loop, "127.0.0.1:0") {
     scope.spawn(acceptAll());
 }
@@ -154,7 +154,7 @@
     for (const auto& s : sessions_) s->connection->cut();
 }
 
-JobService::JobService(Loop& loop, Scope& scope, const std::string& address)
+JobService::JobService(EventLoop& loop, Scope& scope, const std::string& address)
     : loop_(loop),
       scope_(scope),
       server_(loop, address, http::ServerLimits{5000},
--- a/src/gateway/testing/broker.h
+++ b/src/gateway/testing/broker.h
@@ -19,7 +19,7 @@
 /// no queue is kept as it came.
 class Broker {
   public:
-    Broker(Loop& loop, Scope& scope);
+    Broker(EventLoop& loop, Scope& scope);
     ~Broker();
     [[nodiscard]] std::string address() const { return listener_.address(); }
     void publish(const std::string& queue, amqp::Message message);
@@ -42,7 +42,7 @@
     Task<void> acceptAll();
     Task<void> serve(std::unique_ptr<Socket> socket);
     void feed(const std::string& queue);
-    Loop& loop_;
+    EventLoop& loop_;
     Scope& scope_;
     Listener listener_;
     std::list<std::shared_ptr<Session>> sessions_;
@@ -51,7 +51,7 @@
 /// Accepts jobs and ends them after a while. A job's `build` says which message it came from.
 class JobService {
   public:
-    JobService(Loop& loop, Scope& scope, const std::string& address = "127.0.0.1:0");
+    JobService(EventLoop& loop, Scope& scope, const std::string& address = "127.0.0.1:0");
     [[nodiscard]] std::string address() const { return server_.address(); }
     /// Serves the same jobs at one more address, as another controller does.
     void alsoAt(const std::string& address);
@@ -71,7 +71,7 @@
   private:
     Task<http::Response> handle(http::Request request);
     http::Response serve(const http::Request& request);
-    Loop& loop_;
+    EventLoop& loop_;
     Scope& scope_;
     http::Server server_;
     std::vector<std::unique_ptr<http::Server>> others_;
--- a/src/gateway/testing/client.cpp
+++ b/src/gateway/testing/client.cpp
@@ -4,7 +4,7 @@
 
 using namespace std::chrono_literals;
 
-Client::Client(Loop& loop, std::string address, amqp::Connection::Options options)
+Client::Client(EventLoop& loop, std::string address, amqp::Connection::Options options)
     : loop_(loop), address_(std::move(address)), options_(std::move(options)), scope_(loop) {
     options_.container = "client";
     options_.limits.idle = 10min;
@@ -14,7 +14,7 @@
 Client::~Client() {
     bool gone = false;
     loop_.spawn([](Scope& s, bool& flag) -> Task<void> {
-        co_await s.end();
+        co_await s.cancelAndWait();
         flag = true;
     }(scope_, gone));
     while (!gone) loop_.turn(Duration::zero());
--- a/src/gateway/testing/client.h
+++ b/src/gateway/testing/client.h
@@ -12,7 +12,7 @@
 /// A client that speaks AMQP to a gateway and keeps what it is told.
 class Client final : public amqp::Handler {
   public:
-    Client(Loop& loop, std::string address, amqp::Connection::Options options = {});
+    Client(EventLoop& loop, std::string address, amqp::Connection::Options options = {});
     ~Client() override;
     /// Connects and begins; `over` once that failed or ended.
     void start();
@@ -45,7 +45,7 @@
 
   private:
     Task<void> run();
-    Loop& loop_;
+    EventLoop& loop_;
     std::string address_;
     amqp::Connection::Options options_;
     Scope scope_;
--- a/src/gateway/testing/storm.cpp
+++ b/src/gateway/testing/fault_test.cpp
@@ -1,8 +1,8 @@
-#include "gateway/testing/storm.h"
+#include "gateway/testing/fault_test.h"
 
 #include <algorithm>
 
-#include "gateway/testing/scene.h"
+#include "gateway/testing/gateway_fixture.h"
 
 namespace basaltchute::gateway::testing {
 
@@ -16,13 +16,13 @@
 
 class Storm {
   public:
-    Storm(std::uint64_t seed, unsigned messages) : scene_(seed), random_(seed * 7919 + 1) {
-        for (const auto& q : queueNames) scene_.addQueue(q);
-        scene_.settings.limits.patience = 6s;
-        scene_.jobs.runTime = [this] { return fromSeconds(0.2 + 4 * share()); };
-        scene_.jobs.fault = [this](const http::Request& r) { return jobFault(r); };
-        scene_.state.fault = [this](const http::Request& r) { return stateFault(r); };
-        scene_.broker.judge = [this](const std::string&) {
+    Storm(std::uint64_t seed, unsigned messages) : fixture_(seed), random_(seed * 7919 + 1) {
+        for (const auto& q : queueNames) fixture_.addQueue(q);
+        fixture_.settings.limits.timeout = 6s;
+        fixture_.jobs.runTime = [this] { return fromSeconds(0.2 + 4 * share()); };
+        fixture_.jobs.fault = [this](const http::Request& r) { return jobFault(r); };
+        fixture_.state.fault = [this](const http::Request& r) { return stateFault(r); };
+        fixture_.broker.judge = [this](const std::string&) {
             if (!raging_ || share() > 0.02)
                 return amqp::Disposition{amqp::Outcome::accepted, {}, false};
             ++out_.faults["replies released by the receiver"];
@@ -33,20 +33,20 @@
         out_.messages = messages;
     }
 
-    StormResult run() {
-        scene_.start("gw-1");
-        scene_.start("gw-2");
-        const TimePoint start = scene_.world.clock.now();
+    FaultTestResult run() {
+        fixture_.start("gw-1");
+        fixture_.start("gw-2");
+        const TimePoint start = fixture_.world.clock.now();
         raging_ = true;
-        while (scene_.world.clock.now() - start < stormSpan) {
-            publishUntil(scene_.world.clock.now() - start);
+        while (fixture_.world.clock.now() - start < stormSpan) {
+            publishUntil(fixture_.world.clock.now() - start);
             fault();
-            scene_.world.run(fromSeconds(0.05 + 0.5 * share()));
+            fixture_.world.run(fromSeconds(0.05 + 0.5 * share()));
         }
         publishUntil(stormSpan);
         calm();
-        scene_.until([&] { return settled(); }, calmSpan);
-        scene_.world.run(10s);  // what would come twice has time to come
+        fixture_.until([&] { return settled(); }, calmSpan);
+        fixture_.world.run(10s);  // what would come twice has time to come
         check();
         return std::move(out_);
     }
@@ -63,13 +63,13 @@
         const auto& queue = queueNames[random_() % queueNames.size()];
         const std::string marker = "m" + std::to_string(i);
         const std::string replyTo = share() < 0.7 ? "answers-" + std::to_string(random_() % 2) : "";
-        auto m = Scene::message(marker, marker, replyTo);
+        auto m = GatewayFixture::message(marker, marker, replyTo);
         const double kind = share();
         if (kind < 0.03) {
             m.body = "no JSON, number " + std::to_string(i);
             poison_.insert(marker);
         } else if (kind < 0.06) {
-            scene_.jobs.impossible.insert(marker);
+            fixture_.jobs.impossible.insert(marker);
             poison_.insert(marker);
         } else {
             good_[marker] = replyTo;
@@ -87,7 +87,7 @@
                       [](const auto& a, const auto& b) { return a.at < b.at; });
         sorted_ = true;
         for (; next_ < planned_.size() && (planned_[next_].at <= t || t >= stormSpan); ++next_)
-            scene_.broker.publish("work/" + planned_[next_].queue, planned_[next_].message);
+            fixture_.broker.publish("work/" + planned_[next_].queue, planned_[next_].message);
     }
 
     JobService::Fault jobFault(const http::Request& r) {
@@ -117,82 +117,82 @@
         const double x = share();
         auto& f = out_.faults;
         if (x < 0.25) {
-            scene_.broker.cutAll();
+            fixture_.broker.cutAll();
             ++f["cuts of all broker connections"];
         } else if (x < 0.32) {
             const std::string victim = "gw-" + std::to_string(1 + random_() % 2);
-            if (scene_.instances.contains(victim)) {
-                scene_.kill(victim);
+            if (fixture_.instances.contains(victim)) {
+                fixture_.kill(victim);
                 ++f["instances killed"];
             } else {
-                scene_.start(victim);
+                fixture_.start(victim);
             }
         } else if (x < 0.36) {
-            if (!scene_.instances.empty()) {
-                scene_.instances.begin()->second->drain();
+            if (!fixture_.instances.empty()) {
+                fixture_.instances.begin()->second->drain();
                 ++f["instances drained"];
             }
         } else if (x < 0.41) {
             // What an owner meets that froze past its grant and wakes.
-            for (const auto& [key, entry] : scene_.state.keys)
+            for (const auto& [key, entry] : fixture_.state.keys)
                 if (key.starts_with("gw/own/member/") && entry.grant != 0) {
-                    scene_.state.endGrantOf(std::string(key));
+                    fixture_.state.endGrantOf(std::string(key));
                     ++f["grants ended under a live owner"];
                     break;
                 }
         } else if (x < 0.45) {
-            scene_.state.down = !scene_.state.down;
-            if (scene_.state.down) ++f["outages of the state service"];
+            fixture_.state.down = !fixture_.state.down;
+            if (fixture_.state.down) ++f["outages of the state service"];
         } else if (x < 0.50) {
             leaderless_ = !leaderless_;
         } else if (x < 0.54) {
-            scene_.broker.refusing = !scene_.broker.refusing;
-            if (scene_.broker.refusing) ++f["times the broker was away"];
+            fixture_.broker.refusing = !fixture_.broker.refusing;
+            if (fixture_.broker.refusing) ++f["times the broker was away"];
         }
         for (int i = 1; i <= 2; ++i) {
             const std::string name = "gw-" + std::to_string(i);
-            const auto it = scene_.instances.find(name);
-            const bool gone = it == scene_.instances.end();
-            if (!gone && it->second->ended()) scene_.kill(name);
-            if ((gone && share() < 0.2) || (!gone && !scene_.instances.contains(name)))
-                scene_.start(name);
+            const auto it = fixture_.instances.find(name);
+            const bool gone = it == fixture_.instances.end();
+            if (!gone && it->second->ended()) fixture_.kill(name);
+            if ((gone && share() < 0.2) || (!gone && !fixture_.instances.contains(name)))
+                fixture_.start(name);
         }
     }
     void calm() {
-        raging_ = leaderless_ = scene_.state.down = scene_.broker.refusing = false;
+        raging_ = leaderless_ = fixture_.state.down = fixture_.broker.refusing = false;
         for (int i = 1; i <= 2; ++i) {
             const std::string name = "gw-" + std::to_string(i);
-            if (!scene_.instances.contains(name)) scene_.start(name);
+            if (!fixture_.instances.contains(name)) fixture_.start(name);
         }
     }
 
     [[nodiscard]] std::set<std::string> answered() const {
         std::set<std::string> out;
-        for (const auto& [address, messages] : scene_.broker.received)
+        for (const auto& [address, messages] : fixture_.broker.received)
             for (const auto& m : messages) out.insert(m.correlation.bytes);
         return out;
     }
     [[nodiscard]] bool settled() {
         // An instance that drained during the storm ends in its own time.
-        for (const auto& [name, g] : scene_.instances)
+        for (const auto& [name, g] : fixture_.instances)
             if (g->ended()) {
                 const std::string again = name;
-                scene_.kill(again);
-                scene_.start(again);
+                fixture_.kill(again);
+                fixture_.start(again);
                 return false;
             }
-        for (const auto& [name, q] : scene_.broker.queues)
+        for (const auto& [name, q] : fixture_.broker.queues)
             if (!q.waiting.empty() || q.unsettled > 0) return false;
         const auto have = answered();
         return std::all_of(good_.begin(), good_.end(), [&](const auto& g) {
-            return scene_.jobs.refsOf.contains(g.first) &&
+            return fixture_.jobs.refsOf.contains(g.first) &&
                    (g.second.empty() || have.contains(g.first));
         });
     }
 
     void check() {
         const auto wrong = [&](const std::string& what) { out_.wrong.push_back(what); };
-        for (const auto& [name, q] : scene_.broker.queues) {
+        for (const auto& [name, q] : fixture_.broker.queues) {
             if (!q.waiting.empty() || q.unsettled > 0)
                 wrong(name + " still holds " + std::to_string(q.waiting.size() + q.unsettled));
             out_.deadLetters += q.dead.size();
@@ -201,14 +201,14 @@
                     wrong(m.id.bytes + " is a dead letter: " + why.description);
         }
         for (const auto& [marker, replyTo] : good_) {
-            const auto it = scene_.jobs.refsOf.find(marker);
-            const std::size_t n = it == scene_.jobs.refsOf.end() ? 0 : it->second.size();
+            const auto it = fixture_.jobs.refsOf.find(marker);
+            const std::size_t n = it == fixture_.jobs.refsOf.end() ? 0 : it->second.size();
             if (n != 1) wrong(marker + " became " + std::to_string(n) + " jobs");
         }
         for (const auto& marker : poison_)
-            if (scene_.jobs.refsOf.contains(marker)) wrong(marker + " should have become no job");
-        out_.jobs = scene_.jobs.jobs.size();
-        for (const auto& [address, messages] : scene_.broker.received) {
+            if (fixture_.jobs.refsOf.contains(marker)) wrong(marker + " should have become no job");
+        out_.jobs = fixture_.jobs.jobs.size();
+        for (const auto& [address, messages] : fixture_.broker.received) {
             std::map<std::string, std::uint64_t> last;  // by queue
             std::set<std::string> seen;
             for (const auto& m : messages) {
@@ -224,7 +224,7 @@
             }
         }
         std::map<std::string, int> replies;
-        for (const auto& [address, messages] : scene_.broker.received) {
+        for (const auto& [address, messages] : fixture_.broker.received) {
             std::set<std::string> ids;
             for (const auto& m : messages) {
                 if (ids.insert(m.id.bytes).second) ++replies[m.correlation.bytes];
@@ -239,15 +239,15 @@
         }
         if (out_.releasedThenLater > 0 && !out_.faults.contains("replies released by the receiver"))
             wrong("results out of order");
-        for (const auto& [name, g] : scene_.instances)
+        for (const auto& [name, g] : fixture_.instances)
             for (const auto& q : queueNames)
-                if (const auto t = g->tenure(q); t && !t->book().audit().empty())
-                    wrong(name + ": ledger of " + q + ": " + t->book().audit());
+                if (const auto t = g->tenure(q); t && !t->book().findInconsistency().empty())
+                    wrong(name + ": ledger of " + q + ": " + t->book().findInconsistency());
     }
 
-    Scene scene_;
+    GatewayFixture fixture_;
     std::mt19937_64 random_;
-    StormResult out_;
+    FaultTestResult out_;
     std::vector<Planned> planned_;
     std::size_t next_ = 0;
     bool sorted_ = false, raging_ = false, leaderless_ = false;
@@ -257,7 +257,7 @@
 
 }  // namespace
 
-StormResult storm(std::uint64_t seed, unsigned messages) {
+FaultTestResult runFaultTest(std::uint64_t seed, unsigned messages) {
     Storm s(seed, messages);
     return s.run();
 }
--- a/src/gateway/testing/storm.h
+++ b/src/gateway/testing/fault_test.h
@@ -9,7 +9,7 @@
 /// How often each fault happened in a storm, by its name.
 using Faults = std::map<std::string, std::uint64_t>;
 
-struct StormResult {
+struct FaultTestResult {
     std::vector<std::string> wrong;  // empty: every message's job ended once, every reply came once
     Faults faults;
     std::uint64_t messages = 0, duplicatesSent = 0, jobs = 0, deadLetters = 0;
@@ -21,6 +21,6 @@
 /// killed, drained and overtaken by the end of their grants, and the state service and the
 /// controllers refuse, fall silent, or act late. The same seed gives the same storm, but for the
 /// order in which the kernel reports sockets.
-StormResult storm(std::uint64_t seed, unsigned messages);
+FaultTestResult runFaultTest(std::uint64_t seed, unsigned messages);
 
 }  // namespace basaltchute::gateway::testing
--- a/src/gateway/testing/storm_test.cpp
+++ b/src/gateway/testing/fault_test_test.cpp
@@ -1,4 +1,4 @@
-#include "gateway/testing/storm.h"
+#include "gateway/testing/fault_test.h"
 
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
@@ -21,9 +21,9 @@
                                                           : spdlog::level::off);
     const auto seeds = number("STORM_SEEDS", 4), first = number("STORM_FIRST", 1);
     const auto messages = static_cast<unsigned>(number("STORM_MESSAGES", 200));
-    StormResult sum;
+    FaultTestResult sum;
     for (auto seed = first; seed < first + seeds; ++seed) {
-        const StormResult r = storm(seed, messages);
+        const FaultTestResult r = runFaultTest(seed, messages);
         for (const auto& w : r.wrong) ADD_FAILURE() << "seed " << seed << ": " << w;
         for (const auto& [name, n] : r.faults) sum.faults[name] += n;
         sum.messages += r.messages;
