--- a/src/gateway/testing/scene.cpp
+++ b/src/gateway/testing/gateway_fixture.cpp
@@ -1,4 +1,4 @@
-#include "gateway/testing/scene.h"
+#include "gateway/testing/gateway_fixture.h"
 
 #include <stdexcept>
 
@@ -6,7 +6,7 @@
 
 using namespace std::chrono_literals;
 
-Scene::Scene(std::uint64_t seed)
+GatewayFixture::GatewayFixture(std::uint64_t seed)
     : state(world), jobs(world.loop, world.scope), broker(world.loop, world.scope), random(seed) {
     settings.listen = settings.admin = "127.0.0.1:0";
     settings.controllers = {jobs.address()};
@@ -23,12 +23,13 @@
     settings.sources.push_back(std::move(source));
 }
 
-Scene::~Scene() {
+GatewayFixture::~GatewayFixture() {
     while (!instances.empty()) kill(std::string(instances.begin()->first));
     world.end(world.scope);
 }
 
-void Scene::addQueue(const QueueName& name, const std::function<void(QueueSettings&)>& how) {
+void GatewayFixture::addQueue(const QueueName& name,
+                              const std::function<void(QueueSettings&)>& how) {
     QueueSettings q;
     q.name = name;
     q.team = name.substr(0, name.find('/'));
@@ -39,7 +40,7 @@
     settings.sources[0].consume[name] = "work/" + name;
 }
 
-Gateway& Scene::start(const std::string& name) {
+Gateway& GatewayFixture::start(const std::string& name) {
     Settings own = settings;
     own.instance = name;
     auto& slot = instances[name];
@@ -49,7 +50,7 @@
     return *slot;
 }
 
-void Scene::kill(const std::string& name) {
+void GatewayFixture::kill(const std::string& name) {
     Gateway& instance = *instances.at(name);
     bool gone = false;
     world.loop.spawn([](Gateway& g, bool& flag) -> Task<void> {
@@ -60,15 +61,15 @@
     instances.erase(name);
 }
 
-Gateway* Scene::holder(const QueueName& queue) {
+Gateway* GatewayFixture::holder(const QueueName& queue) {
     for (const auto& [name, g] : instances)
         if (const auto t = g->tenure(queue); t && t->ready() && g->members().holds(queue))
             return g.get();
     return nullptr;
 }
 
-amqp::Message Scene::message(const std::string& marker, const std::string& id,
-                             const std::string& replyTo) {
+amqp::Message GatewayFixture::message(const std::string& marker, const std::string& id,
+                                      const std::string& replyTo) {
     amqp::Message m;
     if (!id.empty()) m.id = {amqp::Id::Kind::text, id};
     m.replyTo = replyTo;
--- a/src/gateway/testing/scene.h
+++ b/src/gateway/testing/gateway_fixture.h
@@ -10,9 +10,9 @@
 namespace basaltchute::gateway::testing {
 
 /// The gateway's surroundings on a fake clock, and instances that come and go.
-struct Scene {
-    explicit Scene(std::uint64_t seed = 1);
-    ~Scene();
+struct GatewayFixture {
+    explicit GatewayFixture(std::uint64_t seed = 1);
+    ~GatewayFixture();
     basaltchute::testing::World world;
     basaltchute::testing::StateService state;
     JobService jobs;
--- a/src/http/client.cpp
+++ b/src/http/client.cpp
@@ -8,12 +8,12 @@
 constexpr std::size_t maxResponse = 16 * 1024 * 1024;
 }
 
-Client::Client(Loop& loop, std::string address, std::size_t maxIdle)
+Client::Client(EventLoop& loop, std::string address, std::size_t maxIdle)
     : loop_(loop), address_(std::move(address)), to_(parseAddress(address_)), maxIdle_(maxIdle) {}
 
-Task<Outcome> Client::request(Request request, Duration patience, Scope& scope) {
-    Outcome out;
-    const TimePoint until = loop_.now() + patience;
+Task<RequestOutcome> Client::request(Request request, Duration timeout, Scope& scope) {
+    RequestOutcome out;
+    const TimePoint until = loop_.now() + timeout;
     std::unique_ptr<Socket> socket;
     while (!idle_.empty() && !socket) {
         socket = std::move(idle_.back());
--- a/src/http/client.h
+++ b/src/http/client.h
@@ -9,7 +9,7 @@
 
 /// What became of a request. Without an answer, `sent` tells whether the other side may
 /// still have executed it, or may yet.
-struct Outcome {
+struct RequestOutcome {
     bool answered = false;
     bool sent = false;
     Response response;
@@ -18,12 +18,12 @@
 /// Requests to one address over a small pool of kept-alive connections.
 class Client {
   public:
-    Client(Loop& loop, std::string address, std::size_t maxIdle = 4);
-    Task<Outcome> request(Request request, Duration patience, Scope& scope);
+    Client(EventLoop& loop, std::string address, std::size_t maxIdle = 4);
+    Task<RequestOutcome> request(Request request, Duration timeout, Scope& scope);
     [[nodiscard]] const std::string& address() const { return address_; }
 
   private:
-    Loop& loop_;
+    EventLoop& loop_;
     std::string address_;
     std::optional<sockaddr_in> to_;
     std::size_t maxIdle_;
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -4,7 +4,7 @@
 
 namespace basaltchute::http {
 
-Server::Server(Loop& loop, const std::string& address, ServerLimits limits, Handler handler)
+Server::Server(EventLoop& loop, const std::string& address, ServerLimits limits, Handler handler)
     : loop_(loop), listener_(loop, address), limits_(limits), handler_(std::move(handler)) {}
 
 void Server::start(Scope& scope) {
--- a/src/http/server.h
+++ b/src/http/server.h
@@ -21,14 +21,14 @@
 class Server {
   public:
     using Handler = std::function<Task<Response>(Request)>;
-    Server(Loop& loop, const std::string& address, ServerLimits limits, Handler handler);
+    Server(EventLoop& loop, const std::string& address, ServerLimits limits, Handler handler);
     void start(Scope& scope);
     [[nodiscard]] std::string address() const { return listener_.address(); }
     [[nodiscard]] std::size_t connections() const { return open_.size(); }
 
   private:
     struct Connection {
-        explicit Connection(Loop& loop) : scope(loop) {}
+        explicit Connection(EventLoop& loop) : scope(loop) {}
         std::unique_ptr<Socket> socket;
         Scope scope;
         bool idle = true;
@@ -37,7 +37,7 @@
     Task<void> acceptAll(Scope& scope);
     Task<void> serve(Slot slot);
 
-    Loop& loop_;
+    EventLoop& loop_;
     Listener listener_;
     ServerLimits limits_;
     Handler handler_;
--- a/src/jobs/codec.cpp
+++ b/src/jobs/codec.cpp
@@ -121,14 +121,14 @@
         }
     }
     if (f.given("hall")) s.zone = f.text("hall");
-    s.oneZone = f.flag("together");
+    s.sameZone = f.flag("together");
     s.spread = f.flag("spread");
     s.spotAllowed = f.flag("loaners");
     s.estimateS = f.amount("parS");
     s.checkpointS = f.amount("savepointS");
     s.saveS = f.amount("flushS");
     if (f.given("cutoffS")) s.deadlineS = f.amount("cutoffS");
-    s.needs = f.ids("waitsOn");
+    s.dependencies = f.ids("waitsOn");
     if (!f.wrong.empty()) return "missing or invalid: " + f.wrong;
     return s;
 }
@@ -148,12 +148,12 @@
         o.closeArray();
     }
     if (s.zone) o.field("hall", *s.zone);
-    o.field("together", s.oneZone).field("spread", s.spread).field("loaners", s.spotAllowed);
+    o.field("together", s.sameZone).field("spread", s.spread).field("loaners", s.spotAllowed);
     o.field("parS", s.estimateS).field("savepointS", s.checkpointS).field("flushS", s.saveS);
     if (s.deadlineS) o.field("cutoffS", *s.deadlineS);
-    if (!s.needs.empty()) {
+    if (!s.dependencies.empty()) {
         o.key("waitsOn").openArray();
-        for (const auto& id : s.needs) o.value(id);
+        for (const auto& id : s.dependencies) o.value(id);
         o.closeArray();
     }
     o.close();
@@ -168,17 +168,17 @@
 /// What may change of the job itself.
 void writeState(json::Out& o, const Job& job) {
     if (job.cancelled && job.cancelledWith.empty())
-        o.field(job.cancelFinal ? "cancelled" : "withdrawing", true);
+        o.field(job.cancelCommitted ? "cancelled" : "withdrawing", true);
     if (job.released) o.field("released", static_cast<std::int64_t>(job.released->count()));
 }
 
 void readState(const json::Value& v, Job& job) {
-    job.cancelFinal = job.cancelFinal || json::boolean(v, "cancelled").value_or(false);
-    job.cancelNoted = job.cancelNoted || json::boolean(v, "withdrawing").value_or(false);
-    job.cancelled = job.cancelFinal || job.cancelNoted;
-    job.cancelVersion = job.cancelFinal ? 1 : 0;
+    job.cancelCommitted = job.cancelCommitted || json::boolean(v, "cancelled").value_or(false);
+    job.cancelRecorded = job.cancelRecorded || json::boolean(v, "withdrawing").value_or(false);
+    job.cancelled = job.cancelCommitted || job.cancelRecorded;
+    job.cancelVersion = job.cancelCommitted ? 1 : 0;
     // A former leader may have told it at any time.
-    if (job.cancelFinal) job.toldAt = TimePoint{};
+    if (job.cancelCommitted) job.acknowledgedAt = TimePoint{};
     if (const auto at = json::number(v, "released"))
         job.released = WallMillis(static_cast<std::int64_t>(*at));
 }
@@ -200,7 +200,7 @@
             if (t.state == TaskState::done || t.attempt == 0) continue;
             o.openArray().value(i).value(t.attempt);
             if (t.state == TaskState::bound) o.value(name(t.machine));
-            if (t.state == TaskState::bound && t.guaranteed) o.value(true);
+            if (t.state == TaskState::bound && t.reserved) o.value(true);
             o.closeArray();
         }
     }
@@ -237,20 +237,20 @@
     return o.text();
 }
 
-Word wordOf(int status, const std::string& body) {
-    if (status == 404 || status == 422) return Word::unknown;
-    if (status != 200 && status != 201) return Word::none;
+JobState parseJobState(int status, const std::string& body) {
+    if (status == 404 || status == 422) return JobState::unknown;
+    if (status != 200 && status != 201) return JobState::none;
     const auto doc = json::parse(body);
     const auto said = doc ? json::string(*doc, "status") : std::nullopt;
-    return said == "done" || said == "cancelled" ? Word::ended : Word::open;
+    return said == "done" || said == "cancelled" ? JobState::ended : JobState::open;
 }
 
 std::unique_ptr<Job> makeJob(JobSpec spec, std::size_t valueBytes) {
     auto job = std::make_unique<Job>();
     const std::size_t taken = headBytes + specText(spec).size();
     const std::size_t room = valueBytes > taken ? valueBytes - taken : 0;
-    job->layout = Layout(spec.tasks,
-                         static_cast<std::uint32_t>(std::max(fewestPerBlock, room / bytesPerTask)));
+    job->layout = RecordLayout(
+        spec.tasks, static_cast<std::uint32_t>(std::max(fewestPerBlock, room / bytesPerTask)));
     job->tasks.resize(spec.tasks);
     job->queue.resize(spec.tasks);
     std::iota(job->queue.rbegin(), job->queue.rend(), 0U);
@@ -281,7 +281,7 @@
     return o.text();
 }
 
-std::string encodePart(const Job& job, const Stretch& part, const MachineName& name) {
+std::string encodePart(const Job& job, const TaskRange& part, const MachineName& name) {
     json::Out o;
     o.open();
     writeTasks(o, job, part.from, part.end(), name);
@@ -337,7 +337,7 @@
     auto parsed = specOf(*spec);
     if (!std::holds_alternative<JobSpec>(parsed)) return nullptr;
     auto job = makeJob(std::get<JobSpec>(std::move(parsed)), valueBytes);
-    job->layout = Layout(job->spec.tasks, static_cast<std::uint32_t>(*per));
+    job->layout = RecordLayout(job->spec.tasks, static_cast<std::uint32_t>(*per));
     job->layout.texts = job->layout.textsDurable = textsOf(block).value_or(0);
     job->submitted = WallMillis(static_cast<std::int64_t>(*at));
     if (json::boolean(block, "bare").value_or(false)) job->layout.setBare();
@@ -376,7 +376,7 @@
             if (b.Size() < 3 || !b[2].IsString()) continue;
             t.state = TaskState::bound;
             t.machine = machine(b[2].GetString());
-            t.guaranteed = b.Size() > 3 && b[3].IsTrue();
+            t.reserved = b.Size() > 3 && b[3].IsTrue();
         }
     }
     return true;
--- a/src/jobs/codec.h
+++ b/src/jobs/codec.h
@@ -17,15 +17,15 @@
 std::string statusText(const Job& job, const char* status);
 /// What an answer tells its user of a job, each newer than the ones before: not there or refused,
 /// accepted, and done or cancelled for good; none: nothing at all.
-enum class Word { none, unknown, open, ended };
-Word wordOf(int status, const std::string& body);
+enum class JobState { none, unknown, open, ended };
+JobState parseJobState(int status, const std::string& body);
 
 using MachineName = std::function<const std::string&(MachineIndex)>;
 using MachineOf = std::function<MachineIndex(const std::string&)>;
 
 /// The job itself with its first tasks, or a further block of them.
 std::string encodeBlock(const Job& job, std::uint32_t block, const MachineName& name);
-std::string encodePart(const Job& job, const Stretch& part, const MachineName& name);
+std::string encodePart(const Job& job, const TaskRange& part, const MachineName& name);
 /// What changes of the job itself, where its first block must not be written again.
 std::string encodeHead(const Job& job);
 /// The description in as many records as values of that size need.
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -7,7 +7,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "jobs/layout.h"
+#include "jobs/record_layout.h"
 #include "runtime/clock.h"
 #include "runtime/loop.h"
 
@@ -50,28 +50,29 @@
     double imageGb = 0;
     std::optional<std::vector<std::string>> types;
     std::optional<std::string> zone;
-    bool oneZone = false, spread = false, spotAllowed = false;
+    bool sameZone = false, spread = false, spotAllowed = false;
     double estimateS = 0, checkpointS = 0, saveS = 0;
     std::optional<double> deadlineS;
-    std::vector<JobId> needs;  // that have to be done before any task of it starts; each once
+    std::vector<JobId>
+        dependencies;  // that have to be done before any task of it starts; each once
 };
 
 /// When a job has to be over to meet the first and the last of the deadlines that count for it.
-struct Ends {
+struct Deadlines {
     static constexpr TimePoint never = TimePoint::max();
     TimePoint first = never, last = never;
-    bool operator==(const Ends&) const = default;
+    bool operator==(const Deadlines&) const = default;
 };
 
 enum class TaskState : std::uint8_t { waiting, bound, done };
 /// How far a bound task has come on its machine, as far as is known.
-enum class Phase : std::uint8_t { binding, ordered, pulling, running, saving };
+enum class Phase : std::uint8_t { pendingBind, launchSent, pulling, running, checkpointing };
 
 struct JobTask {
     TaskState state = TaskState::waiting;
-    Phase phase = Phase::binding;
-    bool guaranteed = false;  // in cells of its team's reservation
-    bool stopping = false;    // told to stop: by preemption, draining or cancellation
+    Phase phase = Phase::pendingBind;
+    bool reserved = false;  // in cells of its team's reservation
+    bool stopping = false;  // told to stop: by preemption, draining or cancellation
     MachineIndex machine = noMachine;
     Attempt attempt = 0;
     TimePoint runningSince{};
@@ -86,43 +87,43 @@
     std::optional<WallMillis> released;  // the latter, for the record
     TimePoint startedAt{};               // when its first task ran, as far as is known
     /// Some job that it needs is not done: no task of it starts, and it counts nowhere.
-    bool held = false;
+    bool blocked = false;
     JobId cancelledWith;  // the job before it that was cancelled, and this one with it
     /// Its own priority or a higher one that a job after it has, and when jobs after it want it
     /// to be over.
     Priority rank = Priority::normal;
-    Ends ends{};
+    Deadlines deadlines{};
     /// Its user has asked to withdraw it: no task starts any more, and all are stopped.
     bool cancelled = false;
     /// And may be told so: whatever may still run ends in time. Until then the record says that it
     /// is being withdrawn, and polls are answered as before.
-    bool cancelFinal = false;
+    bool cancelCommitted = false;
     std::uint64_t cancelVersion = 0;  // of the record of the job itself, when it became final
-    TimePoint cancelAskedAt{};
-    bool cancelNoted = false;         // on record as being withdrawn
-    std::optional<TimePoint> toldAt;  // when a user was first told; the past if unknown
+    TimePoint cancelRequestedAt{};
+    bool cancelRecorded = false;              // on record as being withdrawn
+    std::optional<TimePoint> acknowledgedAt;  // when a user was first told; the past if unknown
     std::vector<JobTask> tasks;
     std::uint32_t doneCount = 0, boundCount = 0, runningCount = 0;
     /// Tasks to be placed, the next one last. What was adopted or done meanwhile is skipped when
     /// it comes up, so that no change of a task costs a search.
     std::vector<std::uint32_t> queue;
-    std::size_t queuedAt = notQueued;  // where the scheduler lists it among jobs that wait
+    std::size_t queuePosition = notQueued;  // where the scheduler lists it among jobs that wait
     static constexpr std::size_t notQueued = SIZE_MAX;
     /// Tasks that are possibly in each zone; under "" those on machines not heard of yet.
     std::map<std::string, std::uint32_t> perZone;
-    jobs::Layout layout;  // of its records
+    jobs::RecordLayout layout;  // of its records
     // A job whose tasks fail on several machines is its owner's mistake: tried ever more rarely.
     std::map<MachineIndex, TimePoint> failedOn;
     std::uint32_t failures = 0;
     /// Fails wherever it goes, and nothing of it has succeeded: no evidence against machines, and
     /// no reason to rent any.
-    bool suspect = false;
+    bool crashLooping = false;
     Duration longestFailure{};  // the longest that a task of it ran before it failed
-    TimePoint notBefore{};
+    TimePoint backOffUntil{};
 
     [[nodiscard]] bool accepted() const { return layout.accepted(); }
     [[nodiscard]] bool cancelDurable() const {
-        return cancelFinal && layout.head().durable >= cancelVersion;
+        return cancelCommitted && layout.head().durable >= cancelVersion;
     }
     [[nodiscard]] std::uint32_t waitingCount() const { return spec.tasks - doneCount - boundCount; }
     /// The next task to be placed; there must be one.
--- a/src/jobs/layout.cpp
+++ b/src/jobs/record_layout.cpp
@@ -1,4 +1,4 @@
-#include "jobs/layout.h"
+#include "jobs/record_layout.h"
 
 #include <algorithm>
 #include <charconv>
@@ -56,58 +56,58 @@
     return n;
 }
 
-Layout::Layout(std::uint32_t tasks, std::uint32_t perBlock) : perBlock_(perBlock) {
+RecordLayout::RecordLayout(std::uint32_t tasks, std::uint32_t perBlock) : perBlock_(perBlock) {
     // Only the first record says that the job exists; the others appear with their first change.
     for (std::uint32_t from = 0; from < tasks; from += perBlock)
         stretches_.push_back({from, std::min(perBlock, tasks - from), 0, 0, false});
 }
 
-std::size_t Layout::place(std::uint32_t task) const {
+std::size_t RecordLayout::place(std::uint32_t task) const {
     if (!parted_) return task / perBlock_;
     const auto after = std::upper_bound(stretches_.begin(), stretches_.end(), task,
-                                        [](auto t, const Stretch& s) { return t < s.from; });
+                                        [](auto t, const TaskRange& s) { return t < s.from; });
     return static_cast<std::size_t>(after - stretches_.begin()) - 1;
 }
 
-const Stretch& Layout::of(std::uint32_t task) const {
+const TaskRange& RecordLayout::of(std::uint32_t task) const {
     return stretches_[place(task)];
 }
 
-const Stretch& Layout::touch(std::uint32_t task) {
-    Stretch& s = stretches_[place(task)];
+const TaskRange& RecordLayout::touch(std::uint32_t task) {
+    TaskRange& s = stretches_[place(task)];
     ++s.version;
     return s;
 }
 
-RecordName Layout::nameOf(const std::string& job, const Stretch& s) const {
+RecordName RecordLayout::nameOf(const std::string& job, const TaskRange& s) const {
     if (s.part) return {job, RecordName::Kind::part, s.from, s.count};
     return {job, RecordName::Kind::block, s.from / perBlock_, 0};
 }
 
-RecordName Layout::headName(const std::string& job) const {
+RecordName RecordLayout::headName(const std::string& job) const {
     // A first block that holds no tasks can be written again; one that does must not be, since
     // its parts are newer.
     return {job, split_ && !bare_ ? RecordName::Kind::head : RecordName::Kind::block, 0, 0};
 }
 
-bool Layout::durable() const {
+bool RecordLayout::durable() const {
     return head().durable >= head().version &&
            std::all_of(stretches_.begin(), stretches_.end(),
-                       [](const Stretch& s) { return s.durable >= s.version; });
+                       [](const TaskRange& s) { return s.durable >= s.version; });
 }
 
-const Stretch* Layout::find(const RecordName& name) const {
+const TaskRange* RecordLayout::find(const RecordName& name) const {
     const bool part = name.kind == RecordName::Kind::part;
     if (!part && name.kind != RecordName::Kind::block) return nullptr;
     const std::uint64_t from = part ? name.from : std::uint64_t{name.from} * perBlock_;
     if (from >= stretches_.back().end()) return nullptr;
-    const Stretch& s = stretches_[place(static_cast<std::uint32_t>(from))];
+    const TaskRange& s = stretches_[place(static_cast<std::uint32_t>(from))];
     if (s.from != from || s.part != part || (part && s.count != name.count)) return nullptr;
     return &s;
 }
 
-std::pair<std::uint32_t, std::uint32_t> Layout::committed(const RecordName& name,
-                                                          std::uint64_t version) {
+std::pair<std::uint32_t, std::uint32_t> RecordLayout::committed(const RecordName& name,
+                                                                std::uint64_t version) {
     if (name.kind == RecordName::Kind::text) {
         ++textsDurable;
         return {0, 0};
@@ -130,14 +130,14 @@
     return {from, end};
 }
 
-void Layout::splitAt(std::size_t at) {
-    const Stretch whole = stretches_[at];
+void RecordLayout::splitAt(std::size_t at) {
+    const TaskRange whole = stretches_[at];
     parted_ = true;
     if (whole.from == 0 && !split_) {
         split_ = true;
         head_ = whole;
     }
-    Stretch first = whole, second = whole;
+    TaskRange first = whole, second = whole;
     first.part = second.part = true;
     first.count = whole.count / 2;
     second.from = whole.from + first.count;
@@ -146,25 +146,25 @@
     stretches_.insert(stretches_.begin() + static_cast<std::ptrdiff_t>(at) + 1, second);
 }
 
-bool Layout::split(const Stretch& s) {
+bool RecordLayout::split(const TaskRange& s) {
     if (s.count < 2) return false;
     splitAt(place(s.from));
     return true;
 }
 
-void Layout::setBare() {
+void RecordLayout::setBare() {
     if (bare_) return;
     bare_ = parted_ = split_ = true;
     head_ = stretches_.front();
     stretches_.front().part = true;
 }
 
-void Layout::restored(const RecordName& name) {
+void RecordLayout::restored(const RecordName& name) {
     if (name.kind == RecordName::Kind::part) {
         // Down to the stretch that the record holds, by the halves that led there.
         while (true) {
             const std::size_t at = place(name.from);
-            const Stretch& s = stretches_[at];
+            const TaskRange& s = stretches_[at];
             if (s.part && s.from == name.from && s.count == name.count) break;
             if (s.count <= name.count || s.count < 2) return;  // no such half: written by nobody
             splitAt(at);
@@ -174,11 +174,11 @@
         name.from * std::uint64_t{perBlock_} >= stretches_.back().end())
         return;
     if (name.kind == RecordName::Kind::head) {
-        Stretch& h = headHere();
+        TaskRange& h = headHere();
         h.version = h.durable = std::max<std::uint64_t>(h.durable, 1);
         return;
     }
-    Stretch& s =
+    TaskRange& s =
         name.kind == RecordName::Kind::block && name.from == 0
             ? headHere()
             : stretches_[place(name.kind == RecordName::Kind::part ? name.from
--- a/src/jobs/layout.h
+++ b/src/jobs/record_layout.h
@@ -8,7 +8,7 @@
 namespace basaltchute::jobs {
 
 /// Consecutive tasks whose truth is one record, and how much of it stands.
-struct Stretch {
+struct TaskRange {
     std::uint32_t from = 0, count = 0;
     std::uint64_t version = 0, durable = 0;
     bool part = false;  // of a block that grew too large to be written whole
@@ -39,29 +39,29 @@
 /// a block that does not fit into a value any more in parts, by halves. A part is newer than every
 /// record that holds more tasks; once there are parts of a block the block is not written again,
 /// so whoever reads larger records first and smaller ones after them has what was written last.
-class Layout {
+class RecordLayout {
   public:
-    Layout() : Layout(1, 1) {}
-    Layout(std::uint32_t tasks, std::uint32_t perBlock);
+    RecordLayout() : RecordLayout(1, 1) {}
+    RecordLayout(std::uint32_t tasks, std::uint32_t perBlock);
 
     [[nodiscard]] std::uint32_t perBlock() const { return perBlock_; }
-    [[nodiscard]] const Stretch& of(std::uint32_t task) const;
+    [[nodiscard]] const TaskRange& of(std::uint32_t task) const;
     /// Something about the task has changed.
-    const Stretch& touch(std::uint32_t task);
+    const TaskRange& touch(std::uint32_t task);
     /// Something about the job itself has changed.
     void touchHead() { ++headHere().version; }
     /// Acceptance and cancellation: the first block's, or a record of its own beside its parts.
-    [[nodiscard]] const Stretch& head() const { return split_ ? head_ : stretches_.front(); }
+    [[nodiscard]] const TaskRange& head() const { return split_ ? head_ : stretches_.front(); }
     /// Nothing of the job itself waits to be written.
     void settleHead() { headHere().version = headHere().durable; }
     [[nodiscard]] RecordName headName(const std::string& job) const;
-    [[nodiscard]] RecordName nameOf(const std::string& job, const Stretch& s) const;
+    [[nodiscard]] RecordName nameOf(const std::string& job, const TaskRange& s) const;
 
     [[nodiscard]] bool accepted() const { return head().durable > 0; }
     [[nodiscard]] bool durable() const;
 
     /// The stretch that the record holds as a whole; nullptr if it was split since.
-    [[nodiscard]] const Stretch* find(const RecordName& name) const;
+    [[nodiscard]] const TaskRange* find(const RecordName& name) const;
     /// The record stands as it was in that version. The tasks that it is about: from and end.
     std::pair<std::uint32_t, std::uint32_t> committed(const RecordName& name,
                                                       std::uint64_t version);
@@ -69,7 +69,7 @@
     void restored(const RecordName& name);
     /// Puts two halves in the place of a stretch. Both have to be written if there is anything in
     /// the stretch. False if it is of one task only.
-    bool split(const Stretch& s);
+    bool split(const TaskRange& s);
 
     /// The first block holds no tasks: they are in parts from the start.
     [[nodiscard]] bool bare() const { return bare_; }
@@ -78,19 +78,19 @@
     std::uint32_t texts = 0, textsDurable = 0;
     std::size_t textBytes = 0;  // of a value, as they were made
 
-    [[nodiscard]] const std::vector<Stretch>& stretches() const { return stretches_; }
+    [[nodiscard]] const std::vector<TaskRange>& stretches() const { return stretches_; }
 
   private:
     [[nodiscard]] std::size_t place(std::uint32_t task) const;
-    [[nodiscard]] Stretch& headHere() { return split_ ? head_ : stretches_.front(); }
+    [[nodiscard]] TaskRange& headHere() { return split_ ? head_ : stretches_.front(); }
     void splitAt(std::size_t place);
 
     std::uint32_t perBlock_ = 1;
     bool parted_ = false;  // some block is in parts
     bool split_ = false;   // the first block is
     bool bare_ = false;
-    Stretch head_;
-    std::vector<Stretch> stretches_;  // by `from`, without gaps
+    TaskRange head_;
+    std::vector<TaskRange> stretches_;  // by `from`, without gaps
 };
 
 }  // namespace basaltchute::jobs
--- a/src/state/client_test.cpp
+++ b/src/kv_store/client_test.cpp
@@ -1,10 +1,10 @@
-#include "state/client.h"
+#include "kv_store/client.h"
 
 #include <gtest/gtest.h>
 
 #include "testing/world.h"
 
-namespace basaltchute::state {
+namespace basaltchute::kv_store {
 namespace {
 
 using namespace std::chrono_literals;
@@ -25,9 +25,9 @@
     auto settings = testing::someSettings();
     settings.state = way.address();
     Client client(world.loop, settings);
-    client.setRelay([&](http::Request, Duration, Scope&) -> Task<http::Outcome> {
+    client.setRelay([&](http::Request, Duration, Scope&) -> Task<http::RequestOutcome> {
         ++relayed;
-        co_return http::Outcome{true, true, changed()};
+        co_return http::RequestOutcome{true, true, changed()};
     });
     const auto write = [&] {
         bool done = false;
@@ -36,7 +36,7 @@
             Transaction txn;
             txn.puts = {{"a", "{}", std::nullopt}};
             const auto committed = co_await c.commit(std::move(txn), scope);
-            EXPECT_EQ(committed.verdict, Verdict::ok);
+            EXPECT_EQ(committed.status, Status::ok);
             flag = true;
         }(client, world.scope, done));
         world.until([&] { return done; });
@@ -72,65 +72,66 @@
     settings.state = way.address();
     Client client(world.loop, settings);
     bool done = false;
-    const auto commit = [&](int status, const std::string& body) {
-        answer = {status, body};
-        Verdict verdict{};
+    const auto commit = [&](int httpStatus, const std::string& body) {
+        answer = {httpStatus, body};
+        Status status{};
         done = false;
-        world.loop.spawn([](Client& c, Scope& scope, Verdict& out, bool& flag) -> Task<void> {
+        world.loop.spawn([](Client& c, Scope& scope, Status& out, bool& flag) -> Task<void> {
             Transaction txn;
-            txn.guards = {{"a", 3}};
+            txn.preconditions = {{"a", 3}};
             txn.puts = {{"a", "{}", std::nullopt}};
             const auto committed = co_await c.commit(std::move(txn), scope);
-            out = committed.verdict;
+            out = committed.status;
             flag = true;
-        }(client, world.scope, verdict, done));
+        }(client, world.scope, status, done));
         world.until([&] { return done; });
-        return verdict;
+        return status;
     };
-    const auto get = [&](int status, const std::string& body) {
-        answer = {status, body};
-        Verdict verdict{};
+    const auto get = [&](int httpStatus, const std::string& body) {
+        answer = {httpStatus, body};
+        Status status{};
         done = false;
-        world.loop.spawn([](Client& c, Scope& scope, Verdict& out, bool& flag) -> Task<void> {
+        world.loop.spawn([](Client& c, Scope& scope, Status& out, bool& flag) -> Task<void> {
             const auto found = co_await c.get("a", scope);
-            out = found.verdict;
+            out = found.status;
             flag = true;
-        }(client, world.scope, verdict, done));
+        }(client, world.scope, status, done));
         world.until([&] { return done; });
-        return verdict;
+        return status;
     };
     const auto list = [&](const std::string& body) {
         answer = {200, body};
-        Verdict verdict{};
+        Status status{};
         done = false;
-        world.loop.spawn([](Client& c, Scope& scope, Verdict& out, bool& flag) -> Task<void> {
+        world.loop.spawn([](Client& c, Scope& scope, Status& out, bool& flag) -> Task<void> {
             const auto listing = co_await c.list("jobs/", scope);
-            out = listing.verdict;
+            out = listing.status;
             flag = true;
-        }(client, world.scope, verdict, done));
+        }(client, world.scope, status, done));
         world.until([&] { return done; });
-        return verdict;
+        return status;
     };
     const auto listed = [](const std::string& key, int stamp) {
         return R"({"pairs":[{"key":")" + key + R"(","data":{},"stamp":)" + std::to_string(stamp) +
                R"(}],"truncated":false,"epoch":12})";
     };
-    EXPECT_EQ(commit(200, R"({"epoch":10})"), Verdict::ok);
-    EXPECT_EQ(commit(200, R"({"epoch":10})"), Verdict::unknown) << "a change has a new revision";
-    EXPECT_EQ(commit(409, R"({"failed":["a"],"epoch":9})"), Verdict::unknown);
-    EXPECT_EQ(commit(409, R"({"epoch":11})"), Verdict::unknown) << "what failed is not said";
-    EXPECT_EQ(commit(409, R"({"failed":["a"],"epoch":11})"), Verdict::conflict);
-    EXPECT_EQ(get(404, R"({"epoch":10})"), Verdict::unknown);
-    EXPECT_EQ(get(404, "{}"), Verdict::unknown);
-    EXPECT_EQ(get(404, R"({"epoch":11})"), Verdict::notFound);
-    EXPECT_EQ(get(200, R"({"key":"b","data":{},"stamp":4})"), Verdict::unknown);
-    EXPECT_EQ(get(200, R"({"key":"a","data":{},"stamp":4})"), Verdict::ok);
-    EXPECT_EQ(list(listed("jobs/x", 4)), Verdict::ok);
-    EXPECT_EQ(list(listed("other/x", 4)), Verdict::unknown);
-    EXPECT_EQ(list(listed("jobs/x", 13)), Verdict::unknown) << "newer than the store";
-    EXPECT_EQ(list(R"({"pairs":[],"truncated":false,"epoch":11})"), Verdict::unknown);
+    EXPECT_EQ(commit(200, R"({"epoch":10})"), Status::ok);
+    EXPECT_EQ(commit(200, R"({"epoch":10})"), Status::outcomeUnknown)
+        << "a change has a new revision";
+    EXPECT_EQ(commit(409, R"({"failed":["a"],"epoch":9})"), Status::outcomeUnknown);
+    EXPECT_EQ(commit(409, R"({"epoch":11})"), Status::outcomeUnknown) << "what failed is not said";
+    EXPECT_EQ(commit(409, R"({"failed":["a"],"epoch":11})"), Status::conflict);
+    EXPECT_EQ(get(404, R"({"epoch":10})"), Status::outcomeUnknown);
+    EXPECT_EQ(get(404, "{}"), Status::outcomeUnknown);
+    EXPECT_EQ(get(404, R"({"epoch":11})"), Status::notFound);
+    EXPECT_EQ(get(200, R"({"key":"b","data":{},"stamp":4})"), Status::outcomeUnknown);
+    EXPECT_EQ(get(200, R"({"key":"a","data":{},"stamp":4})"), Status::ok);
+    EXPECT_EQ(list(listed("jobs/x", 4)), Status::ok);
+    EXPECT_EQ(list(listed("other/x", 4)), Status::outcomeUnknown);
+    EXPECT_EQ(list(listed("jobs/x", 13)), Status::outcomeUnknown) << "newer than the store";
+    EXPECT_EQ(list(R"({"pairs":[],"truncated":false,"epoch":11})"), Status::outcomeUnknown);
     world.end(world.scope);
 }
 
 }  // namespace
-}  // namespace basaltchute::state
+}  // namespace basaltchute::kv_store
--- a/src/state/writer.cpp
+++ b/src/kv_store/transaction_writer.cpp
@@ -1,4 +1,4 @@
-#include "state/writer.h"
+#include "kv_store/transaction_writer.h"
 
 #include <spdlog/spdlog.h>
 
@@ -6,7 +6,7 @@
 
 #include "json/json.h"
 
-namespace basaltchute::state {
+namespace basaltchute::kv_store {
 
 using namespace std::chrono_literals;
 
@@ -18,20 +18,21 @@
 constexpr Duration pauseAfterRefusal = 150ms;
 }  // namespace
 
-Writer::Writer(Loop& loop, Client& client, std::size_t txnOps, Guard leader, Hooks hooks)
+TransactionWriter::TransactionWriter(EventLoop& loop, Client& client, std::size_t txnOps,
+                                     Precondition leader, Hooks hooks)
     : loop_(loop),
       client_(client),
       txnOps_(txnOps),
-      leader_(std::move(leader)),
+      fence_(std::move(leader)),
       hooks_(std::move(hooks)),
       wake_(loop) {}
 
-void Writer::dirty(const std::string& key, Urgency urgency) {
+void TransactionWriter::markDirty(const std::string& key, WritePriority urgency) {
     enqueue(key, {urgency, loop_.now()});
     wake_.notify();
 }
 
-void Writer::enqueue(const std::string& key, Rank rank) {
+void TransactionWriter::enqueue(const std::string& key, Rank rank) {
     const auto [it, fresh] = queue_.try_emplace(key, rank);
     if (!fresh) {
         const Rank before = it->second;
@@ -42,34 +43,34 @@
     if (!inFlight_.contains(key)) byRank_.emplace(it->second, key);
 }
 
-std::vector<std::string> Writer::nextBatch(TimePoint now) {
+std::vector<std::string> TransactionWriter::nextBatch(TimePoint now) {
     std::vector<std::string> keys;
     if (byRank_.empty()) return keys;
     const auto due = [&](const Rank& rank) {
-        const Duration wait = rank.first == Urgency::progress ? coalesceProgress
-                              : rank.first == Urgency::rest   ? coalesce
-                                                              : Duration::zero();
+        const Duration wait = rank.first == WritePriority::progress ? coalesceProgress
+                              : rank.first == WritePriority::rest   ? coalesce
+                                                                    : Duration::zero();
         return now - rank.second >= wait;
     };
     const auto [first, since] = byRank_.begin()->first;
     if (!due({first, since})) return keys;
-    double available = client_.writes().available(now);
+    double available = client_.writeLimiter().available(now);
     // What users wait for never finds the budget spent on what nobody waits for.
-    const auto keptFor = [&](Urgency urgency) {
-        return urgency >= Urgency::rest ? client_.writes().burst() * keptShare : 0;
+    const auto keptFor = [&](WritePriority urgency) {
+        return urgency >= WritePriority::rest ? client_.writeLimiter().burst() * keptShare : 0;
     };
-    if (hooks_.turn) {
+    if (hooks_.writeAllowance) {
         const double kept = keptFor(first);
         // What is not urgent queues up only when it can be paid for: it must not hold up others.
-        if (first >= Urgency::rest && available - kept < 1) return keys;
-        available = kept + hooks_.turn(first, available - kept);
+        if (first >= WritePriority::rest && available - kept < 1) return keys;
+        available = kept + hooks_.writeAllowance(first, available - kept);
     }
     for (const auto& [rank, key] : byRank_) {
-        if (rank.first == Urgency::progress && !due(rank)) break;
+        if (rank.first == WritePriority::progress && !due(rank)) break;
         if (keys.size() >= txnOps_ ||
             static_cast<double>(keys.size()) + 1 > available - keptFor(rank.first))
             break;
-        if (alone_.contains(key)) {
+        if (sentAlone_.contains(key)) {
             if (keys.empty()) keys.push_back(key);
             break;
         }
@@ -78,7 +79,7 @@
     return keys;
 }
 
-Task<void> Writer::run(Scope& scope) {
+Task<void> TransactionWriter::run(Scope& scope) {
     while (!scope.cancelled()) {
         const TimePoint now = loop_.now();
         std::vector<std::string> batch;
@@ -93,10 +94,10 @@
     }
 }
 
-Task<void> Writer::write(std::vector<std::string> keys, Scope& scope) {
+Task<void> TransactionWriter::write(std::vector<std::string> keys, Scope& scope) {
     ++transactions_;
     Transaction txn;
-    txn.guards.push_back(leader_);
+    txn.preconditions.push_back(fence_);
     std::vector<std::pair<std::string, std::uint64_t>> versions;
     std::vector<std::pair<std::string, Rank>> taken;
     std::map<std::string, std::string> sent;
@@ -108,11 +109,11 @@
         byRank_.erase({waiting->second, key});
         if (!e) {
             queue_.erase(waiting);
-            alone_.erase(key);
+            sentAlone_.erase(key);
             continue;
         }
         bytes += e->data.size();
-        txn.guards.push_back({key, revisions_[key]});
+        txn.preconditions.push_back({key, revisions_[key]});
         txn.puts.push_back({key, e->data, std::nullopt});
         sent[key] = std::move(e->data);
         versions.emplace_back(key, e->version);
@@ -124,13 +125,13 @@
         --transactions_;
         co_return;
     }
-    client_.writes().take(loop_.now(), static_cast<double>(versions.size()));
-    Committed result = co_await client_.commit(std::move(txn), scope);
-    const bool conflict = result.verdict == Verdict::conflict;
-    const bool fenced = conflict && std::find(result.failed.begin(), result.failed.end(),
-                                              leader_.key) != result.failed.end();
+    client_.writeLimiter().tryTake(loop_.now(), static_cast<double>(versions.size()));
+    CommitResult result = co_await client_.commit(std::move(txn), scope);
+    const bool conflict = result.status == Status::conflict;
+    const bool fenced = conflict && std::find(result.failedKeys.begin(), result.failedKeys.end(),
+                                              fence_.key) != result.failedKeys.end();
     std::set<std::string> stood;
-    if (conflict && !fenced) stood = co_await standing(result.failed, sent, scope);
+    if (conflict && !fenced) stood = co_await findApplied(result.failedKeys, sent, scope);
     --transactions_;
     for (const auto& [key, version] : versions) {
         inFlight_.erase(key);
@@ -140,15 +141,15 @@
     }
     if (scope.cancelled()) co_return;
 
-    if (result.verdict == Verdict::ok) {
+    if (result.status == Status::ok) {
         healthy_ = true;
         for (const auto& [key, version] : versions) {
             revisions_[key] = result.revision;
-            alone_.erase(key);
+            sentAlone_.erase(key);
             hooks_.committed(key, version);
         }
-    } else if (result.verdict == Verdict::malformed && (taken.size() > 1 || hooks_.tooLarge)) {
-        malformed(taken, bytes);
+    } else if (result.status == Status::malformed && (taken.size() > 1 || hooks_.tooLarge)) {
+        onMalformed(taken, bytes);
     } else {
         for (const auto& [key, rank] : taken)
             if (!stood.contains(key)) enqueue(key, rank);
@@ -159,7 +160,7 @@
         if (conflict) {
             for (const auto& [key, version] : versions)
                 if (stood.contains(key)) hooks_.committed(key, version);
-        } else if (result.verdict == Verdict::limited) {
+        } else if (result.status == Status::rateLimited) {
             // It serves, if not that fast: what is most urgent goes first, and nobody is refused.
             pauseUntil_ = loop_.now() + pauseAfterRefusal;
         } else {
@@ -167,45 +168,45 @@
                 spdlog::warn("state service does not take writes; holding {}", queue_.size());
             healthy_ = false;
             pauseUntil_ = loop_.now() + pauseAfterRefusal;
-            hooks_.troubled();
+            hooks_.writeFailed();
         }
     }
     wake_.notify();
 }
 
-Task<std::set<std::string>> Writer::standing(std::vector<std::string> failed,
-                                             const std::map<std::string, std::string>& sent,
-                                             Scope& scope) {
+Task<std::set<std::string>> TransactionWriter::findApplied(
+    std::vector<std::string> failed, const std::map<std::string, std::string>& sent, Scope& scope) {
     // An earlier transaction of ours was carried out after all, and its answer was lost. Mostly it
     // is this very one, sent again: what stands already is not written a second time.
     std::set<std::string> out;
     for (const auto& key : failed) {
-        const Found found = co_await client_.get(key, scope);
+        const GetResult found = co_await client_.get(key, scope);
         if (scope.cancelled()) break;
-        if (found.verdict == Verdict::notFound) revisions_[key] = 0;
-        if (found.verdict != Verdict::ok) continue;
-        revisions_[key] = found.item->revision;
+        if (found.status == Status::notFound) revisions_[key] = 0;
+        if (found.status != Status::ok) continue;
+        revisions_[key] = found.entry->revision;
         const auto mine = sent.find(key);
         if (mine == sent.end()) continue;
-        const auto here = json::parse(mine->second), there = json::parse(found.item->data);
+        const auto here = json::parse(mine->second), there = json::parse(found.entry->data);
         if (here && there && *here == *there) out.insert(key);
     }
     co_return out;
 }
 
-void Writer::malformed(const std::vector<std::pair<std::string, Rank>>& taken, std::size_t bytes) {
+void TransactionWriter::onMalformed(const std::vector<std::pair<std::string, Rank>>& taken,
+                                    std::size_t bytes) {
     // Too many or too much at once, or one of them: repeated as it is it would hold up the others
     // for ever.
     if (taken.size() == 1) {
-        alone_.erase(taken[0].first);
+        sentAlone_.erase(taken[0].first);
         hooks_.tooLarge(taken[0].first, bytes);
         return;
     }
     txnOps_ = std::max<std::size_t>(1, std::min(txnOps_, taken.size() / 2));
     for (const auto& [key, rank] : taken) {
-        alone_.insert(key);
+        sentAlone_.insert(key);
         enqueue(key, rank);
     }
 }
 
-}  // namespace basaltchute::state
+}  // namespace basaltchute::kv_store
--- a/src/state/writer_test.cpp
+++ b/src/kv_store/transaction_writer_test.cpp
@@ -1,4 +1,4 @@
-#include "state/writer.h"
+#include "kv_store/transaction_writer.h"
 
 #include <gtest/gtest.h>
 
@@ -6,7 +6,7 @@
 
 #include "testing/world.h"
 
-namespace basaltchute::state {
+namespace basaltchute::kv_store {
 namespace {
 
 using namespace std::chrono_literals;
@@ -16,28 +16,29 @@
   protected:
     testing::World world;
     settings::Settings settings = testing::someSettings();
-    std::unique_ptr<lab::StateService> service;
+    std::unique_ptr<simulator::StateService> service;
     std::unique_ptr<Client> client;
-    std::unique_ptr<Writer> writer;
+    std::unique_ptr<TransactionWriter> writer;
     std::map<std::string, std::size_t> sizes;
     std::map<std::string, std::uint64_t> versions, durable;
     std::map<std::string, int> encoded;
     std::set<std::string> large;
     int troubled = 0;
 
-    void begin(lab::StateService::Terms terms) {
-        service =
-            std::make_unique<lab::StateService>(world.loop, world.scope, "127.0.0.1:0", terms);
+    void begin(simulator::StateService::Terms terms) {
+        service = std::make_unique<simulator::StateService>(world.loop, world.scope, "127.0.0.1:0",
+                                                            terms);
         service->keys["lead/holder"] = {"{}", 1, 0};
         settings.state = service->address();
         client = std::make_unique<Client>(world.loop, settings);
-        writer = std::make_unique<Writer>(
-            world.loop, *client, settings.txnOps, Guard{"lead/holder", 1},
-            Writer::Hooks{
-                [this](const std::string& key) -> std::optional<Encoded> {
+        writer = std::make_unique<TransactionWriter>(
+            world.loop, *client, settings.txnOps, Precondition{"lead/holder", 1},
+            TransactionWriter::Hooks{
+                [this](const std::string& key) -> std::optional<EncodedRecord> {
                     ++encoded[key];
                     if (sizes[key] == 0) return std::nullopt;
-                    return Encoded{'"' + std::string(sizes[key] - 2, 'x') + '"', versions[key]};
+                    return EncodedRecord{'"' + std::string(sizes[key] - 2, 'x') + '"',
+                                         versions[key]};
                 },
                 [this](const std::string& key, std::uint64_t v) { durable[key] = v; },
                 [this] { ++troubled; },
@@ -49,10 +50,11 @@
                 }});
         world.scope.spawn(writer->run(world.scope));
     }
-    void write(const std::string& key, std::size_t bytes, Urgency urgency = Urgency::bindings) {
+    void write(const std::string& key, std::size_t bytes,
+               WritePriority urgency = WritePriority::bindings) {
         sizes[key] = bytes;
         ++versions[key];
-        writer->dirty(key, urgency);
+        writer->markDirty(key, urgency);
     }
     void TearDown() override { world.end(world.scope); }
 };
@@ -89,28 +91,28 @@
     settings.stateWriteRps = 25;
     settings.stateWriteRpsNext = 18;
     begin({1e9, 18, 1000, 20, {}});
-    for (int i = 0; i < 200; ++i) write("rest-" + std::to_string(i), 50, Urgency::progress);
+    for (int i = 0; i < 200; ++i) write("rest-" + std::to_string(i), 50, WritePriority::progress);
     world.run(3s);
-    write("user", 50, Urgency::users);
+    write("user", 50, WritePriority::users);
     const TimePoint asked = world.clock.now();
     world.until([&] { return durable.contains("user"); });
     EXPECT_LT(world.clock.now() - asked, 400ms);
     world.run(20s);
     EXPECT_EQ(durable.size(), 201U);
     EXPECT_EQ(troubled, 0) << "a rate is no outage: users wait for their turn";
-    EXPECT_NEAR(client->writes().rate(), 18 * 0.95, 0.01);
+    EXPECT_NEAR(client->writeLimiter().rate(), 18 * 0.95, 0.01);
     // Where no limit was announced it goes down by steps, and comes back after a while.
     service->lower({0, 8, 0, 0, {}});
-    for (int i = 0; i < 100; ++i) write("more-" + std::to_string(i), 50, Urgency::bindings);
+    for (int i = 0; i < 100; ++i) write("more-" + std::to_string(i), 50, WritePriority::bindings);
     world.run(30s);
     EXPECT_EQ(durable.size(), 301U);
-    EXPECT_LT(client->writes().rate(), 9);
+    EXPECT_LT(client->writeLimiter().rate(), 9);
     service->lower({0, 100, 0, 0, {}});
     for (int i = 0; i < 200; ++i) {
         write("later", 50);
         world.run(2s);
     }
-    EXPECT_GT(client->writes().rate(), 20);
+    EXPECT_GT(client->writeLimiter().rate(), 20);
 }
 
 TEST_F(WriterTest, AWriteThatIsCarriedOutLateUndoesNoNewerOne) {
@@ -120,9 +122,9 @@
     std::map<std::string, std::size_t> least;
     std::mt19937 random(7);
     const auto drawn = [&](unsigned n) { return random() % n; };
-    service->fault = [&](const http::Request& r) -> lab::StateService::Fault {
+    service->fault = [&](const http::Request& r) -> simulator::StateService::Fault {
         if (r.target != "/multi" || drawn(3) > 0) return {};
-        return {lab::StateService::Fault::Kind::late,
+        return {simulator::StateService::Fault::Kind::late,
                 std::chrono::milliseconds(2000 + drawn(10000))};
     };
     service->onPut = [&](const std::string& key, const std::string& data) {
@@ -147,11 +149,11 @@
     // steps down, and what changed meanwhile goes on from where the service is.
     begin({1e9, 1e9, 1000, 20, {}});
     int lost = 1, transactions = 0;
-    service->fault = [&](const http::Request& r) -> lab::StateService::Fault {
+    service->fault = [&](const http::Request& r) -> simulator::StateService::Fault {
         if (r.target != "/multi") return {};
         ++transactions;
-        return {lost-- > 0 ? lab::StateService::Fault::Kind::mute
-                           : lab::StateService::Fault::Kind::none,
+        return {lost-- > 0 ? simulator::StateService::Fault::Kind::mute
+                           : simulator::StateService::Fault::Kind::none,
                 {}};
     };
     for (int i = 0; i < 8; ++i) write("k" + std::to_string(i), 50 + i);
@@ -178,17 +180,17 @@
 TEST_F(WriterTest, ResultsThatNobodyWaitsForGoInGroups) {
     begin({1e9, 1e9, 1000, 20, {}});
     for (int i = 0; i < 14; ++i) {
-        write("array", 50, Urgency::progress);
+        write("array", 50, WritePriority::progress);
         world.run(100ms);
     }
     EXPECT_EQ(service->writes, 0);
     world.run(400ms);
     EXPECT_EQ(service->writes, 1);
-    write("array", 50, Urgency::progress);
-    write("array", 50, Urgency::bindings);
+    write("array", 50, WritePriority::progress);
+    write("array", 50, WritePriority::bindings);
     world.run(50ms);
     EXPECT_EQ(service->writes, 2) << "the last result is waited for";
 }
 
 }  // namespace
-}  // namespace basaltchute::state
+}  // namespace basaltchute::kv_store
--- a/src/leadership/leadership.cpp
+++ b/src/leader_election/leader_election.cpp
@@ -1,4 +1,4 @@
-#include "leadership/leadership.h"
+#include "leader_election/leader_election.h"
 
 #include <spdlog/spdlog.h>
 
@@ -9,7 +9,7 @@
 namespace basaltchute {
 
 using namespace std::chrono_literals;
-using state::Verdict;
+using kv_store::Status;
 
 namespace {
 const std::string prefix = "lead/";
@@ -22,15 +22,15 @@
 /// whoever led before is silent then, and an outage might come before the next write.
 constexpr Duration absentAfter = 2s, absentAtElection = 1s;
 
-const state::Item* itemAt(const state::Listing& all, const std::string& key) {
-    const auto it = std::find_if(all.items.begin(), all.items.end(),
+const kv_store::KeyValue* itemAt(const kv_store::ListResult& all, const std::string& key) {
+    const auto it = std::find_if(all.entries.begin(), all.entries.end(),
                                  [&](const auto& i) { return i.key == key; });
-    return it == all.items.end() ? nullptr : &*it;
+    return it == all.entries.end() ? nullptr : &*it;
 }
 
 /// Who took the last token, `self` if nobody ever did; nothing if an older version took it, which
 /// does not say so.
-std::optional<std::string> electedBy(const state::Item* counter, const std::string& self) {
+std::optional<std::string> electedBy(const kv_store::KeyValue* counter, const std::string& self) {
     if (counter == nullptr) return self;
     const auto doc = json::parse(counter->data);
     return doc ? json::string(*doc, "node") : std::nullopt;
@@ -42,7 +42,7 @@
 };
 /// From format 2 on the last token has another name, so that versions that would lose what is
 /// stored call the counter malformed, and do not campaign.
-std::optional<Counter> counterIn(const state::Item& item) {
+std::optional<Counter> counterIn(const kv_store::KeyValue& item) {
     const auto doc = json::parse(item.data);
     if (!doc || !doc->IsObject()) return std::nullopt;
     const auto format = json::count(*doc, "format").value_or(1);
@@ -66,7 +66,7 @@
     return out.text();
 }
 /// Nothing if it cannot be read: then nobody may rely on what it says.
-std::optional<std::set<std::string>> absentIn(const state::Item* item) {
+std::optional<std::set<std::string>> absentIn(const kv_store::KeyValue* item) {
     if (item == nullptr) return std::set<std::string>{};
     const auto doc = json::parse(item->data);
     const auto* nodes = doc && doc->IsObject() ? json::array(*doc, "nodes") : nullptr;
@@ -81,20 +81,20 @@
 }
 }  // namespace
 
-Leadership::Leadership(Loop& loop, state::Client& client, const settings::Settings& s,
-                       std::string incarnation, Hooks hooks)
+LeaderElection::LeaderElection(EventLoop& loop, kv_store::Client& client,
+                               const settings::Settings& s, std::string incarnation, Hooks hooks)
     : loop_(loop),
       client_(client),
       node_(s.node),
       incarnation_(std::move(incarnation)),
-      life_(lifeFor(s)),
+      leaseTtl_(leaseTtlFor(s)),
       hooks_(std::move(hooks)),
       changed_(loop),
       startedAt_(loop.now()) {
-    for (const auto& p : s.peers) others_.push_back(p.name);
+    for (const auto& p : s.peers) otherNodes_.push_back(p.name);
 }
 
-Duration Leadership::lifeFor(const settings::Settings& s) {
+Duration LeaderElection::leaseTtlFor(const settings::Settings& s) {
     // Short for quick take-over, long enough for a touch that is not answered, by the service and
     // then by a peer, and for another peer after that; and a displaced leader's last answer plus a
     // whole lease must end before a cancellation's time is up.
@@ -103,20 +103,21 @@
     return std::clamp(std::min(byLease, byCancel), Duration(1s), Duration(1200ms));
 }
 
-void Leadership::extend(TimePoint sentAt, Duration life) {
+void LeaderElection::extendLease(TimePoint sentAt, Duration life) {
     if (resign_) return;
-    rightUntil_ = std::max(rightUntil_, sentAt + life - life / 1000 - margin);
+    leaseValidUntil_ = std::max(leaseValidUntil_, sentAt + life - life / 1000 - margin);
 }
 
-bool Leadership::pledge(FencingToken token, Duration hold) {
+bool LeaderElection::acceptPledge(FencingToken token, Duration hold) {
     // Not while a campaign of this node may already be on its way, and only for the newest leader.
-    if (leading_ || campaigning_ || hold > pledgeHold || (known_ && known_->token > token))
+    if (leading_ || campaigning_ || hold > pledgeHold ||
+        (knownLeader_ && knownLeader_->token > token))
         return false;
     pledgedUntil_ = std::max(pledgedUntil_, loop_.now() + hold + hold / 1000);
     return true;
 }
 
-bool Leadership::owesNoWait() const {
+bool LeaderElection::noEarlierPledgeOutstanding() const {
     // A node that has just started remembers no pledge, so it waits as long as one could last.
     // Ended again each second it would wait for ever, and with it everyone: so it goes by evidence
     // where there is some. Only who was elected last can act by pledges, since whoever was elected
@@ -124,33 +125,34 @@
     // nobody does; another one that says that it does not lead never goes on by the pledges of
     // before.
     if (loop_.now() >= startedAt_ + pledgeHold + pledgeHold / 1000) return true;
-    if (lastElected_) return *lastElected_ == node_ || hooks_.idle(*lastElected_);
-    return std::all_of(others_.begin(), others_.end(), hooks_.idle);  // by an older version
+    if (lastElected_) return *lastElected_ == node_ || hooks_.isKnownFollower(*lastElected_);
+    return std::all_of(otherNodes_.begin(), otherNodes_.end(),
+                       hooks_.isKnownFollower);  // by an older version
 }
 
-bool Leadership::mayCampaign() const {
-    return loop_.now() >= pledgedUntil_ && owesNoWait();
+bool LeaderElection::mayCampaign() const {
+    return loop_.now() >= pledgedUntil_ && noEarlierPledgeOutstanding();
 }
 
-void Leadership::heard(const LeaderHint& hint) {
-    if (!known_ || hint.token > known_->token) known_ = hint;
+void LeaderElection::onLeaderHeard(const LeaderHint& hint) {
+    if (!knownLeader_ || hint.token > knownLeader_->token) knownLeader_ = hint;
     if (leading_ && hint.token > token_) stepDown("a peer leads with a higher token");
 }
 
-void Leadership::stepDown(const std::string& why) {
+void LeaderElection::stepDown(const std::string& why) {
     if (!leading_ || resign_) return;
     spdlog::warn("stepping down from token {}: {}", token_, why);
-    rightUntil_ = TimePoint{};
+    leaseValidUntil_ = TimePoint{};
     resign_ = true;
     changed_.notify();
 }
 
-void Leadership::retire() {
+void LeaderElection::resignForGood() {
     retired_ = true;
     stepDown("this node is ending");
 }
 
-Task<void> Leadership::run(Scope& scope) {
+Task<void> LeaderElection::run(Scope& scope) {
     while (!scope.cancelled() && !retired_) {
         co_await follow(scope);
         if (scope.cancelled() || retired_) break;
@@ -159,18 +161,18 @@
     }
 }
 
-Task<void> Leadership::follow(Scope& scope) {
+Task<void> LeaderElection::follow(Scope& scope) {
     while (!scope.cancelled()) {
         // Read as a list, which tells the revision of the whole store. A watch that begins at the
         // key's own is refused once the service has forgotten that far back: after 10,000 changes
         // every follower asked without a pause, and the service refused the leader's writes.
-        const state::Listing found = co_await client_.list(prefix, scope);
-        stateAnswers_ = found.verdict == Verdict::ok;
-        if (found.verdict != Verdict::ok) {
+        const kv_store::ListResult found = co_await client_.list(prefix, scope);
+        storeReachable_ = found.status == Status::ok;
+        if (found.status != Status::ok) {
             co_await loop_.sleep(200ms, scope);
             continue;
         }
-        const state::Item* held = itemAt(found, holderKey);
+        const kv_store::KeyValue* held = itemAt(found, holderKey);
         if (held == nullptr) {
             lastElected_ = electedBy(itemAt(found, tokenKey), node_);
             co_return;
@@ -183,21 +185,21 @@
             co_await loop_.sleep(1s, scope);
             continue;
         }
-        known_ = LeaderHint{*node, *token};
+        knownLeader_ = LeaderHint{*node, *token};
         if (*node == node_) {
             // Held by this node's former process, which is surely gone, or by a campaign whose
             // answer was lost. Either way nobody acts by it: give it back at once.
             const auto grant = json::count(*doc, "grant");
-            if (grant) co_await client_.drop(*grant, scope);
-            known_.reset();
+            if (grant) co_await client_.revokeLease(*grant, scope);
+            knownLeader_.reset();
             continue;
         }
-        const Verdict watched = co_await client_.watch(prefix, found.at, 10s, scope);
-        if (watched != Verdict::ok) co_await loop_.sleep(200ms, scope);
+        const Status watched = co_await client_.watch(prefix, found.at, 10s, scope);
+        if (watched != Status::ok) co_await loop_.sleep(200ms, scope);
     }
 }
 
-Task<bool> Leadership::campaign(Scope& scope) {
+Task<bool> LeaderElection::campaign(Scope& scope) {
     if (!mayCampaign()) {
         co_await loop_.sleep(50ms, scope);
         co_return false;
@@ -208,10 +210,10 @@
     co_return won;
 }
 
-Task<bool> Leadership::tryCampaign(Scope& scope) {
-    const state::Listing all = co_await client_.list(prefix, scope);
-    if (all.verdict != Verdict::ok || itemAt(all, holderKey) != nullptr) co_return false;
-    const state::Item* absent = itemAt(all, absentKey);
+Task<bool> LeaderElection::tryCampaign(Scope& scope) {
+    const kv_store::ListResult all = co_await client_.list(prefix, scope);
+    if (all.status != Status::ok || itemAt(all, holderKey) != nullptr) co_return false;
+    const kv_store::KeyValue* absent = itemAt(all, absentKey);
     const auto listed = absentIn(absent);
     if (!listed || listed->contains(node_)) {
         // A leader went on without this node's pledge and may act still. It, or the next one,
@@ -219,7 +221,7 @@
         co_await loop_.sleep(200ms, scope);
         co_return false;
     }
-    const state::Item* last = itemAt(all, tokenKey);
+    const kv_store::KeyValue* last = itemAt(all, tokenKey);
     lastElected_ = electedBy(last, node_);
     if (!mayCampaign()) co_return false;  // somebody else was elected, and is gone, meanwhile
     Counter counter;
@@ -238,153 +240,155 @@
         counter = *used;
     }
     ++counter.token;
-    const state::Granted grant = co_await client_.grant(life_, scope);
-    if (grant.verdict != Verdict::ok) co_return false;
+    const kv_store::LeaseResult grant = co_await client_.grantLease(leaseTtl_, scope);
+    if (grant.status != Status::ok) co_return false;
     json::Out holder;
     holder.open().field("node", node_).field("incarnation", incarnation_);
     holder.field("token", counter.token).field("grant", grant.id).close();
-    state::Transaction txn;
+    kv_store::Transaction txn;
     // Guarded by what was read: a leader that has listed this node since is not displaced.
-    txn.guards = {{holderKey, 0},
-                  {tokenKey, last != nullptr ? last->revision : 0},
-                  {absentKey, absent != nullptr ? absent->revision : 0}};
+    txn.preconditions = {{holderKey, 0},
+                         {tokenKey, last != nullptr ? last->revision : 0},
+                         {absentKey, absent != nullptr ? absent->revision : 0}};
     txn.puts = {{holderKey, holder.text(), grant.id},
                 {tokenKey, counterText(counter, node_), std::nullopt}};
-    const auto silent = fewSilent(absentAtElection);
+    const auto silent = silentMinority(absentAtElection);
     const bool relist = silent != *listed;
     if (relist) txn.puts.push_back({absentKey, absentText(silent), std::nullopt});
     // Not longer than leaves time to find out what became of it.
-    state::Committed won = co_await client_.commit(std::move(txn), scope, life_ / 2);
-    if (won.verdict == Verdict::conflict || won.verdict == Verdict::unknown) {
+    kv_store::CommitResult won = co_await client_.commit(std::move(txn), scope, leaseTtl_ / 2);
+    if (won.status == Status::conflict || won.status == Status::outcomeUnknown) {
         // Perhaps it was carried out and only its answer was lost: then the others know this node
         // as the leader already, and would be refused by it until its grant has ended.
-        const auto stands = co_await foundHolder(holder.text(), scope);
-        if (stands) won = {Verdict::ok, *stands, {}};
+        const auto stands = co_await findOwnLeaderKey(holder.text(), scope);
+        if (stands) won = {Status::ok, *stands, {}};
     }
-    if (won.verdict != Verdict::ok) {
+    if (won.status != Status::ok) {
         // If it is carried out yet the key is ours; without the grant it cannot stay.
-        co_await client_.drop(grant.id, scope);
+        co_await client_.revokeLease(grant.id, scope);
         co_return false;
     }
     token_ = counter.token;
     format_ = counter.format;
-    grant_ = grant.id;
-    holder_ = counterAt_ = won.revision;
-    absent_ = silent;
-    written_ = silent;
-    absentAt_ = relist ? won.revision : absent != nullptr ? absent->revision : 0;
-    recording_ = false;
-    rightUntil_ = TimePoint{};
+    leaseId_ = grant.id;
+    leaderKeyRevision_ = tokenCounterRevision_ = won.revision;
+    absentNodes_ = silent;
+    writtenAbsent_ = silent;
+    absentNodesRevision_ = relist ? won.revision : absent != nullptr ? absent->revision : 0;
+    recordingAbsent_ = false;
+    leaseValidUntil_ = TimePoint{};
     resign_ = false;
-    extend(grant.sentAt, life_);
+    extendLease(grant.sentAt, leaseTtl_);
     co_return true;
 }
 
-Task<std::optional<state::Revision>> Leadership::foundHolder(std::string holder, Scope& scope) {
-    const state::Found found = co_await client_.get(holderKey, scope);
-    if (found.verdict != Verdict::ok || scope.cancelled()) co_return std::nullopt;
+Task<std::optional<kv_store::Revision>> LeaderElection::findOwnLeaderKey(std::string holder,
+                                                                         Scope& scope) {
+    const kv_store::GetResult found = co_await client_.get(holderKey, scope);
+    if (found.status != Status::ok || scope.cancelled()) co_return std::nullopt;
     // Token, grant and process are in it: nobody else's election, and no other one of this node's.
-    const auto mine = json::parse(holder), there = json::parse(found.item->data);
+    const auto mine = json::parse(holder), there = json::parse(found.entry->data);
     if (!mine || !there || *mine != *there) co_return std::nullopt;
-    co_return found.item->revision;
+    co_return found.entry->revision;
 }
 
-std::set<std::string> Leadership::fewSilent(Duration span) const {
+std::set<std::string> LeaderElection::silentMinority(Duration span) const {
     // Most must stay able to campaign; and where most are silent, the silent one is this node.
-    std::set<std::string> silent = hooks_.silent(span);
+    std::set<std::string> silent = hooks_.silentNodes(span);
     // Who is listed already stays so until it speaks.
-    for (const auto& n : hooks_.silent(absentAtElection))
-        if (absent_.contains(n)) silent.insert(n);
-    if (silent.size() * 2 >= others_.size() + 1) silent.clear();
+    for (const auto& n : hooks_.silentNodes(absentAtElection))
+        if (absentNodes_.contains(n)) silent.insert(n);
+    if (silent.size() * 2 >= otherNodes_.size() + 1) silent.clear();
     return silent;
 }
 
-Task<void> Leadership::recordAbsent(std::set<std::string> silent, Scope& scope) {
+Task<void> LeaderElection::recordAbsent(std::set<std::string> silent, Scope& scope) {
     const FencingToken mine = token_;
-    recording_ = true;
+    recordingAbsent_ = true;
     // Whoever is struck off is relied on from now on; whoever is added, once that stands.
-    std::erase_if(absent_, [&](const auto& n) { return !silent.contains(n); });
-    state::Transaction txn;
-    txn.guards = {{holderKey, holder_}, {absentKey, absentAt_}};
+    std::erase_if(absentNodes_, [&](const auto& n) { return !silent.contains(n); });
+    kv_store::Transaction txn;
+    txn.preconditions = {{holderKey, leaderKeyRevision_}, {absentKey, absentNodesRevision_}};
     txn.puts = {{absentKey, absentText(silent), std::nullopt}};
-    const state::Committed done = co_await client_.commit(std::move(txn), scope);
-    state::Found now;
-    if (done.verdict != Verdict::ok && !scope.cancelled())
+    const kv_store::CommitResult done = co_await client_.commit(std::move(txn), scope);
+    kv_store::GetResult now;
+    if (done.status != Status::ok && !scope.cancelled())
         now = co_await client_.get(absentKey, scope);
     if (token_ != mine) co_return;  // another term of this node: it has read for itself
-    recording_ = false;
-    if (done.verdict == Verdict::ok) {
+    recordingAbsent_ = false;
+    if (done.status == Status::ok) {
         spdlog::info("absent nodes on record: {}", silent.size());
-        absent_ = silent;
-        written_ = std::move(silent);
-        absentAt_ = done.revision;
+        absentNodes_ = silent;
+        writtenAbsent_ = std::move(silent);
+        absentNodesRevision_ = done.revision;
         co_return;
     }
     // Whether it stands is not known: written again, by the revision that is there now.
-    written_.reset();
-    if (now.verdict == Verdict::ok) absentAt_ = now.item->revision;
-    if (now.verdict == Verdict::notFound) absentAt_ = 0;
+    writtenAbsent_.reset();
+    if (now.status == Status::ok) absentNodesRevision_ = now.entry->revision;
+    if (now.status == Status::notFound) absentNodesRevision_ = 0;
 }
 
-Task<bool> Leadership::raiseFormat(unsigned format, Scope& scope) {
+Task<bool> LeaderElection::raiseFormat(unsigned format, Scope& scope) {
     if (format_ >= format) co_return true;
     const FencingToken mine = token_;
-    state::Transaction txn;
-    txn.guards = {{holderKey, holder_}, {tokenKey, counterAt_}};
+    kv_store::Transaction txn;
+    txn.preconditions = {{holderKey, leaderKeyRevision_}, {tokenKey, tokenCounterRevision_}};
     txn.puts = {{tokenKey, counterText({mine, format}, node_), std::nullopt}};
-    const state::Committed done = co_await client_.commit(std::move(txn), scope);
-    state::Found now;
-    if (done.verdict == Verdict::conflict && !scope.cancelled())
+    const kv_store::CommitResult done = co_await client_.commit(std::move(txn), scope);
+    kv_store::GetResult now;
+    if (done.status == Status::conflict && !scope.cancelled())
         now = co_await client_.get(tokenKey, scope);
     if (token_ != mine || scope.cancelled()) co_return false;
-    if (done.verdict == Verdict::ok) {
-        counterAt_ = done.revision;
+    if (done.status == Status::ok) {
+        tokenCounterRevision_ = done.revision;
         format_ = format;
         spdlog::info("the stored state is of format {} from now on", format);
-    } else if (now.verdict == Verdict::ok) {
+    } else if (now.status == Status::ok) {
         // An earlier try of this leader's stood after all, if it is this one's.
-        const auto counter = counterIn(*now.item);
+        const auto counter = counterIn(*now.entry);
         if (counter && counter->token == mine) {
-            counterAt_ = now.item->revision;
+            tokenCounterRevision_ = now.entry->revision;
             format_ = counter->format;
         }
     }
     co_return format_ >= format;
 }
 
-Task<void> Leadership::lead(Scope& scope) {
+Task<void> LeaderElection::lead(Scope& scope) {
     leading_ = true;
-    known_ = LeaderHint{node_, token_};
+    knownLeader_ = LeaderHint{node_, token_};
     spdlog::info("leading with token {}", token_);
-    hooks_.elected(token_, state::Guard{holderKey, holder_});
-    Duration pause = life_ / 6;
-    while (!scope.cancelled() && !resign_ && loop_.now() < rightUntil_) {
-        co_await loop_.wait(changed_, std::min(loop_.now() + pause, rightUntil_), scope);
-        if (resign_ || scope.cancelled() || loop_.now() >= rightUntil_) break;
-        const state::Granted touched = co_await client_.touch(grant_, life_ / 4, scope);
-        stateAnswers_ = touched.verdict == Verdict::ok;
-        if (touched.verdict == Verdict::ok) {
-            extend(touched.sentAt, life_);
-            auto silent = fewSilent(absentAfter);
-            if (!recording_ && written_ != silent)
+    hooks_.elected(token_, kv_store::Precondition{holderKey, leaderKeyRevision_});
+    Duration pause = leaseTtl_ / 6;
+    while (!scope.cancelled() && !resign_ && loop_.now() < leaseValidUntil_) {
+        co_await loop_.wait(changed_, std::min(loop_.now() + pause, leaseValidUntil_), scope);
+        if (resign_ || scope.cancelled() || loop_.now() >= leaseValidUntil_) break;
+        const kv_store::LeaseResult touched =
+            co_await client_.keepAlive(leaseId_, leaseTtl_ / 4, scope);
+        storeReachable_ = touched.status == Status::ok;
+        if (touched.status == Status::ok) {
+            extendLease(touched.sentAt, leaseTtl_);
+            auto silent = silentMinority(absentAfter);
+            if (!recordingAbsent_ && writtenAbsent_ != silent)
                 scope.spawn(recordAbsent(std::move(silent), scope));
-        } else if (touched.verdict != Verdict::notFound) {
+        } else if (touched.status != Status::notFound) {
             // No node reaches the state service. While every other one pledges not to campaign,
             // nobody can lead but this one: the workers' leases live on through the outage.
             const TimePoint askedAt = loop_.now();
-            const bool all = co_await hooks_.pledgeAll(token_, pledgeHold, absent_);
+            const bool all = co_await hooks_.pledgeAll(token_, pledgeHold, absentNodes_);
             // A right that has lapsed stays lapsed: others may have been told so meanwhile.
-            if (all && loop_.now() < rightUntil_) extend(askedAt, pledgeHold);
+            if (all && loop_.now() < leaseValidUntil_) extendLease(askedAt, pledgeHold);
         }
-        if (touched.verdict == Verdict::notFound) stepDown("the grant has ended");
-        pause = touched.verdict == Verdict::ok ? life_ / 6 : Duration(100ms);
+        if (touched.status == Status::notFound) stepDown("the grant has ended");
+        pause = touched.status == Status::ok ? leaseTtl_ / 6 : Duration(100ms);
     }
     if (!resign_) spdlog::warn("the right to act ended: the grant could not be renewed");
-    rightUntil_ = TimePoint{};
+    leaseValidUntil_ = TimePoint{};
     leading_ = false;
-    known_.reset();
+    knownLeader_.reset();
     co_await hooks_.deposed();
-    co_await client_.drop(grant_, scope);
+    co_await client_.revokeLease(leaseId_, scope);
 }
 
 }  // namespace basaltchute
--- a/src/delegation/delegator.h
+++ b/src/lease_delegation/delegator.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "delegation/holder.h"
+#include "lease_delegation/delegate.h"
 
-namespace basaltchute::delegation {
+namespace basaltchute::lease_delegation {
 
 /// The leader's side: what it lent to whom, and what follows for the leases of a zone's workers.
 /// Built anew with each term, it assumes of every node that it has not heard the longest delegation
@@ -18,29 +18,29 @@
     };
     /// `self`: the node that leads; `sinceUse`: how long ago it last answered by a delegation
     /// itself.
-    Delegator(Bounds bounds, FencingToken token, const Node& self, Duration sinceUse,
+    Delegator(DelegationLimits bounds, FencingToken token, const Node& self, Duration sinceUse,
               const std::vector<Node>& others, TimePoint electedAt);
 
     /// A holder's question, and how late its answers may go on: nothing is lent beyond `cap`.
-    Delegation asked(const Question& question, TimePoint cap, TimePoint now);
+    Delegation handleRequest(const DelegationRequest& question, TimePoint cap, TimePoint now);
     /// Delegates to this node itself, for the time after its right has ended. Asked again before a
     /// cancellation is told, so that a cap holds at once.
     TimePoint delegateSelf(TimePoint cap, TimePoint now);
 
     /// Off: nothing is lent, but what was lent still counts.
-    void setDelegating(bool delegates) { delegates_ = delegates; }
+    void setEnabled(bool delegates) { enabled_ = delegates; }
     /// When a worker of the zone has surely no lease any more that a holder renewed. An empty zone:
     /// in whichever zone it is.
-    [[nodiscard]] TimePoint leasesEnd(const std::string& zone, TimePoint now) const;
+    [[nodiscard]] TimePoint agentLeasesEnd(const std::string& zone, TimePoint now) const;
     /// When the last holder in the zone has stopped answering, even if this leader falls silent
     /// now. An empty zone: as above.
-    [[nodiscard]] TimePoint answersEnd(const std::string& zone) const;
+    [[nodiscard]] TimePoint delegationsEnd(const std::string& zone) const;
     /// How late that node may answer, of what this leader knows.
-    [[nodiscard]] TimePoint answersEndOf(const std::string& node) const {
-        const auto it = holders_.find(node);
-        return it == holders_.end() ? TimePoint{} : it->second.until;
+    [[nodiscard]] TimePoint delegationEndOf(const std::string& node) const {
+        const auto it = delegates_.find(node);
+        return it == delegates_.end() ? TimePoint{} : it->second.until;
     }
-    [[nodiscard]] const Bounds& bounds() const { return bounds_; }
+    [[nodiscard]] const DelegationLimits& bounds() const { return bounds_; }
     [[nodiscard]] std::string zoneOf(const std::string& node) const;
 
   private:
@@ -50,17 +50,17 @@
     };
     struct Held {
         std::string zone;
-        TimePoint until;          // the latest that it may answer, by our clock
-        TimePoint clearUntil;     // it surely does not answer before this
-        TimePoint usedUntil;      // the latest that it has answered, of what it told
-        std::deque<Given> given;  // since the one that it confirmed
+        TimePoint until;           // the latest that it may answer, by our clock
+        TimePoint unusedUntil;     // it surely does not answer before this
+        TimePoint usedUntil;       // the latest that it has answered, of what it told
+        std::deque<Given> issued;  // since the one that it confirmed
     };
-    Bounds bounds_;
+    DelegationLimits bounds_;
     FencingToken token_;
     std::string self_;
-    std::uint64_t numbers_ = 0;
-    bool delegates_ = true;
-    std::map<std::string, Held> holders_;  // with this node
+    std::uint64_t lastNumber_ = 0;
+    bool enabled_ = true;
+    std::map<std::string, Held> delegates_;  // with this node
 };
 
-}  // namespace basaltchute::delegation
+}  // namespace basaltchute::lease_delegation
--- a/src/delegation/delegation_test.cpp
+++ b/src/lease_delegation/lease_delegation_test.cpp
@@ -5,26 +5,27 @@
 
 // Every transition of a delegation, then a search through what can happen around one.
 
-namespace basaltchute::delegation {
+namespace basaltchute::lease_delegation {
 namespace {
 
 using namespace std::chrono_literals;
 using scheduler::Cluster;
 using testing::Worker;
-using workers::Verb;
+using worker_api::CommandKind;
 
 class DelegationTest : public ::testing::Test {
   protected:
     FakeClock clock;
-    Bounds bounds{60s, 30s, 56s, 4s};
-    Holder holder{bounds, "b", clock.now() - 1h};
+    DelegationLimits bounds{60s, 30s, 56s, 4s};
+    Delegate holder{bounds, "b", clock.now() - 1h};
     Delegator delegator{bounds, 7, {"rig-0", "a"}, 1h, {{"rig-1", "b"}}, clock.now()};
     TimePoint cap = TimePoint::max();
 
     void renew() {
         const TimePoint asked = clock.now();
-        const Question q = holder.question("rig-1", asked);
-        EXPECT_TRUE(holder.take(delegator.asked(q, cap, clock.now()), asked, clock.now()));
+        const DelegationRequest q = holder.request("rig-1", asked);
+        EXPECT_TRUE(
+            holder.accept(delegator.handleRequest(q, cap, clock.now()), asked, clock.now()));
     }
     void talk(Duration span) {
         for (Duration d{}; d < span; d += 500ms) {
@@ -33,7 +34,7 @@
         }
     }
     bool answers(FencingToken seen = 7, const std::string& zone = "b", FencingToken newest = 7) {
-        return holder.answer(seen, zone, newest, clock.now());
+        return holder.mayAnswer(seen, zone, newest, clock.now());
     }
 };
 
@@ -48,7 +49,7 @@
     EXPECT_FALSE(answers(7, "a"));
     EXPECT_TRUE(answers(6)) << "that worker had not found the delegator yet";
     EXPECT_FALSE(answers(8)) << "that worker would drop the answer";
-    holder.heard(7, clock.now());
+    holder.onLeaderHeard(7, clock.now());
     EXPECT_FALSE(answers()) << "the delegator is back";
 }
 
@@ -65,33 +66,35 @@
     clock.advance(5s);
     ASSERT_TRUE(answers());
     EXPECT_FALSE(answers(7, "b", 8)) << "known by the state service";
-    EXPECT_FALSE(holder.holds(clock.now()));
+    EXPECT_FALSE(holder.isValid(clock.now()));
     talk(5s);  // a late answer of the former leader delegates nothing again
     Delegator next{bounds, 8, {"rig-2", "a"}, 1h, {{"rig-1", "b"}}, clock.now()};
-    ASSERT_TRUE(holder.take(next.asked(holder.question("rig-1", clock.now()), cap, clock.now()),
-                            clock.now(), clock.now()));
+    ASSERT_TRUE(
+        holder.accept(next.handleRequest(holder.request("rig-1", clock.now()), cap, clock.now()),
+                      clock.now(), clock.now()));
     renew();
     EXPECT_EQ(holder.token(), 8U);
 }
 
 TEST_F(DelegationTest, ADelegationLongerThanAnyMayBeIsNotTaken) {
-    EXPECT_FALSE(holder.take({7, 1, 61s}, clock.now(), clock.now()));
-    EXPECT_FALSE(holder.holds(clock.now()));
-    EXPECT_TRUE(holder.take({7, 2, 0ms}, clock.now(), clock.now()));
-    EXPECT_FALSE(holder.holds(clock.now()));
+    EXPECT_FALSE(holder.accept({7, 1, 61s}, clock.now(), clock.now()));
+    EXPECT_FALSE(holder.isValid(clock.now()));
+    EXPECT_TRUE(holder.accept({7, 2, 0ms}, clock.now(), clock.now()));
+    EXPECT_FALSE(holder.isValid(clock.now()));
 }
 
 TEST_F(DelegationTest, AHolderThatSaysItHasNotUsedItKeepsNoDeadMachineWaiting) {
     talk(70s);
-    EXPECT_LE(delegator.leasesEnd("b", clock.now()), clock.now());
-    EXPECT_EQ(delegator.leasesEnd("a", clock.now()), delegator.leasesEnd("a", clock.now() + 1h));
+    EXPECT_LE(delegator.agentLeasesEnd("b", clock.now()), clock.now());
+    EXPECT_EQ(delegator.agentLeasesEnd("a", clock.now()),
+              delegator.agentLeasesEnd("a", clock.now() + 1h));
     // Silent for as long as it keeps still itself: nothing can have been answered yet.
-    EXPECT_LE(delegator.leasesEnd("b", clock.now() + 2s), clock.now());
+    EXPECT_LE(delegator.agentLeasesEnd("b", clock.now() + 2s), clock.now());
     // Longer: it may have been answering, up to the delegation's end and a lease after that.
     const TimePoint last = clock.now() - 500ms;
     clock.advance(10s);
-    EXPECT_GE(delegator.leasesEnd("b", clock.now()), last + 60s + 30s);
-    EXPECT_LE(delegator.leasesEnd("b", clock.now()), last + 60s + 32s);
+    EXPECT_GE(delegator.agentLeasesEnd("b", clock.now()), last + 60s + 30s);
+    EXPECT_LE(delegator.agentLeasesEnd("b", clock.now()), last + 60s + 32s);
 }
 
 TEST_F(DelegationTest, AHolderThatUsedItSaysSoWhenItIsBack) {
@@ -101,19 +104,19 @@
     const TimePoint used = clock.now();
     clock.advance(5s);
     talk(2s);
-    EXPECT_GE(delegator.leasesEnd("b", clock.now()), used + 30s);
-    EXPECT_LE(delegator.leasesEnd("b", clock.now()), used + 32s);
+    EXPECT_GE(delegator.agentLeasesEnd("b", clock.now()), used + 30s);
+    EXPECT_LE(delegator.agentLeasesEnd("b", clock.now()), used + 32s);
 }
 
 TEST_F(DelegationTest, AQuestionThatWasHeldBackProvesNothing) {
     talk(70s);
     const TimePoint left = clock.now();
-    const Question held = holder.question("rig-1", left);
+    const DelegationRequest held = holder.request("rig-1", left);
     clock.advance(10s);
     ASSERT_TRUE(answers());
     clock.advance(40s);
-    delegator.asked(held, cap, clock.now());  // delivered when the cut ends
-    EXPECT_GE(delegator.leasesEnd("b", clock.now()), left + 10s + 30s)
+    delegator.handleRequest(held, cap, clock.now());  // delivered when the cut ends
+    EXPECT_GE(delegator.agentLeasesEnd("b", clock.now()), left + 10s + 30s)
         << "it says nothing of later";
 }
 
@@ -121,10 +124,10 @@
     talk(5s);
     cap = clock.now() + 10s;
     renew();
-    EXPECT_GT(delegator.answersEnd("b"), clock.now() + 50s) << "the answer may be lost";
+    EXPECT_GT(delegator.delegationsEnd("b"), clock.now() + 50s) << "the answer may be lost";
     clock.advance(500ms);
     renew();
-    EXPECT_LE(delegator.answersEnd("b"), cap);
+    EXPECT_LE(delegator.delegationsEnd("b"), cap);
     clock.advance(10s);
     EXPECT_FALSE(answers());
 }
@@ -132,12 +135,12 @@
 TEST_F(DelegationTest, ARestartedHolderHoldsNoneAndItsFormerProcessMayHaveAnswered) {
     talk(70s);
     clock.advance(6s);
-    holder = Holder{bounds, "b", clock.now()};
+    holder = Delegate{bounds, "b", clock.now()};
     clock.advance(4s);
     EXPECT_FALSE(answers());
     talk(2s);
-    EXPECT_GE(delegator.leasesEnd("b", clock.now()), clock.now() - 6s + 30s);
-    EXPECT_LE(delegator.leasesEnd("b", clock.now()), clock.now() - 6s + 32s);
+    EXPECT_GE(delegator.agentLeasesEnd("b", clock.now()), clock.now() - 6s + 30s);
+    EXPECT_LE(delegator.agentLeasesEnd("b", clock.now()), clock.now() - 6s + 32s);
 }
 
 TEST_F(DelegationTest, ASuccessorAssumesTheLongestDelegationOfWhomItHasNotHeard) {
@@ -146,91 +149,92 @@
     const TimePoint elected = clock.now();
     Delegator next{bounds, 8, {"rig-2", "a"}, 1h, {{"rig-0", "a"}, {"rig-1", "b"}}, elected};
     for (const char* zone : {"a", "b", ""}) {
-        EXPECT_GE(next.leasesEnd(zone, elected), elected + 60s + 30s) << zone;
-        EXPECT_GE(next.answersEnd(zone), elected + 60s) << zone;
+        EXPECT_GE(next.agentLeasesEnd(zone, elected), elected + 60s + 30s) << zone;
+        EXPECT_GE(next.delegationsEnd(zone), elected + 60s) << zone;
     }
     // The holder of the former one's says that it has not used it, and gives it back by taking
     // this.
     for (int i = 0; i < 2; ++i) {
-        const Question q = holder.question("rig-1", clock.now());
-        holder.take(next.asked(q, TimePoint{}, clock.now()), clock.now(), clock.now());
+        const DelegationRequest q = holder.request("rig-1", clock.now());
+        holder.accept(next.handleRequest(q, TimePoint{}, clock.now()), clock.now(), clock.now());
     }
-    EXPECT_LE(next.leasesEnd("b", clock.now()), clock.now());
-    EXPECT_LE(next.answersEnd("b"), clock.now());
-    EXPECT_GE(next.answersEnd("a"), elected + 60s) << "the former leader lent to itself";
+    EXPECT_LE(next.agentLeasesEnd("b", clock.now()), clock.now());
+    EXPECT_LE(next.delegationsEnd("b"), clock.now());
+    EXPECT_GE(next.delegationsEnd("a"), elected + 60s) << "the former leader lent to itself";
 }
 
 TEST_F(DelegationTest, AFormerLeaderAnswersByWhatItLentToItself) {
     cap = clock.now() + 20s;
     const TimePoint until = delegator.delegateSelf(cap, clock.now());
-    Holder self{bounds, "a", clock.now() - 1h};
-    self.keep(7, until, clock.now());
-    EXPECT_FALSE(self.answer(7, "a", 7, clock.now() + 3s)) << "another may lead by now";
-    EXPECT_TRUE(self.answer(7, "a", 0, clock.now() + 4s)) << "it knows of no leader at all";
-    EXPECT_FALSE(self.answer(7, "a", 7, clock.now() + 20s));
-    self.keep(7, until + 40s, clock.now());
-    EXPECT_FALSE(self.answer(7, "a", 8, clock.now() + 30s));
+    Delegate self{bounds, "a", clock.now() - 1h};
+    self.retainOwn(7, until, clock.now());
+    EXPECT_FALSE(self.mayAnswer(7, "a", 7, clock.now() + 3s)) << "another may lead by now";
+    EXPECT_TRUE(self.mayAnswer(7, "a", 0, clock.now() + 4s)) << "it knows of no leader at all";
+    EXPECT_FALSE(self.mayAnswer(7, "a", 7, clock.now() + 20s));
+    self.retainOwn(7, until + 40s, clock.now());
+    EXPECT_FALSE(self.mayAnswer(7, "a", 8, clock.now() + 30s));
 }
 
 TEST_F(DelegationTest, AHolderHandsOnOnlyWhatItWouldAnswerBy) {
-    Holder other{bounds, "b", clock.now()};
-    EXPECT_FALSE(holder.handOn(7, clock.now())) << "it holds nothing";
+    Delegate other{bounds, "b", clock.now()};
+    EXPECT_FALSE(holder.transfer(7, clock.now())) << "it holds nothing";
     talk(5s);
-    EXPECT_FALSE(holder.handOn(7, clock.now())) << "the leader speaks";
+    EXPECT_FALSE(holder.transfer(7, clock.now())) << "the leader speaks";
     clock.advance(10s);
-    EXPECT_FALSE(holder.handOn(8, clock.now())) << "another leads";
-    const auto on = holder.handOn(7, clock.now());
+    EXPECT_FALSE(holder.transfer(8, clock.now())) << "another leads";
+    const auto on = holder.transfer(7, clock.now());
     ASSERT_TRUE(on);
-    ASSERT_TRUE(other.wants(clock.now()));
-    other.takeOn(*on, clock.now(), clock.now());
-    EXPECT_TRUE(other.answer(7, "b", 7, clock.now()));
-    clock.advance(on->span);
-    EXPECT_FALSE(other.answer(7, "b", 7, clock.now())) << "to the end of the first one's";
+    ASSERT_TRUE(other.needsDelegation(clock.now()));
+    other.acceptTransfer(*on, clock.now(), clock.now());
+    EXPECT_TRUE(other.mayAnswer(7, "b", 7, clock.now()));
+    clock.advance(on->duration);
+    EXPECT_FALSE(other.mayAnswer(7, "b", 7, clock.now())) << "to the end of the first one's";
     // Not a longer one than any, and none instead of what a leader gave.
-    other.takeOn({7, 0, 61s}, clock.now(), clock.now());
-    EXPECT_FALSE(other.holds(clock.now()));
+    other.acceptTransfer({7, 0, 61s}, clock.now(), clock.now());
+    EXPECT_FALSE(other.isValid(clock.now()));
     clock.advance(60s);
-    holder.takeOn({7, 0, 20s}, clock.now(), clock.now());
-    EXPECT_FALSE(holder.holds(clock.now()));
+    holder.acceptTransfer({7, 0, 20s}, clock.now(), clock.now());
+    EXPECT_FALSE(holder.isValid(clock.now()));
 }
 
 TEST_F(DelegationTest, ANodeThatWasJustStartedTakesNothingOnBeforeItsFormerProcessesWordIsOver) {
     // What that one told the leader last counts for as long as a holder keeps still.
-    Holder fresh{bounds, "b", clock.now()};
-    fresh.takeOn({7, 0, 20s}, clock.now(), clock.now());
-    EXPECT_FALSE(fresh.holds(clock.now()));
+    Delegate fresh{bounds, "b", clock.now()};
+    fresh.acceptTransfer({7, 0, 20s}, clock.now(), clock.now());
+    EXPECT_FALSE(fresh.isValid(clock.now()));
     clock.advance(4s);
-    fresh.takeOn({7, 0, 20s}, clock.now(), clock.now());
-    EXPECT_TRUE(fresh.holds(clock.now()));
-    fresh.heard(8, clock.now());
-    EXPECT_FALSE(fresh.holds(clock.now()));
-    EXPECT_FALSE(fresh.wants(clock.now())) << "a leader speaks";
+    fresh.acceptTransfer({7, 0, 20s}, clock.now(), clock.now());
+    EXPECT_TRUE(fresh.isValid(clock.now()));
+    fresh.onLeaderHeard(8, clock.now());
+    EXPECT_FALSE(fresh.isValid(clock.now()));
+    EXPECT_FALSE(fresh.needsDelegation(clock.now())) << "a leader speaks";
 }
 
 TEST_F(DelegationTest, WhoIsNotHeardMayAnswerByWhatAHolderThatIsBackHandedOn) {
     Delegator books{bounds, 7, {"rig-0", "a"}, 1h, {{"rig-1", "b"}, {"rig-2", "b"}}, clock.now()};
-    Holder other{bounds, "b", clock.now() - 1h};
-    const auto ask = [&](Holder& h, const std::string& name) {
+    Delegate other{bounds, "b", clock.now() - 1h};
+    const auto ask = [&](Delegate& h, const std::string& name) {
         const TimePoint asked = clock.now();
-        h.take(books.asked(h.question(name, asked), cap, asked), asked, asked);
+        h.accept(books.handleRequest(h.request(name, asked), cap, asked), asked, asked);
     };
     for (int i = 0; i < 200; ++i) {
         ask(holder, "rig-1");
         if (i < 2) ask(other, "rig-2");  // and is gone for good after that
         clock.advance(500ms);
     }
-    EXPECT_LE(books.leasesEnd("b", clock.now()), clock.now()) << "what it held is over";
+    EXPECT_LE(books.agentLeasesEnd("b", clock.now()), clock.now()) << "what it held is over";
     const TimePoint last = clock.now() - 500ms;
     clock.advance(10s);
     ask(holder, "rig-1");
     clock.advance(500ms);
     ask(holder, "rig-1");
-    EXPECT_GE(books.leasesEnd("b", clock.now()), last + 60s + 30s) << "rig-2 may be back, unheard";
-    EXPECT_GE(books.answersEnd("b"), last + 60s);
+    EXPECT_GE(books.agentLeasesEnd("b", clock.now()), last + 60s + 30s)
+        << "rig-2 may be back, unheard";
+    EXPECT_GE(books.delegationsEnd("b"), last + 60s);
     // Heard, it gives that back by taking the leader's.
-    Holder back{bounds, "b", clock.now() - 1h};
+    Delegate back{bounds, "b", clock.now() - 1h};
     for (int i = 0; i < 2; ++i) ask(back, "rig-2");
-    EXPECT_LE(books.leasesEnd("b", clock.now()), clock.now() + 32s);
+    EXPECT_LE(books.agentLeasesEnd("b", clock.now()), clock.now() + 32s);
 }
 
 /// One machine in a zone that is cut off, one outside, a leader outside, and perhaps its successor.
@@ -261,7 +265,7 @@
         settings_.lease = 4s;
         settings_.reportEvery = 1s;
         settings_.cancelWithin = 11s;
-        bounds_ = Bounds{8s, 4s, 11s, 2s};
+        bounds_ = DelegationLimits{8s, 4s, 11s, 2s};
         lead(1);
     }
     /// What went wrong, or nothing.
@@ -286,35 +290,36 @@
     }
     void beat(Worker& w, TimePoint& renewed, bool reached) {
         if (!reached) return;
-        w.execute(cluster_->beat(w.next(), clock_.now()));
+        w.execute(cluster_->onHeartbeat(w.next(), clock_.now()));
         w.report.token = leaderToken_;
         renewed = clock_.now();
     }
-    void borrow(Holder& holder, const std::string& name, bool answered) {
-        const Question q = holder.question(name, clock_.now());
+    void borrow(Delegate& holder, const std::string& name, bool answered) {
+        const DelegationRequest q = holder.request(name, clock_.now());
         const Delegation delegation =
-            delegator_->asked(q, cluster_->delegationCap("b", clock_.now()), clock_.now());
-        if (answered) holder.take(delegation, clock_.now(), clock_.now());
+            delegator_->handleRequest(q, cluster_->delegationCap("b", clock_.now()), clock_.now());
+        if (answered) holder.accept(delegation, clock_.now(), clock_.now());
     }
-    void handOn(const Holder& from, Holder& to) {
-        if (!to.wants(clock_.now())) return;
-        if (const auto delegation = from.handOn(0, clock_.now()))
-            to.takeOn(*delegation, clock_.now(), clock_.now());
+    void handOn(const Delegate& from, Delegate& to) {
+        if (!to.needsDelegation(clock_.now())) return;
+        if (const auto delegation = from.transfer(0, clock_.now()))
+            to.acceptTransfer(*delegation, clock_.now(), clock_.now());
     }
     static bool runs(const Worker& w) {
-        return std::any_of(w.report.tasks.begin(), w.report.tasks.end(),
-                           [](const auto& t) { return t.status != workers::TaskStatus::exited; });
+        return std::any_of(w.report.tasks.begin(), w.report.tasks.end(), [](const auto& t) {
+            return t.status != worker_api::TaskStatus::exited;
+        });
     }
     Story story_;
     FakeClock clock_;
     settings::Settings settings_ = testing::someSettings();
-    Bounds bounds_;
+    DelegationLimits bounds_;
     std::map<std::string, std::string> records_;
     std::unique_ptr<Cluster> cluster_;
     std::unique_ptr<Delegator> delegator_;
     FencingToken leaderToken_ = 0;
-    Holder holder_{Bounds{8s, 4s, 11s, 2s}, "b", clock_.now() - 1h};
-    Holder mate_{Bounds{8s, 4s, 11s, 2s}, "b", clock_.now() - 1h};
+    Delegate holder_{DelegationLimits{8s, 4s, 11s, 2s}, "b", clock_.now() - 1h};
+    Delegate mate_{DelegationLimits{8s, 4s, 11s, 2s}, "b", clock_.now() - 1h};
     int kept_ = 0;
 };
 
@@ -332,34 +337,34 @@
             cluster_->submit(spec, clock_.now(), clock_.wall());
         }
         if (s == story_.takeOverAt) lead(2);
-        if (s == story_.restartAt) holder_ = Holder{bounds_, "b", clock_.now()};
+        if (s == story_.restartAt) holder_ = Delegate{bounds_, "b", clock_.now()};
         if (!paused && (!cut || (s == cutAt && story_.answerLost))) borrow(holder_, "rig-1", !cut);
         const bool mateCut = s >= story_.mateCutAt && s < story_.mateCutAt + story_.mateCutFor;
         if (story_.mate) {
-            if (s == story_.mateRestartAt) mate_ = Holder{bounds_, "b", clock_.now()};
+            if (s == story_.mateRestartAt) mate_ = Delegate{bounds_, "b", clock_.now()};
             if (!mateCut) borrow(mate_, "rig-2", true);
             if (!paused) handOn(mate_, holder_), handOn(holder_, mate_);
         }
         // The worker first: it sends its report, and then perhaps kills what it runs.
         beat(inside, renewedInside, !cut);
-        if (cut && !paused && holder_.answer(inside.report.token, "b", 0, clock_.now()))
+        if (cut && !paused && holder_.mayAnswer(inside.report.token, "b", 0, clock_.now()))
             renewedInside = clock_.now();
-        if (cut && story_.mate && mate_.answer(inside.report.token, "b", 0, clock_.now()))
+        if (cut && story_.mate && mate_.mayAnswer(inside.report.token, "b", 0, clock_.now()))
             renewedInside = clock_.now();
         beat(outside, renewedOutside, s > 2);  // so that the job goes to the zone
         if (clock_.now() - renewedInside > settings_.lease) {
             inside.newSession();
             renewedInside = clock_.now();
         }
-        if (inside.report.session == 1) kept_ = s;
+        if (inside.report.incarnation == 1) kept_ = s;
         if (story_.cancelAt >= 0 && s >= story_.cancelAt && !told)  // its user asks until told
             if (Job* job = cluster_->find("run-1")) cluster_->cancel(*job, clock_.now());
-        cluster_->expire(clock_.now());
+        cluster_->advanceTo(clock_.now());
         cluster_->place(clock_.now());
         testing::commitAll(*cluster_, records_);
         Job* job = cluster_->find("run-1");
         if (job != nullptr && job->cancelDurable()) {
-            cluster_->told(*job, clock_.now());
+            cluster_->acknowledgeCancellation(*job, clock_.now());
             if (!told) told = clock_.now();
         }
         if (runs(inside) && runs(outside)) return "ran twice";
@@ -475,4 +480,4 @@
 }
 
 }  // namespace
-}  // namespace basaltchute::delegation
+}  // namespace basaltchute::lease_delegation
--- a/src/mesh/mesh.capnp
+++ b/src/peer_rpc/peer_rpc.capnp
@@ -1,7 +1,7 @@
 @0xb1f4c6d25a7e9c03;
 
 using Cxx = import "/capnp/c++.capnp";
-$Cxx.namespace("basaltchute::mesh::wire");
+$Cxx.namespace("basaltchute::peer_rpc::wire");
 
 struct Frame {
   union {
--- a/src/mesh/mesh.cpp
+++ b/src/peer_rpc/peer_rpc.cpp
@@ -1,4 +1,4 @@
-#include "mesh/mesh.h"
+#include "peer_rpc/peer_rpc.h"
 
 #include <capnp/message.h>
 #include <capnp/serialize.h>
@@ -8,9 +8,9 @@
 #include <cstring>
 #include <vector>
 
-#include "mesh/mesh.capnp.h"
+#include "peer_rpc/peer_rpc.capnp.h"
 
-namespace basaltchute::mesh {
+namespace basaltchute::peer_rpc {
 
 using namespace std::chrono_literals;
 
@@ -42,11 +42,11 @@
         h.setLeading(m.hello->leading);
         h.setToken(m.hello->token);
         h.setReady(m.hello->ready);
-        h.setHears(m.hello->hears);
-        h.setLoans(m.hello->delegations);
-        h.setHandsOn(m.hello->handsOn);
-        h.setProcess(m.hello->process.c_str());
-        h.setFormat(static_cast<std::uint16_t>(m.hello->format));
+        h.setHears(m.hello->knownLeaderToken);
+        h.setLoans(m.hello->supportsDelegations);
+        h.setHandsOn(m.hello->supportsTransfers);
+        h.setProcess(m.hello->incarnation.c_str());
+        h.setFormat(static_cast<std::uint16_t>(m.hello->storedFormat));
     } else if (m.request) {
         auto r = frame.initRequest();
         r.setId(m.id);
@@ -62,19 +62,19 @@
         p.setId(m.id);
         p.setToken(m.pledge->token);
         p.setHoldMs(static_cast<std::uint32_t>(m.pledge->hold.count()));
-    } else if (m.borrow) {
+    } else if (m.delegationRequest) {
         auto b = frame.initBorrow();
         b.setId(m.id);
-        b.setNode(m.borrow->node.c_str());
-        b.setToken(m.borrow->token);
-        b.setNumber(m.borrow->number);
-        b.setSinceUseMs(static_cast<std::uint64_t>(m.borrow->sinceUse.count()));
+        b.setNode(m.delegationRequest->node.c_str());
+        b.setToken(m.delegationRequest->token);
+        b.setNumber(m.delegationRequest->number);
+        b.setSinceUseMs(static_cast<std::uint64_t>(m.delegationRequest->sinceUse.count()));
     } else if (m.delegation) {
         auto l = frame.initLoan();
         l.setId(m.id);
         l.setToken(m.delegation->token);
         l.setNumber(m.delegation->number);
-        l.setSpanMs(static_cast<std::uint32_t>(m.delegation->span.count()));
+        l.setSpanMs(static_cast<std::uint32_t>(m.delegation->duration.count()));
     } else if (m.reply) {
         auto r = frame.initReply();
         r.setId(m.id);
@@ -91,13 +91,13 @@
     return out;
 }
 
-Decoded decode(std::string& data, Message& into) {
+DecodeStatus decode(std::string& data, Message& into) {
     std::uint32_t n = 0;
-    if (data.size() < sizeof n) return Decoded::needMore;
+    if (data.size() < sizeof n) return DecodeStatus::needMore;
     for (std::size_t i = 0; i < sizeof n; ++i)
         n |= static_cast<std::uint32_t>(static_cast<unsigned char>(data[i])) << (8 * i);
-    if (n > maxFrame || n == 0 || n % sizeof(capnp::word) != 0) return Decoded::broken;
-    if (data.size() < sizeof n + n) return Decoded::needMore;
+    if (n > maxFrame || n == 0 || n % sizeof(capnp::word) != 0) return DecodeStatus::broken;
+    if (data.size() < sizeof n + n) return DecodeStatus::needMore;
     auto words = kj::heapArray<capnp::word>(n / sizeof(capnp::word));
     std::memcpy(words.begin(), data.data() + sizeof n, n);
     data.erase(0, sizeof n + n);
@@ -130,45 +130,45 @@
             // A use that was longer ago than any lease lasts says no more than that.
             constexpr std::uint64_t longAgo = 24 * 3600 * 1000;
             into.id = b.getId();
-            into.borrow = delegation::Question{
+            into.delegationRequest = lease_delegation::DelegationRequest{
                 text(b.getNode()), b.getToken(), b.getNumber(),
                 std::chrono::milliseconds(std::min<std::uint64_t>(b.getSinceUseMs(), longAgo))};
         } else if (frame.isLoan()) {
             const auto l = frame.getLoan();
             into.id = l.getId();
-            into.delegation = delegation::Delegation{l.getToken(), l.getNumber(),
-                                                     std::chrono::milliseconds(l.getSpanMs())};
+            into.delegation = lease_delegation::Delegation{
+                l.getToken(), l.getNumber(), std::chrono::milliseconds(l.getSpanMs())};
         } else if (frame.isReply()) {
             const auto r = frame.getReply();
             into.id = r.getId();
             into.reply = http::Response{r.getStatus(), text(r.getBody()),
                                         static_cast<int>(r.getRetryAfterS())};
         } else {
-            return Decoded::broken;
+            return DecodeStatus::broken;
         }
     } catch (const kj::Exception& e) {
         spdlog::warn("mesh: a frame that does not decode: {}", e.getDescription().cStr());
-        return Decoded::broken;
+        return DecodeStatus::broken;
     }
-    return Decoded::message;
+    return DecodeStatus::message;
 }
 
-Mesh::Mesh(Loop& loop, const settings::Settings& s, Hooks hooks)
+PeerRpc::PeerRpc(EventLoop& loop, const settings::Settings& s, Hooks hooks)
     : loop_(loop), listen_(s.meshListen), peers_(s.peers), hooks_(std::move(hooks)) {}
 
-void Mesh::start(Scope& scope) {
+void PeerRpc::start(Scope& scope) {
     listener_ = std::make_unique<Listener>(loop_, listen_);
     scope.spawn(acceptAll(scope));
     for (const auto& p : peers_) {
-        lastHeard_[p.name] = loop_.now();
+        lastHeardAt_[p.name] = loop_.now();
         redial_.try_emplace(p.name, loop_);
         scope.spawn(dial(p, scope));
     }
 }
 
-std::set<std::string> Mesh::silentFor(Duration span) const {
+std::set<std::string> PeerRpc::nodesSilentFor(Duration span) const {
     std::set<std::string> out;
-    for (const auto& [node, before] : lastHeard_) {
+    for (const auto& [node, before] : lastHeardAt_) {
         const auto link = links_.find(node);
         const TimePoint at =
             link == links_.end() ? before : std::max(before, link->second->heardAt);
@@ -177,29 +177,29 @@
     return out;
 }
 
-bool Mesh::connected(const std::string& node) const {
+bool PeerRpc::connected(const std::string& node) const {
     // A node that stands still accepts connections all the same: what counts is that it speaks.
     const auto it = links_.find(node);
     return it != links_.end() && !it->second->broken &&
            loop_.now() - it->second->heardAt < speaksWithin;
 }
 
-void Mesh::announce() {
-    for (auto& [node, link] : links_) sayHello(*link);
+void PeerRpc::announce() {
+    for (auto& [node, link] : links_) sendHello(*link);
 }
 
-void Mesh::say(Link& link, const Message& message) {
+void PeerRpc::send(Link& link, const Message& message) {
     link.out += encode(message);
     link.wake.notify();
 }
 
-void Mesh::sayHello(Link& link) {
+void PeerRpc::sendHello(Link& link) {
     Message m;
     m.hello = hooks_.hello();
-    say(link, m);
+    send(link, m);
 }
 
-Task<void> Mesh::flush(std::shared_ptr<Link> link, Scope& scope) {
+Task<void> PeerRpc::flush(std::shared_ptr<Link> link, Scope& scope) {
     while (!link->broken && !scope.cancelled()) {
         if (link->out.empty()) {
             co_await loop_.wait(link->wake, TimePoint::max(), scope);
@@ -211,14 +211,14 @@
     }
 }
 
-Task<void> Mesh::greet(std::shared_ptr<Link> link, Scope& scope) {
+Task<void> PeerRpc::sendHellos(std::shared_ptr<Link> link, Scope& scope) {
     while (!link->broken && !scope.cancelled()) {
-        sayHello(*link);
+        sendHello(*link);
         co_await loop_.sleep(helloEvery, scope);
     }
 }
 
-Task<void> Mesh::dial(settings::Peer peer, Scope& scope) {
+Task<void> PeerRpc::dial(settings::Peer peer, Scope& scope) {
     const auto to = parseAddress(peer.address);
     while (!scope.cancelled()) {
         auto socket = co_await Socket::connect(loop_, *to, loop_.now() + 1s, scope);
@@ -231,13 +231,13 @@
         link->since = loop_.now();
         links_[peer.name] = link;
         scope.spawn(flush(link, scope));
-        scope.spawn(greet(link, scope));
+        scope.spawn(sendHellos(link, scope));
         std::string data;
         while (!link->broken && !scope.cancelled()) {
             Message m;
-            const Decoded d = decode(data, m);
-            if (d == Decoded::broken) break;
-            if (d == Decoded::message) {
+            const DecodeStatus d = decode(data, m);
+            if (d == DecodeStatus::broken) break;
+            if (d == DecodeStatus::message) {
                 link->heardAt = loop_.now();
                 if (const auto it = pending_.find(m.id); m.reply && it != pending_.end()) {
                     it->second->response = std::move(*m.reply);
@@ -248,8 +248,8 @@
                 }
                 if (m.hello) {
                     link->hello = *m.hello;
-                    handsOn_[m.hello->node] = m.hello->handsOn;
-                    hooks_.heard(*m.hello);
+                    supportsTransfers_[m.hello->node] = m.hello->supportsTransfers;
+                    hooks_.helloReceived(*m.hello);
                 }
                 continue;
             }
@@ -260,7 +260,7 @@
         link->broken = true;
         link->wake.notify();
         if (links_[peer.name] == link) links_.erase(peer.name);
-        lastHeard_[peer.name] = std::max(lastHeard_[peer.name], link->heardAt);
+        lastHeardAt_[peer.name] = std::max(lastHeardAt_[peer.name], link->heardAt);
         for (auto& [id, p] : pending_) {
             if (p->node != peer.name || p->answered()) continue;
             p->lost = true;
@@ -269,7 +269,7 @@
     }
 }
 
-Task<void> Mesh::acceptAll(Scope& scope) {
+Task<void> PeerRpc::acceptAll(Scope& scope) {
     while (!scope.cancelled()) {
         auto socket = co_await listener_->accept(scope);
         if (!socket) break;
@@ -277,35 +277,36 @@
         link->socket = std::move(socket);
         link->since = loop_.now();
         scope.spawn(flush(link, scope));
-        scope.spawn(greet(link, scope));
+        scope.spawn(sendHellos(link, scope));
         scope.spawn(serve(link, scope));
     }
 }
 
-void Mesh::greeted(const Link& link, const Hello& hello) {
+void PeerRpc::onHello(const Link& link, const Hello& hello) {
     const auto mine = links_.find(hello.node);
     if (mine == links_.end()) {
         if (const auto waits = redial_.find(hello.node); waits != redial_.end())
             waits->second.notify();
     } else if (Link& old = *mine->second;
-               old.hello && old.hello->process != hello.process && old.since < link.since) {
+               old.hello && old.hello->incarnation != hello.incarnation && old.since < link.since) {
         // Started again, and the end of its former process has not come through, as after a cut:
         // that connection would only be given up after a silence, and what waits on it with it.
         old.broken = true;
         old.socket->shutDown();
     }
-    hooks_.heard(hello);
+    hooks_.helloReceived(hello);
 }
 
-Task<void> Mesh::serve(std::shared_ptr<Link> link, Scope& scope) {
+Task<void> PeerRpc::serve(std::shared_ptr<Link> link, Scope& scope) {
     std::string data;
     while (!link->broken && !scope.cancelled()) {
         Message m;
-        const Decoded d = decode(data, m);
-        if (d == Decoded::broken) break;
-        if (d == Decoded::message) {
-            if (m.hello) greeted(*link, *m.hello);
-            if (m.request || m.pledge || m.borrow) scope.spawn(answer(link, std::move(m)));
+        const DecodeStatus d = decode(data, m);
+        if (d == DecodeStatus::broken) break;
+        if (d == DecodeStatus::message) {
+            if (m.hello) onHello(*link, *m.hello);
+            if (m.request || m.pledge || m.delegationRequest)
+                scope.spawn(answer(link, std::move(m)));
             continue;
         }
         const long n = co_await link->socket->read(data, loop_.now() + silence, scope);
@@ -315,23 +316,24 @@
     link->wake.notify();
 }
 
-Task<void> Mesh::answer(std::shared_ptr<Link> link, Message asked) {
+Task<void> PeerRpc::answer(std::shared_ptr<Link> link, Message asked) {
     Message m;
     m.id = asked.id;
-    if (asked.borrow) {
-        m.delegation = hooks_.delegate(*asked.borrow);
+    if (asked.delegationRequest) {
+        m.delegation = hooks_.handleDelegationRequest(*asked.delegationRequest);
         if (!m.delegation) co_return;
     } else if (asked.pledge) {
-        m.reply = http::Response{hooks_.pledge(*asked.pledge) ? 200 : 409, ""};
+        m.reply = http::Response{hooks_.handlePledge(*asked.pledge) ? 200 : 409, ""};
     } else {
-        http::Response response = co_await hooks_.serve(asked.purpose, std::move(*asked.request),
-                                                        std::move(asked.worker));
+        http::Response response = co_await hooks_.handleRequest(
+            asked.purpose, std::move(*asked.request), std::move(asked.worker));
         m.reply = std::move(response);
     }
-    if (!link->broken) say(*link, m);
+    if (!link->broken) send(*link, m);
 }
 
-std::shared_ptr<Mesh::Pending> Mesh::post(const std::string& node, Message message) {
+std::shared_ptr<PeerRpc::Pending> PeerRpc::enqueueRequest(const std::string& node,
+                                                          Message message) {
     const auto it = links_.find(node);
     if (it == links_.end() || it->second->broken) return nullptr;
     auto pending = std::make_shared<Pending>(loop_);
@@ -339,12 +341,13 @@
     pending->id = message.id = nextId_++;
     pending->forLeader = message.request && message.purpose == Purpose::leader;
     pending_[pending->id] = pending;
-    say(*it->second, message);
+    send(*it->second, message);
     return pending;
 }
 
-Task<http::Outcome> Mesh::await(std::shared_ptr<Pending> pending, TimePoint until, Scope& scope) {
-    http::Outcome out;
+Task<http::RequestOutcome> PeerRpc::await(std::shared_ptr<Pending> pending, TimePoint until,
+                                          Scope& scope) {
+    http::RequestOutcome out;
     if (!pending) co_return out;
     out.sent = true;
     while (!pending->answered() && !pending->lost && loop_.now() < until && !scope.cancelled())
@@ -357,25 +360,25 @@
     co_return out;
 }
 
-Task<http::Outcome> Mesh::forward(std::string node, http::Request request, Duration patience,
-                                  Scope& scope, Purpose purpose) {
+Task<http::RequestOutcome> PeerRpc::forward(std::string node, http::Request request,
+                                            Duration timeout, Scope& scope, Purpose purpose) {
     Message m;
     m.request = std::move(request);
     m.purpose = purpose;
-    auto pending = post(node, std::move(m));
-    auto out = co_await await(pending, loop_.now() + patience, scope);
+    auto pending = enqueueRequest(node, std::move(m));
+    auto out = co_await await(pending, loop_.now() + timeout, scope);
     co_return out;
 }
 
-Task<bool> Mesh::pledgeAll(Pledge pledge, std::set<std::string> absent, Duration patience,
-                           Scope& scope) {
-    const TimePoint until = loop_.now() + patience;
+Task<bool> PeerRpc::pledgeAll(Pledge pledge, std::set<std::string> absent, Duration timeout,
+                              Scope& scope) {
+    const TimePoint until = loop_.now() + timeout;
     std::vector<std::shared_ptr<Pending>> asked;
     for (const auto& p : peers_) {
         if (absent.contains(p.name)) continue;
         Message m;
         m.pledge = pledge;
-        asked.push_back(post(p.name, std::move(m)));
+        asked.push_back(enqueueRequest(p.name, std::move(m)));
     }
     bool all = true;
     for (auto& pending : asked) {
@@ -385,46 +388,46 @@
     co_return all;
 }
 
-Task<std::optional<delegation::Delegation>> Mesh::borrow(std::string node,
-                                                         delegation::Question question,
-                                                         Duration patience, Scope& scope) {
+Task<std::optional<lease_delegation::Delegation>> PeerRpc::requestDelegation(
+    std::string node, lease_delegation::DelegationRequest question, Duration timeout,
+    Scope& scope) {
     Message m;
-    m.borrow = std::move(question);
-    auto pending = post(node, std::move(m));
+    m.delegationRequest = std::move(question);
+    auto pending = enqueueRequest(node, std::move(m));
     if (!pending) co_return std::nullopt;
-    co_await await(pending, loop_.now() + patience, scope);
+    co_await await(pending, loop_.now() + timeout, scope);
     co_return pending->delegation;
 }
 
-std::string Mesh::whoHears(FencingToken token) const {
+std::string PeerRpc::peersHearingLeader(FencingToken token) const {
     for (const auto& [node, link] : links_)
-        if (connected(node) && link->hello && link->hello->hears == token) return node;
+        if (connected(node) && link->hello && link->hello->knownLeaderToken == token) return node;
     return "";
 }
 
-bool Mesh::knowsDelegations(const std::string& node) const {
+bool PeerRpc::supportsDelegations(const std::string& node) const {
     const auto it = links_.find(node);
-    return it != links_.end() && it->second->hello && it->second->hello->delegations;
+    return it != links_.end() && it->second->hello && it->second->hello->supportsDelegations;
 }
 
-bool Mesh::allKnowFormat(unsigned format, Duration absentAfter) const {
-    const auto silent = silentFor(absentAfter);
+bool PeerRpc::allSupportFormat(unsigned format, Duration absentAfter) const {
+    const auto silent = nodesSilentFor(absentAfter);
     return std::all_of(peers_.begin(), peers_.end(), [&](const auto& p) {
         const auto it = links_.find(p.name);
         const bool there = connected(p.name);
-        return there ? it->second->hello && it->second->hello->format >= format
+        return there ? it->second->hello && it->second->hello->storedFormat >= format
                      : silent.contains(p.name);
     });
 }
 
-bool Mesh::allHandOn() const {
+bool PeerRpc::allHandOn() const {
     return std::all_of(peers_.begin(), peers_.end(), [&](const auto& p) {
-        const auto said = handsOn_.find(p.name);
-        return said != handsOn_.end() && said->second;
+        const auto said = supportsTransfers_.find(p.name);
+        return said != supportsTransfers_.end() && said->second;
     });
 }
 
-void Mesh::leaderIs(const std::string& node) {
+void PeerRpc::retryPendingAt(const std::string& node) {
     for (auto& [id, p] : pending_) {
         if (!p->forLeader || p->node == node || p->answered()) continue;
         p->lost = true;
@@ -432,8 +435,9 @@
     }
 }
 
-Task<Mesh::Detoured> Mesh::toWorker(std::string zone, std::string worker, http::Request request,
-                                    Duration patience, Scope& scope) {
+Task<PeerRpc::Detoured> PeerRpc::relayToAgent(std::string zone, std::string worker,
+                                              http::Request request, Duration timeout,
+                                              Scope& scope) {
     // One peer only: with a second one asked as well, the first one's copy might be executed late
     // although the answer seems to settle it.
     std::vector<std::string> near, all;
@@ -449,8 +453,8 @@
     m.request = std::move(request);
     m.purpose = Purpose::worker;
     m.worker = std::move(worker);
-    auto pending = post(by, std::move(m));
-    auto o = co_await await(pending, loop_.now() + patience, scope);
+    auto pending = enqueueRequest(by, std::move(m));
+    auto o = co_await await(pending, loop_.now() + timeout, scope);
     if (o.answered) {
         // 502: it did not reach the worker at all; 504: the worker may have got it.
         o.sent = o.response.status != 502;
@@ -459,12 +463,13 @@
     co_return Detoured{std::move(o), !near.empty()};
 }
 
-Task<http::Outcome> Mesh::viaPeers(http::Request request, Duration patience, Scope& scope) {
-    http::Outcome last;
+Task<http::RequestOutcome> PeerRpc::relayToStore(http::Request request, Duration timeout,
+                                                 Scope& scope) {
+    http::RequestOutcome last;
     for (const auto& p : peers_) {
         if (!connected(p.name)) continue;
         http::Request copy = request;
-        auto o = co_await forward(p.name, std::move(copy), patience, scope, Purpose::stateService);
+        auto o = co_await forward(p.name, std::move(copy), timeout, scope, Purpose::stateService);
         // 502: that node did not get an answer either.
         if (o.answered && o.response.status != 503 && o.response.status != 502) co_return o;
         last.sent = last.sent || o.sent;
@@ -472,4 +477,4 @@
     co_return last;
 }
 
-}  // namespace basaltchute::mesh
+}  // namespace basaltchute::peer_rpc
--- a/src/mesh/mesh.h
+++ b/src/peer_rpc/peer_rpc.h
@@ -6,13 +6,13 @@
 #include <set>
 #include <string>
 
-#include "delegation/holder.h"
 #include "http/client.h"
-#include "leadership/leadership.h"
+#include "leader_election/leader_election.h"
+#include "lease_delegation/delegate.h"
 #include "runtime/socket.h"
 #include "settings/settings.h"
 
-namespace basaltchute::mesh {
+namespace basaltchute::peer_rpc {
 
 /// Length-prefixed Cap'n Proto frames. Encoding and decoding are pure; a frame that does not
 /// decode ends its connection.
@@ -20,12 +20,13 @@
     std::string node;
     bool leading = false;
     FencingToken token = 0;
-    bool ready = false;        // has loaded all records as well
-    FencingToken hears = 0;    // of the leader that it hears; 0: none
-    bool delegations = false;  // understands delegations: an older version would end the link
-    bool handsOn = false;      // reckons with delegations that are handed on
-    std::string process{};     // drawn at its start; empty: an older version
-    unsigned format = 1;       // of the stored state, the newest that it knows
+    bool ready = false;                 // has loaded all records as well
+    FencingToken knownLeaderToken = 0;  // of the leader that it hears; 0: none
+    bool supportsDelegations =
+        false;                       // understands delegations: an older version would end the link
+    bool supportsTransfers = false;  // reckons with delegations that are handed on
+    std::string incarnation{};       // drawn at its start; empty: an older version
+    unsigned storedFormat = 1;       // of the stored state, the newest that it knows
 };
 enum class Purpose { leader, stateService, worker };
 struct Pledge {
@@ -40,70 +41,73 @@
     Purpose purpose = Purpose::leader;
     std::string worker;  // its address, for the purpose of that name
     std::optional<Pledge> pledge;
-    std::optional<delegation::Question> borrow;
-    std::optional<delegation::Delegation> delegation;
+    std::optional<lease_delegation::DelegationRequest> delegationRequest;
+    std::optional<lease_delegation::Delegation> delegation;
 };
 std::string encode(const Message& message);
-enum class Decoded { needMore, message, broken };
-Decoded decode(std::string& data, Message& into);
+enum class DecodeStatus { needMore, message, broken };
+DecodeStatus decode(std::string& data, Message& into);
 
 /// Connections between the controllers: each node dials every other and speaks on the
 /// connection it dialled; answers come back on the same one.
-class Mesh {
+class PeerRpc {
   public:
     struct Hooks {
         std::function<Hello()> hello;
-        std::function<void(const Hello&)> heard;
+        std::function<void(const Hello&)> helloReceived;
         /// `worker`: its address, for the purpose of that name.
-        std::function<Task<http::Response>(Purpose, http::Request, std::string worker)> serve;
-        std::function<bool(const Pledge&)> pledge;
+        std::function<Task<http::Response>(Purpose, http::Request, std::string worker)>
+            handleRequest;
+        std::function<bool(const Pledge&)> handlePledge;
         /// Nothing if this node does not lead, or not yet, and has nothing to hand on.
-        std::function<std::optional<delegation::Delegation>(const delegation::Question&)> delegate;
+        std::function<std::optional<lease_delegation::Delegation>(
+            const lease_delegation::DelegationRequest&)>
+            handleDelegationRequest;
     };
-    Mesh(Loop& loop, const settings::Settings& settings, Hooks hooks);
+    PeerRpc(EventLoop& loop, const settings::Settings& settings, Hooks hooks);
     void start(Scope& scope);
-    Task<http::Outcome> forward(std::string node, http::Request request, Duration patience,
-                                Scope& scope, Purpose purpose = Purpose::leader);
+    Task<http::RequestOutcome> forward(std::string node, http::Request request, Duration timeout,
+                                       Scope& scope, Purpose purpose = Purpose::leader);
     /// True only if every other node but `absent` pledges in time.
-    Task<bool> pledgeAll(Pledge pledge, std::set<std::string> absent, Duration patience,
+    Task<bool> pledgeAll(Pledge pledge, std::set<std::string> absent, Duration timeout,
                          Scope& scope);
     /// Asks a leader, or another holder, for a delegation; nothing if it gives no answer.
-    Task<std::optional<delegation::Delegation>> borrow(std::string node,
-                                                       delegation::Question question,
-                                                       Duration patience, Scope& scope);
+    Task<std::optional<lease_delegation::Delegation>> requestDelegation(
+        std::string node, lease_delegation::DelegationRequest question, Duration timeout,
+        Scope& scope);
     /// A connected node that said it hears the leader with that token; empty if there is none.
-    [[nodiscard]] std::string whoHears(FencingToken token) const;
+    [[nodiscard]] std::string peersHearingLeader(FencingToken token) const;
     /// Whether that node understands delegations, as it last said.
-    [[nodiscard]] bool knowsDelegations(const std::string& node) const;
+    [[nodiscard]] bool supportsDelegations(const std::string& node) const;
     /// Whether every other node has said, the last time that it was heard, that it reckons with
     /// delegations that are handed on: any of them may lead next.
     [[nodiscard]] bool allHandOn() const;
     /// Whether every other node has said that it knows that format of the stored state, but for
     /// those that have not been reached for so long.
-    [[nodiscard]] bool allKnowFormat(unsigned format, Duration absentAfter) const;
+    [[nodiscard]] bool allSupportFormat(unsigned format, Duration absentAfter) const;
     /// Nodes that have said nothing for so long.
-    [[nodiscard]] std::set<std::string> silentFor(Duration span) const;
+    [[nodiscard]] std::set<std::string> nodesSilentFor(Duration span) const;
     /// Through whichever other node reaches the state service.
-    Task<http::Outcome> viaPeers(http::Request request, Duration patience, Scope& scope);
+    Task<http::RequestOutcome> relayToStore(http::Request request, Duration timeout, Scope& scope);
     /// Through a peer to a worker: one in that zone if there is one, since it may be cut off.
     /// `sent` if the peer may have passed it on without an answer. The status of what is not
     /// answered tells whether the worker was tried: 502 and 504 from a peer, 503 for want of one.
     struct Detoured {
-        http::Outcome outcome;
+        http::RequestOutcome outcome;
         bool near = false;  // by a node in the worker's zone: a cut of that zone is no excuse
     };
-    Task<Detoured> toWorker(std::string zone, std::string worker, http::Request request,
-                            Duration patience, Scope& scope);
+    Task<Detoured> relayToAgent(std::string zone, std::string worker, http::Request request,
+                                Duration timeout, Scope& scope);
     /// Another node leads and is ready: what was passed on to a former leader is not waited for any
     /// longer.
-    void leaderIs(const std::string& node);
+    void retryPendingAt(const std::string& node);
     [[nodiscard]] bool connected(const std::string& node) const;
     /// Tells every peer at once that something about this node has changed.
     void announce();
 
   private:
     struct Link {
-        explicit Link(Loop& loop) : wake(loop) {}
+        explicit Link(EventLoop& loop) : wake(loop) {}
         std::unique_ptr<Socket> socket;
         std::string out;
         Event wake;
@@ -112,10 +116,10 @@
         std::optional<Hello> hello;  // as last heard
     };
     struct Pending {
-        explicit Pending(Loop& loop) : done(loop) {}
+        explicit Pending(EventLoop& loop) : done(loop) {}
         Event done;
         std::optional<http::Response> response;
-        std::optional<delegation::Delegation> delegation;
+        std::optional<lease_delegation::Delegation> delegation;
         bool lost = false;
         [[nodiscard]] bool answered() const { return response || delegation; }
         std::uint64_t id = 0;
@@ -126,27 +130,28 @@
     Task<void> acceptAll(Scope& scope);
     Task<void> serve(std::shared_ptr<Link> link, Scope& scope);
     Task<void> answer(std::shared_ptr<Link> link, Message message);
-    std::shared_ptr<Pending> post(const std::string& node, Message message);
-    Task<http::Outcome> await(std::shared_ptr<Pending> pending, TimePoint until, Scope& scope);
+    std::shared_ptr<Pending> enqueueRequest(const std::string& node, Message message);
+    Task<http::RequestOutcome> await(std::shared_ptr<Pending> pending, TimePoint until,
+                                     Scope& scope);
     Task<void> flush(std::shared_ptr<Link> link, Scope& scope);
-    Task<void> greet(std::shared_ptr<Link> link, Scope& scope);
+    Task<void> sendHellos(std::shared_ptr<Link> link, Scope& scope);
     /// A greeting on a connection that the other side dialled: it is there, perhaps as a process
     /// that the connection dialled from here does not lead to.
-    void greeted(const Link& link, const Hello& hello);
-    void say(Link& link, const Message& message);
-    void sayHello(Link& link);
+    void onHello(const Link& link, const Hello& hello);
+    void send(Link& link, const Message& message);
+    void sendHello(Link& link);
 
-    Loop& loop_;
+    EventLoop& loop_;
     std::string listen_;
     std::vector<settings::Peer> peers_;
     Hooks hooks_;
     std::unique_ptr<Listener> listener_;
     std::map<std::string, std::shared_ptr<Link>> links_;
-    std::map<std::string, TimePoint> lastHeard_;  // on connections that have ended
-    std::map<std::string, bool> handsOn_;         // as last said
-    std::map<std::string, Event> redial_;         // it has been heard: no need to wait
+    std::map<std::string, TimePoint> lastHeardAt_;   // on connections that have ended
+    std::map<std::string, bool> supportsTransfers_;  // as last said
+    std::map<std::string, Event> redial_;            // it has been heard: no need to wait
     std::map<std::uint64_t, std::shared_ptr<Pending>> pending_;
     std::uint64_t nextId_ = 1;
 };
 
-}  // namespace basaltchute::mesh
+}  // namespace basaltchute::peer_rpc
--- a/src/runtime/budget.h
+++ b/src/runtime/budget.h
@@ -6,9 +6,9 @@
 namespace basaltchute {
 
 /// A token bucket that holds one burst; rates are per second.
-class Budget {
+class RateLimiter {
   public:
-    Budget(double rate, double burst, TimePoint now)
+    RateLimiter(double rate, double burst, TimePoint now)
         : rate_(rate), burst_(burst), have_(burst), at_(now) {}
     double available(TimePoint now) {
         have_ = std::min(burst_, have_ + rate_ * toSeconds(now - at_));
@@ -24,13 +24,13 @@
         rate_ = rate;
         have_ = std::min(have_, burst_);
     }
-    bool take(TimePoint now, double n = 1) {
+    bool tryTake(TimePoint now, double n = 1) {
         if (available(now) < n) return false;
         have_ -= n;
         return true;
     }
     /// How long until `n` are available.
-    Duration until(TimePoint now, double n = 1) {
+    Duration timeUntil(TimePoint now, double n = 1) {
         const double lack = n - available(now);
         return lack <= 0 ? Duration::zero() : fromSeconds(lack / rate_);
     }
--- a/src/runtime/log.cpp
+++ b/src/runtime/log.cpp
@@ -7,7 +7,7 @@
 
 namespace basaltchute {
 
-void setUpLog(const std::string& name) {
+void configureLogging(const std::string& name) {
     auto logger = spdlog::stderr_logger_st(name);
     logger->set_pattern("%L %v");
     spdlog::set_default_logger(logger);
--- a/src/runtime/log.h
+++ b/src/runtime/log.h
@@ -4,6 +4,6 @@
 namespace basaltchute {
 
 /// Logs to standard error under `name`, as much as LOG_LEVEL (`error`, `info`, `debug`) says.
-void setUpLog(const std::string& name);
+void configureLogging(const std::string& name);
 
 }  // namespace basaltchute
--- a/src/runtime/loop.cpp
+++ b/src/runtime/loop.cpp
@@ -57,7 +57,7 @@
     if (--live_ > 0) co_return;
     for (const auto h : std::exchange(ending_, {})) loop_.post(h);
 }
-Task<void> Scope::end() {
+Task<void> Scope::cancelAndWait() {
     cancel();
     struct AllEnded {
         Scope& scope;
@@ -69,32 +69,32 @@
     co_await ended;
 }
 
-Loop::Loop(const Clock& clock) : Loop(clock, std::make_unique<Kernel>()) {}
-Loop::Loop(const Clock& clock, std::unique_ptr<Host> host)
+EventLoop::EventLoop(const Clock& clock) : EventLoop(clock, std::make_unique<Kernel>()) {}
+EventLoop::EventLoop(const Clock& clock, std::unique_ptr<Host> host)
     : clock_(clock), host_(std::move(host)) {}
-Loop::~Loop() = default;
+EventLoop::~EventLoop() = default;
 
-void Loop::spawn(Task<void> task) {
+void EventLoop::spawn(Task<void> task) {
     drive(std::move(task));
 }
 
-void Loop::add(int fd, FdHandler& handler) {
+void EventLoop::add(int fd, FdHandler& handler) {
     handlers_[fd] = &handler;
     host_->watch(fd);
 }
-void Loop::remove(int fd) {
+void EventLoop::remove(int fd) {
     handlers_.erase(fd);
     host_->unwatch(fd);
 }
 
-bool Loop::Wait::await_ready() {
+bool EventLoop::Wait::await_ready() {
     if (scope->cancelled()) {
         waiter.result = Wake::cancelled;
         return true;
     }
     return false;
 }
-void Loop::Wait::await_suspend(std::coroutine_handle<> h) {
+void EventLoop::Wait::await_suspend(std::coroutine_handle<> h) {
     waiter.handle = h;
     waiter.event = event;
     waiter.scope = scope;
@@ -106,7 +106,7 @@
     }
 }
 
-void Loop::wake(detail::Waiter& waiter, Wake result) {
+void EventLoop::wake(detail::Waiter& waiter, Wake result) {
     waiter.result = result;
     if (waiter.event != nullptr) waiter.event->waiters_.erase(waiter.inEvent);
     waiter.scope->waiters_.erase(waiter.inScope);
@@ -114,12 +114,12 @@
     ready_.push_back(waiter.handle);
 }
 
-void Loop::fireTimers() {
+void EventLoop::fireTimers() {
     const TimePoint t = now();
     while (!timers_.empty() && timers_.begin()->first <= t)
         wake(*timers_.begin()->second, Wake::timeout);
 }
-void Loop::runReady() {
+void EventLoop::runReady() {
     // Only what is ready now: routines that wake each other must not starve the sockets.
     for (std::size_t n = ready_.size(); n > 0; --n) {
         auto h = ready_.front();
@@ -127,7 +127,7 @@
         h.resume();
     }
 }
-bool Loop::turn(Duration most) {
+bool EventLoop::turn(Duration most) {
     std::array<Host::Ready, 64> events;
     fireTimers();
     bool busy = !ready_.empty();
@@ -147,7 +147,7 @@
     return busy || !ready_.empty();
 }
 
-void Loop::run() {
+void EventLoop::run() {
     while (!stopping_) turn(std::chrono::seconds(60));
 }
 
--- a/src/runtime/loop.h
+++ b/src/runtime/loop.h
@@ -12,7 +12,7 @@
 
 namespace basaltchute {
 
-class Loop;
+class EventLoop;
 class Event;
 class Scope;
 
@@ -34,15 +34,15 @@
 /// Wakes those who wait on it. Not remembered: callers check their condition before waiting.
 class Event {
   public:
-    explicit Event(Loop& loop) : loop_(loop) {}
+    explicit Event(EventLoop& loop) : loop_(loop) {}
     Event(const Event&) = delete;
     Event& operator=(const Event&) = delete;
     ~Event();
     void notify();
 
   private:
-    friend class Loop;
-    Loop& loop_;
+    friend class EventLoop;
+    EventLoop& loop_;
     std::list<detail::Waiter*> waiters_;
 };
 
@@ -50,7 +50,7 @@
 /// every later wait returns at once. Scopes are owned by whoever starts the duty.
 class Scope {
   public:
-    explicit Scope(Loop& loop) : loop_(loop) {}
+    explicit Scope(EventLoop& loop) : loop_(loop) {}
     Scope(const Scope&) = delete;
     Scope& operator=(const Scope&) = delete;
     ~Scope();
@@ -60,12 +60,12 @@
     /// owner may free what the routine uses.
     void spawn(Task<void> task);
     /// Cancels and waits until every routine of the scope has ended. Several may wait.
-    Task<void> end();
+    Task<void> cancelAndWait();
 
   private:
-    friend class Loop;
+    friend class EventLoop;
     Task<void> counted(Task<void> task);
-    Loop& loop_;
+    EventLoop& loop_;
     bool cancelled_ = false;
     std::size_t live_ = 0;
     std::vector<std::coroutine_handle<>> ending_;
@@ -79,14 +79,14 @@
     virtual void ready(bool readable, bool writable) = 0;
 };
 
-class Loop {
+class EventLoop {
   public:
     /// On the machine that the process runs on.
-    explicit Loop(const Clock& clock);
-    Loop(const Clock& clock, std::unique_ptr<Host> host);
-    ~Loop();
-    Loop(const Loop&) = delete;
-    Loop& operator=(const Loop&) = delete;
+    explicit EventLoop(const Clock& clock);
+    EventLoop(const Clock& clock, std::unique_ptr<Host> host);
+    ~EventLoop();
+    EventLoop(const EventLoop&) = delete;
+    EventLoop& operator=(const EventLoop&) = delete;
 
     [[nodiscard]] TimePoint now() const { return clock_.now(); }
     [[nodiscard]] const Clock& clock() const { return clock_; }
@@ -107,7 +107,7 @@
     void remove(int fd);
 
     struct Wait {
-        Loop& loop;
+        EventLoop& loop;
         Event* event;
         TimePoint until;
         Scope* scope;
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -29,7 +29,7 @@
     return std::string(text.data()) + ':' + std::to_string(ntohs(addr.sin_port));
 }
 
-Socket::Socket(Loop& loop, int fd) : loop_(loop), fd_(fd), readable_(loop), writable_(loop) {
+Socket::Socket(EventLoop& loop, int fd) : loop_(loop), fd_(fd), readable_(loop), writable_(loop) {
     loop_.add(fd_, *this);
 }
 Socket::~Socket() {
@@ -41,7 +41,7 @@
     if (writable) writable_.notify();
 }
 
-Task<std::unique_ptr<Socket>> Socket::connect(Loop& loop, sockaddr_in to, TimePoint until,
+Task<std::unique_ptr<Socket>> Socket::connect(EventLoop& loop, sockaddr_in to, TimePoint until,
                                               Scope& scope) {
     errno = 0;
     const int fd = loop.host().connect(to);
@@ -98,7 +98,7 @@
     writable_.notify();
 }
 
-Listener::Listener(Loop& loop, const std::string& address) : loop_(loop), acceptable_(loop) {
+Listener::Listener(EventLoop& loop, const std::string& address) : loop_(loop), acceptable_(loop) {
     const auto addr = parseAddress(address);
     if (!addr) throw std::runtime_error("not an IPv4 address with a port: " + address);
     try {
--- a/src/runtime/socket.h
+++ b/src/runtime/socket.h
@@ -18,12 +18,12 @@
 /// A non-blocking TCP connection whose waits end with data, a deadline or its scope.
 class Socket final : public FdHandler {
   public:
-    Socket(Loop& loop, int fd);
+    Socket(EventLoop& loop, int fd);
     ~Socket() override;
     Socket(const Socket&) = delete;
     Socket& operator=(const Socket&) = delete;
 
-    static Task<std::unique_ptr<Socket>> connect(Loop& loop, sockaddr_in to, TimePoint until,
+    static Task<std::unique_ptr<Socket>> connect(EventLoop& loop, sockaddr_in to, TimePoint until,
                                                  Scope& scope);
     /// Appends to `into`; 0 at the end of the stream, -1 on error, deadline or cancellation.
     Task<long> read(std::string& into, TimePoint until, Scope& scope);
@@ -37,7 +37,7 @@
     void ready(bool readable, bool writable) override;
 
   private:
-    Loop& loop_;
+    EventLoop& loop_;
     int fd_;
     Event readable_, writable_;
 };
@@ -45,7 +45,7 @@
 /// A listening socket.
 class Listener final : public FdHandler {
   public:
-    Listener(Loop& loop, const std::string& address);
+    Listener(EventLoop& loop, const std::string& address);
     ~Listener() override;
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
@@ -55,7 +55,7 @@
     void ready(bool readable, bool writable) override;
 
   private:
-    Loop& loop_;
+    EventLoop& loop_;
     int fd_ = -1;
     Event acceptable_;
 };
--- a/src/experience/spread.cpp
+++ b/src/runtime_statistics/quantile_histogram.cpp
@@ -1,10 +1,10 @@
-#include "experience/spread.h"
+#include "runtime_statistics/quantile_histogram.h"
 
 #include <algorithm>
 #include <cmath>
 #include <functional>
 
-namespace basaltchute::experience {
+namespace basaltchute::runtime_statistics {
 
 namespace bh = boost::histogram;
 
@@ -15,7 +15,7 @@
 constexpr double fade = 0.995;
 }  // namespace
 
-Spread::Spread(double low, double high, double prior)
+QuantileHistogram::QuantileHistogram(double low, double high, double prior)
     : prior_(bh::make_histogram_with(bh::dense_storage<double>(), Axis(bins, least, most))),
       observed_(prior_) {
     const Axis& axis = prior_.axis();
@@ -25,14 +25,14 @@
     for (int i = to + 1; i <= far; ++i) prior_.at(i) = prior / 20 / (far - to);
 }
 
-void Spread::add(double ratio) {
+void QuantileHistogram::add(double ratio) {
     if (!std::isfinite(ratio) || ratio <= 0) return;
     observed_ *= fade;
     seen_ = seen_ * fade + 1;
     observed_(std::clamp(ratio, least, most * 0.999));
 }
 
-double Spread::quantile(double q) const {
+double QuantileHistogram::quantile(double q) const {
     double total = 0;
     for (int i = 0; i < static_cast<int>(bins); ++i) total += prior_.at(i) + observed_.at(i);
     const Axis& axis = prior_.axis();
@@ -49,7 +49,7 @@
     return axis.value(static_cast<double>(bins));
 }
 
-void Spread::encode(json::Out& out, std::size_t most) const {
+void QuantileHistogram::encode(json::Out& out, std::size_t most) const {
     std::vector<double> weights;
     for (int i = 0; i < static_cast<int>(bins); ++i) weights.push_back(observed_.at(i));
     std::sort(weights.begin(), weights.end(), std::greater<>());
@@ -64,7 +64,7 @@
     out.closeArray();
 }
 
-bool Spread::decode(const json::Value& value) {
+bool QuantileHistogram::decode(const json::Value& value) {
     if (!value.IsArray() || value.Size() % 2 != 0) return false;
     for (unsigned i = 0; i < value.Size(); i += 2)
         if (!value[i].IsUint() || value[i].GetUint() >= bins || !value[i + 1].IsUint64())
@@ -79,4 +79,4 @@
     return true;
 }
 
-}  // namespace basaltchute::experience
+}  // namespace basaltchute::runtime_statistics
--- a/src/experience/spread.h
+++ b/src/runtime_statistics/quantile_histogram.h
@@ -5,16 +5,16 @@
 
 #include "json/json.h"
 
-namespace basaltchute::experience {
+namespace basaltchute::runtime_statistics {
 
 /// How a ratio (seen over expected) is spread, learnt from observations that fade as newer ones
 /// come; before there are many it leans on what is known beforehand. Boost.Histogram keeps it.
-class Spread {
+class QuantileHistogram {
   public:
     /// `low` to `high`: where ratios are expected before anything was seen, spread evenly over the
     /// logarithm, with the weight of `prior` observations; half of that is how much more to the
     /// upper side there is of the stretch twice as far out.
-    Spread(double low, double high, double prior);
+    QuantileHistogram(double low, double high, double prior);
     void add(double ratio);
     /// The ratio that a share `q` (0 to 1) of what comes stays below.
     [[nodiscard]] double quantile(double q) const;
@@ -35,4 +35,4 @@
     double seen_ = 0;
 };
 
-}  // namespace basaltchute::experience
+}  // namespace basaltchute::runtime_statistics
--- a/src/experience/experience.h
+++ b/src/runtime_statistics/runtime_statistics.h
@@ -3,13 +3,13 @@
 #include <set>
 #include <string>
 
-#include "experience/spread.h"
 #include "runtime/clock.h"
+#include "runtime_statistics/quantile_histogram.h"
 
-namespace basaltchute::experience {
+namespace basaltchute::runtime_statistics {
 
 /// What a leader has seen of the deployment that no settings tell, and the next one goes on with.
-class Experience {
+class RuntimeStatistics {
   public:
     /// A machine of the type came `took` after it was rented, where the catalogue says `stated`.
     void came(const std::string& type, Duration took, Duration stated);
@@ -25,8 +25,8 @@
     bool decode(const std::string& text);
 
   private:
-    std::map<std::string, Spread> boots_;
+    std::map<std::string, QuantileHistogram> boots_;
     std::set<std::string> changed_;
 };
 
-}  // namespace basaltchute::experience
+}  // namespace basaltchute::runtime_statistics
--- a/src/experience/experience_test.cpp
+++ b/src/runtime_statistics/runtime_statistics_test.cpp
@@ -1,4 +1,4 @@
-#include "experience/experience.h"
+#include "runtime_statistics/runtime_statistics.h"
 
 #include <gtest/gtest.h>
 
@@ -7,13 +7,13 @@
 #include <random>
 #include <vector>
 
-namespace basaltchute::experience {
+namespace basaltchute::runtime_statistics {
 namespace {
 
 using namespace std::chrono_literals;
 
-TEST(Spread, LeansOnWhatIsKnownAndThenOnWhatIsSeen) {
-    Spread s(0.6, 1.5, 20);
+TEST(QuantileHistogram, LeansOnWhatIsKnownAndThenOnWhatIsSeen) {
+    QuantileHistogram s(0.6, 1.5, 20);
     EXPECT_NEAR(s.quantile(0.5), 0.95, 0.1);
     EXPECT_GT(s.quantile(0.99), 1.4);
     for (int i = 0; i < 400; ++i) s.add(3.0);
@@ -23,10 +23,10 @@
     EXPECT_NEAR(s.quantile(0.9), 0.8, 0.1);
 }
 
-TEST(Spread, ItsQuantilesAreThoseOfWhatItSaw) {
+TEST(QuantileHistogram, ItsQuantilesAreThoseOfWhatItSaw) {
     std::mt19937 random(7);
     std::lognormal_distribution<double> ratios(std::log(1.2), 0.4);
-    Spread s(0.5, 2.0, 10);
+    QuantileHistogram s(0.5, 2.0, 10);
     std::vector<double> all;
     for (int i = 0; i < 600; ++i) {
         all.push_back(ratios(random));
@@ -37,8 +37,8 @@
         EXPECT_NEAR(s.quantile(q) / all[static_cast<std::size_t>(q * 600)], 1.0, 0.12) << q;
 }
 
-TEST(Spread, OddRatiosDoNoHarm) {
-    Spread s(0.6, 1.5, 20);
+TEST(QuantileHistogram, OddRatiosDoNoHarm) {
+    QuantileHistogram s(0.6, 1.5, 20);
     const double before = s.quantile(0.9);
     for (const double odd : {0.0, -1.0, std::nan(""), HUGE_VAL}) s.add(odd);
     EXPECT_EQ(s.quantile(0.9), before);
@@ -46,15 +46,15 @@
     EXPECT_LE(s.quantile(1.0), 20.1);
 }
 
-TEST(Experience, GoesFromOneLeaderToTheNext) {
-    Experience first;
+TEST(RuntimeStatistics, GoesFromOneLeaderToTheNext) {
+    RuntimeStatistics first;
     for (int i = 0; i < 100; ++i) first.came("box", 60s, 20s);
     first.came("slow", 200s, 20s);
     EXPECT_EQ(first.changed().size(), 2U);
     const std::string record = first.encode("box", 2000);
     EXPECT_EQ(first.changed(), std::set<std::string>{"slow"});
     EXPECT_LT(record.size(), 2000U);
-    Experience next;
+    RuntimeStatistics next;
     ASSERT_TRUE(next.decode(first.encode("slow", 2000)));
     ASSERT_TRUE(next.decode(record));
     EXPECT_GT(next.coming("slow", 20s, 0.99), 60s) << "of each type a record of its own";
@@ -68,16 +68,16 @@
     EXPECT_GT(next.coming("box", 20s, 0.5), 50s) << "nothing changes by a record it cannot read";
 }
 
-TEST(Experience, ARecordFitsIntoWhatAValueMayBe) {
+TEST(RuntimeStatistics, ARecordFitsIntoWhatAValueMayBe) {
     // The boards' three types took 2.6 KiB in one record, and the state service went down to 2.
-    Experience e;
+    RuntimeStatistics e;
     std::mt19937 random(3);
     std::lognormal_distribution<double> ratios(0, 0.9);
     for (int i = 0; i < 2000; ++i) e.came("box", fromSeconds(20 * ratios(random)), 20s);
     for (const std::size_t bytes : {4096U, 512U, 200U}) {
         const std::string record = e.encode("box", bytes);
         EXPECT_LE(record.size(), bytes);
-        Experience next;
+        RuntimeStatistics next;
         ASSERT_TRUE(next.decode(record));
         EXPECT_NEAR(toSeconds(next.coming("box", 20s, 0.5)), toSeconds(e.coming("box", 20s, 0.5)),
                     4.0);
@@ -85,4 +85,4 @@
 }
 
 }  // namespace
-}  // namespace basaltchute::experience
+}  // namespace basaltchute::runtime_statistics
--- a/src/scheduler/cluster_fixture.h
+++ b/src/scheduler/cluster_fixture.h
@@ -9,10 +9,10 @@
 
 using namespace std::chrono_literals;
 using testing::Worker;
-using workers::ExitCause;
-using workers::Order;
-using workers::TaskStatus;
-using workers::Verb;
+using worker_api::Command;
+using worker_api::CommandKind;
+using worker_api::ExitCause;
+using worker_api::TaskStatus;
 
 /// A leader's state on a fake clock, with the state service played by `commit`.
 class ClusterTest : public ::testing::Test {
@@ -34,14 +34,14 @@
             ASSERT_TRUE(cluster->load(k, data, clock.now(), clock.wall()));
         cluster->loaded(clock.now());
     }
-    std::vector<Order> beat(Worker& w) {
-        const auto orders = cluster->beat(w.next(), clock.now());
+    std::vector<Command> beat(Worker& w) {
+        const auto orders = cluster->onHeartbeat(w.next(), clock.now());
         w.report.token = cluster->token();
         return orders;
     }
     void exchange(Worker& w) { w.execute(beat(w)); }
     Job& submit(const JobSpec& spec) {
-        EXPECT_EQ(cluster->submit(spec, clock.now(), clock.wall()), Submitted::fresh);
+        EXPECT_EQ(cluster->submit(spec, clock.now(), clock.wall()), SubmitResult::accepted);
         commit();
         return *cluster->find(spec.id);
     }
--- a/src/scheduler/cluster_test.cpp
+++ b/src/scheduler/cluster_test.cpp
@@ -16,26 +16,26 @@
     exchange(w);
     clock.advance(settings.reportEvery);
     w.newSession();
-    cluster->report(w.next(), Cluster::Source::direct, clock.now());
+    cluster->onStatusReport(w.next(), Cluster::Source::commandResponse, clock.now());
     Job& job = submit(testing::spec("run-1", 1));
     place();
     commit();
-    w.execute(cluster->directOrders(cluster->indexOf("n-1"), clock.now()));
+    w.execute(cluster->takeDirectCommands(cluster->indexOf("n-1"), clock.now()));
     ASSERT_EQ(w.report.tasks.size(), 1U);
     exchange(other);
     // The former session's lease has ended by any clock.
     clock.advance(settings.lease - settings.reportEvery + 1500ms);
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     EXPECT_EQ(job.boundCount, 1U) << "it lives on, and nothing was heard since";
     EXPECT_EQ(job.tasks[0].machine, cluster->indexOf("n-1"));
     // Its reports are overdue by now: it is asked, answers with one more session, and gets nothing.
     w.newSession();
-    cluster->report(w.next(), Cluster::Source::direct, clock.now());
+    cluster->onStatusReport(w.next(), Cluster::Source::commandResponse, clock.now());
     exchange(other);
     place();
     EXPECT_EQ(job.tasks[0].machine, cluster->indexOf("n-2"));
     clock.advance(settings.lease + 2s);
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     EXPECT_EQ(job.boundCount, 0U);
 }
 
@@ -48,7 +48,7 @@
     commit();
     const auto orders = beat(w);
     ASSERT_EQ(orders.size(), 1U);
-    EXPECT_EQ(orders[0].verb, Verb::launch);
+    EXPECT_EQ(orders[0].kind, CommandKind::launch);
     EXPECT_EQ(orders[0].attempt, 1U);
 }
 
@@ -58,7 +58,7 @@
     cluster->submit(testing::spec("run-1"), clock.now(), clock.wall());
     place();
     EXPECT_TRUE(beat(w).empty()) << "neither is on record yet";
-    const auto dirty = cluster->take().dirty;
+    const auto dirty = cluster->takeEffects().dirtyRecords;
     for (const auto& d : dirty) EXPECT_EQ(d.first, dirty[0].first);
     const auto encoded = cluster->encode(dirty[0].first);
     ASSERT_TRUE(encoded);
@@ -85,13 +85,13 @@
     while (clock.now() - last < settings.lease) {
         clock.advance(1s);
         exchange(other);
-        cluster->expire(clock.now());
+        cluster->advanceTo(clock.now());
         place();
         EXPECT_EQ(job.tasks[0].attempt, 1U);
     }
     clock.advance(1s);
     exchange(other);
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     place();
     commit();
     EXPECT_EQ(job.tasks[0].attempt, 2U);
@@ -114,7 +114,7 @@
     Job& job = running(w, testing::spec("run-1"));
     clock.advance(20s);
     exchange(other);
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     place();
     commit();
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
@@ -130,7 +130,7 @@
     Job& job = running(w, testing::spec("run-1"));
     clock.advance(20s);
     exchange(other);
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     place();
     commit();
     exchange(other);
@@ -180,7 +180,7 @@
     EXPECT_TRUE(job.doneDurable());
     const auto orders = beat(w);
     ASSERT_EQ(orders.size(), 1U);
-    EXPECT_EQ(orders[0].verb, Verb::forget);
+    EXPECT_EQ(orders[0].kind, CommandKind::forget);
 }
 
 TEST_F(ClusterTest, AnUnansweredDirectLaunchStaysChargedAndIsNeverForgotten) {
@@ -190,19 +190,19 @@
     place();
     commit();
     const auto m = *cluster->machines().find("n-1");
-    ASSERT_EQ(cluster->directOrders(m, clock.now()).size(), 1U);
-    cluster->directEnded(m, true);  // sent, no answer: it may arrive minutes later
+    ASSERT_EQ(cluster->takeDirectCommands(m, clock.now()).size(), 1U);
+    cluster->onDirectCommandEnded(m, true);  // sent, no answer: it may arrive minutes later
     cluster->cancel(job, clock.now());
     commit();
     // Made known and ended in one go, so that the late launch is a repetition.
     auto orders = beat(w);
     ASSERT_EQ(orders.size(), 2U);
-    EXPECT_EQ(orders[0].verb, Verb::launch);
-    EXPECT_EQ(orders[1].verb, Verb::stop);
-    EXPECT_EQ(cluster->machines()[m].charges.size(), 1U);
+    EXPECT_EQ(orders[0].kind, CommandKind::launch);
+    EXPECT_EQ(orders[1].kind, CommandKind::stop);
+    EXPECT_EQ(cluster->machines()[m].allocations.size(), 1U);
     w.execute(orders);
     for (int i = 0; i < 3; ++i) EXPECT_TRUE(beat(w).empty()) << "forgotten, it could start again";
-    EXPECT_TRUE(cluster->machines()[m].charges.empty());
+    EXPECT_TRUE(cluster->machines()[m].allocations.empty());
 }
 
 TEST_F(ClusterTest, ADirectReportDoesNotDisproveALaunchInsideABeatsAnswer) {
@@ -215,16 +215,18 @@
     cluster->cancel(job, clock.now());
     commit();
     const auto m = *cluster->machines().find("n-1");
-    cluster->report(w.next(), Cluster::Source::direct, clock.now());
-    EXPECT_EQ(cluster->machines()[m].charges.size(), 1U);
+    cluster->onStatusReport(w.next(), Cluster::Source::commandResponse, clock.now());
+    EXPECT_EQ(cluster->machines()[m].allocations.size(), 1U);
     beat(w);  // a beat is sent only after the earlier answer was executed or dropped
-    EXPECT_TRUE(cluster->machines()[m].charges.empty());
+    EXPECT_TRUE(cluster->machines()[m].allocations.empty());
 }
 
 TEST_F(ClusterTest, AWithdrawalIsFinalOnceWhatMayStillRunEndsInTime) {
     // With a zone lent for longer than users are promised, a task there could outlive its answer.
-    const delegation::Bounds terms = delegation::Bounds::of(settings);
-    delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}}, clock.now());
+    const lease_delegation::DelegationLimits terms =
+        lease_delegation::DelegationLimits::from(settings);
+    lease_delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}},
+                                          clock.now());
     cluster->setDelegator(delegator);
     Worker w("n-1");
     Job& job = running(w, testing::spec("run-1"));
@@ -232,17 +234,17 @@
     commit();
     EXPECT_FALSE(job.cancelDurable()) << "rig-1 may hold a former leader's delegation";
     clock.advance(1s);
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     commit();
     EXPECT_FALSE(job.cancelDurable());
     EXPECT_NE(records.at("jobs/run-1").find("withdrawing"), std::string::npos)
         << "no successor starts it again";
-    EXPECT_GT(cluster->tellableIn(job, clock.now()), 0s);
+    EXPECT_GT(cluster->timeUntilAcknowledgeable(job, clock.now()), 0s);
     EXPECT_LE(cluster->delegationCap("a", clock.now()), clock.now() + settings.cancelWithin);
     EXPECT_EQ(cluster->delegationCap("b", clock.now()), TimePoint::max());
     w.execute(beat(w));
     beat(w);  // gone: that is proof
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     commit();
     EXPECT_TRUE(job.cancelDurable());
     EXPECT_EQ(cluster->delegationCap("a", clock.now()), TimePoint::max());
@@ -251,34 +253,38 @@
 }
 
 TEST_F(ClusterTest, WhatIsBeingWithdrawnStaysSoAfterATakeOverAndIsToldWhenItMayBe) {
-    const delegation::Bounds terms = delegation::Bounds::of(settings);
-    delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}}, clock.now());
+    const lease_delegation::DelegationLimits terms =
+        lease_delegation::DelegationLimits::from(settings);
+    lease_delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}},
+                                          clock.now());
     cluster->setDelegator(delegator);
     Worker w("n-1");
     running(w, testing::spec("run-1"));
     cluster->cancel(*cluster->find("run-1"), clock.now());
     clock.advance(1s);
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     commit();
     takeOver();  // the successor delegates nothing
     Job& job = *cluster->find("run-1");
     EXPECT_TRUE(cluster->openJobs().empty());
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     commit();
     EXPECT_TRUE(job.cancelDurable());
 }
 
 TEST_F(ClusterTest, ATaskFoundAfterItsJobWasToldToBeCancelledEndsTheDelegationsOfItsZone) {
-    const delegation::Bounds terms = delegation::Bounds::of(settings);
-    delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}}, clock.now());
+    const lease_delegation::DelegationLimits terms =
+        lease_delegation::DelegationLimits::from(settings);
+    lease_delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}},
+                                          clock.now());
     Worker w("n-1");
     exchange(w);
     Job& job = submit(testing::spec("run-1"));
     cluster->cancel(job, clock.now());
     commit();
-    cluster->told(job, clock.now());
+    cluster->acknowledgeCancellation(job, clock.now());
     cluster->setDelegator(delegator);
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     EXPECT_EQ(cluster->delegationCap("a", clock.now()), TimePoint::max())
         << "nothing of it is anywhere";
     clock.advance(1h);
@@ -288,20 +294,22 @@
 }
 
 TEST_F(ClusterTest, ASilentMachinesTasksStayWhereAHolderMayHaveAnsweredForTheLeader) {
-    const delegation::Bounds terms = delegation::Bounds::of(settings);
-    delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}}, clock.now());
+    const lease_delegation::DelegationLimits terms =
+        lease_delegation::DelegationLimits::from(settings);
+    lease_delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}},
+                                          clock.now());
     cluster->setDelegator(delegator);
     Worker w("n-1");
     Job& job = running(w, testing::spec("run-1"));
     const auto silentFor = [&](Duration span) {
         for (Duration d{}; d < span; d += 1s) {
             clock.advance(1s);
-            cluster->expire(clock.now());
+            cluster->advanceTo(clock.now());
         }
     };
     silentFor(settings.lease + 2s);
     EXPECT_EQ(job.boundCount, 1U) << "a lease is not enough";
-    silentFor(terms.longest - 3s);
+    silentFor(terms.maxDuration - 3s);
     EXPECT_EQ(job.boundCount, 1U);
     silentFor(3s);
     EXPECT_EQ(job.boundCount, 0U) << "a lease after the longest delegation is";
@@ -345,7 +353,7 @@
     EXPECT_EQ(cluster->find("run-2")->boundCount, 1U) << "placed before n-2 is heard of";
     EXPECT_EQ(job.boundCount, 3U);
     clock.advance(settings.lease + 1s);
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     EXPECT_EQ(job.boundCount, 0U);
 }
 
@@ -380,7 +388,7 @@
     w.report.tasks.push_back({"run-9", 0, 1, TaskStatus::running, ExitCause::other, false});
     const auto orders = beat(w);
     ASSERT_EQ(orders.size(), 1U);
-    EXPECT_EQ(orders[0].verb, Verb::stop);
+    EXPECT_EQ(orders[0].kind, CommandKind::stop);
 }
 
 TEST_F(ClusterTest, LimitsCountWhatPossiblyRuns) {
@@ -465,8 +473,8 @@
     place();
     const auto orders = beat(w);
     ASSERT_EQ(orders.size(), 1U) << "one task is enough room";
-    EXPECT_EQ(orders[0].verb, Verb::stop);
-    EXPECT_GE(orders[0].grace, 5s);
+    EXPECT_EQ(orders[0].kind, CommandKind::stop);
+    EXPECT_GE(orders[0].gracePeriod, 5s);
     w.execute(orders);
     beat(w);
     place();
@@ -537,9 +545,10 @@
         for (std::size_t t = 0; t < 2; ++t) all[i].set(t, TaskStatus::exited, ExitCause::error);
         exchange(all[i]);
     }
-    EXPECT_LE(job.notBefore, clock.now());
+    EXPECT_LE(job.backOffUntil, clock.now());
     for (std::size_t i = 0; i < 6; ++i)
-        EXPECT_EQ(cluster->machines()[cluster->indexOf(all[i].report.machine)].sick, i < 4) << i;
+        EXPECT_EQ(cluster->machines()[cluster->indexOf(all[i].report.machine)].quarantined, i < 4)
+            << i;
 }
 
 TEST_F(ClusterTest, AJobThatRunsForAWhileBeforeItFailsCondemnsNoMachine) {
@@ -560,9 +569,9 @@
         exchange(w);
         clock.advance(500ms);
     }
-    EXPECT_TRUE(broken.suspect);
-    EXPECT_GT(broken.notBefore, clock.now());
-    for (const auto& m : cluster->machines()) EXPECT_FALSE(m.sick) << m.name;
+    EXPECT_TRUE(broken.crashLooping);
+    EXPECT_GT(broken.backOffUntil, clock.now());
+    for (const auto& m : cluster->machines()) EXPECT_FALSE(m.quarantined) << m.name;
 }
 
 TEST_F(ClusterTest, AResultIsForgottenOnceItStandsHoweverOftenItsRecordChanges) {
@@ -581,7 +590,7 @@
     ASSERT_LT(job.layout.head().durable, job.layout.head().version);
     const auto orders = beat(w);
     ASSERT_EQ(orders.size(), 1U) << "the second result does not stand yet";
-    EXPECT_EQ(orders[0].verb, Verb::forget);
+    EXPECT_EQ(orders[0].kind, CommandKind::forget);
     EXPECT_EQ(orders[0].task, 0U);
 }
 
@@ -737,16 +746,16 @@
     s.checkpointS = 10;
     s.saveS = 4;
     running(w, s);
-    w.report.notice = 15s;
+    w.report.interruptionNotice = 15s;
     beat(w);
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     EXPECT_TRUE(beat(w).empty()) << "it may still finish";
     clock.advance(9s);
-    w.report.notice = 6s;
-    cluster->expire(clock.now());
+    w.report.interruptionNotice = 6s;
+    cluster->advanceTo(clock.now());
     const auto orders = beat(w);
     ASSERT_EQ(orders.size(), 1U);
-    EXPECT_GE(orders[0].grace, 4s);
+    EXPECT_GE(orders[0].gracePeriod, 4s);
 }
 
 TEST_F(ClusterTest, AMachineThatFailsSeveralJobsGetsNoMoreWork) {
@@ -760,7 +769,7 @@
     w.set(0, TaskStatus::exited, ExitCause::error);
     w.set(1, TaskStatus::exited, ExitCause::error);
     exchange(w);
-    EXPECT_TRUE(cluster->machines()[0].sick);
+    EXPECT_TRUE(cluster->machines()[0].quarantined);
     clock.advance(2min);
     exchange(w);
     place();
@@ -786,8 +795,8 @@
         }
     }
     EXPECT_GE(job.failures, 3U);
-    EXPECT_GT(job.notBefore, clock.now() - 60s);
-    for (const auto& m : cluster->machines()) EXPECT_FALSE(m.sick);
+    EXPECT_GT(job.backOffUntil, clock.now() - 60s);
+    for (const auto& m : cluster->machines()) EXPECT_FALSE(m.quarantined);
 }
 
 TEST_F(ClusterTest, LargeArraysSpillIntoFurtherRecordsAndComeBack) {
@@ -834,7 +843,7 @@
                         1.0 + static_cast<double>(below(9))};
             s.image = "img-" + std::to_string(below(3));
             s.spread = below(3) == 0;
-            s.oneZone = !s.spread && below(4) == 0;
+            s.sameZone = !s.spread && below(4) == 0;
             s.spotAllowed = below(2) == 0;
             s.checkpointS = below(2) == 0 ? 10 : 0;
             if (below(4) == 0) {
@@ -844,7 +853,7 @@
             } else if (below(6) == 0) {
                 s.shape = Shape::gang;
             }
-            if (cluster->submit(s, clock.now(), clock.wall()) == Submitted::fresh)
+            if (cluster->submit(s, clock.now(), clock.wall()) == SubmitResult::accepted)
                 ids.push_back(s.id);
         } else if (what < 6) {
             place();
@@ -854,7 +863,7 @@
             cluster->cancel(*cluster->find(ids[below(ids.size())]), clock.now());
         } else if (what == 10) {
             clock.advance(std::chrono::milliseconds(200 * below(20)));
-            cluster->expire(clock.now());
+            cluster->advanceTo(clock.now());
         } else if (what == 11 && below(12) == 0) {
             cluster->machineGone(cluster->indexOf(all[below(all.size())].report.machine),
                                  clock.now());
@@ -867,7 +876,7 @@
         } else {
             Worker& w = all[below(all.size())];
             if (below(30) == 0) w.newSession();
-            if (below(60) == 0) w.report.notice = 20s;
+            if (below(60) == 0) w.report.interruptionNotice = 20s;
             for (std::size_t t = 0; t < w.report.tasks.size(); ++t) {
                 if (w.report.tasks[t].status == TaskStatus::exited || below(6) != 0) continue;
                 const std::size_t how = below(10);
@@ -879,7 +888,7 @@
             }
             exchange(w);
         }
-        ASSERT_EQ(cluster->check(), "") << "after step " << step;
+        ASSERT_EQ(cluster->findInconsistency(), "") << "after step " << step;
     }
     EXPECT_GT(cluster->jobCount(), 50U);
 }
@@ -904,21 +913,21 @@
             for (auto& w : all) exchange(w);
         EXPECT_EQ(cluster->find("run-0")->runningCount, filler.tasks);
         place();  // sees what the launches changed
-        std::uint64_t before = cluster->looks();
+        std::uint64_t before = cluster->visitedMachines();
         for (auto& w : all) exchange(w);
         place();
-        EXPECT_EQ(cluster->looks(), before) << "beats that tell nothing new";
+        EXPECT_EQ(cluster->visitedMachines(), before) << "beats that tell nothing new";
         JobSpec web = testing::spec("run-1", 3);
         web.team = "green";
         submit(web);
-        before = cluster->looks();
+        before = cluster->visitedMachines();
         place();
         EXPECT_EQ(cluster->find("run-1")->boundCount, 3U);
         JobSpec more = testing::spec("run-2", 500);  // all is full: nothing is found, cheaply
         more.team = "green";
         submit(more);
         place();
-        return cluster->looks() - before;
+        return cluster->visitedMachines() - before;
     };
     const auto small = looksIn(20), large = looksIn(2000);
     EXPECT_LE(large, small + 4);
--- a/src/scheduler/waiting_test.cpp
+++ b/src/scheduler/dependency_tracking_test.cpp
@@ -10,9 +10,9 @@
 
 using namespace std::chrono_literals;
 using testing::Worker;
-using workers::ExitCause;
-using workers::Order;
-using workers::TaskStatus;
+using worker_api::Command;
+using worker_api::ExitCause;
+using worker_api::TaskStatus;
 
 class WaitingTest : public ::testing::Test {
   protected:
@@ -25,7 +25,7 @@
     std::unique_ptr<Cluster> make(FencingToken token) {
         auto c = std::make_unique<Cluster>(settings, token);
         c->setCatalogue(testing::someCatalogue());
-        c->setParted();
+        c->enablePages();
         return c;
     }
     void commit() { testing::commitAll(*cluster, records); }
@@ -39,23 +39,23 @@
                 const std::function<void(JobSpec&)>& change = {}) {
         JobSpec s = testing::spec(id, tasks);
         s.demand = {1, 0, 1};
-        s.needs = std::move(needs);
+        s.dependencies = std::move(needs);
         if (change) change(s);
-        EXPECT_EQ(cluster->wrongNeed(s).wrong, Cluster::Need::Wrong::nothing);
-        EXPECT_EQ(cluster->submit(s, clock.now(), clock.wall()), Submitted::fresh);
+        EXPECT_EQ(cluster->checkDependencies(s).kind, Cluster::DependencyError::Kind::none);
+        EXPECT_EQ(cluster->submit(s, clock.now(), clock.wall()), SubmitResult::accepted);
         commit();
         return *cluster->find(id);
     }
     Job& job(const JobId& id) { return *cluster->find(id); }
     /// One beat, with time for what follows from it: records stand, work is placed.
     void round() {
-        w.execute(cluster->beat(w.next(), clock.now()));
+        w.execute(cluster->onHeartbeat(w.next(), clock.now()));
         w.report.token = cluster->token();
         commit();
-        cluster->expire(clock.now());
+        cluster->advanceTo(clock.now());
         cluster->place(clock.now());
         commit();
-        EXPECT_EQ(cluster->check(), "");
+        EXPECT_EQ(cluster->findInconsistency(), "");
     }
     void finish(const JobId& id) {
         for (std::size_t t = 0; t < w.report.tasks.size(); ++t)
@@ -73,16 +73,17 @@
     Job& second = submit("run-2", {"run-1"});
     for (int i = 0; i < 3; ++i) round();
     EXPECT_TRUE(onWorker("run-1"));
-    EXPECT_TRUE(second.held);
+    EXPECT_TRUE(second.blocked);
     EXPECT_EQ(second.boundCount, 0U);
     finish("run-1");
-    cluster->beat(w.next(), clock.now());
-    cluster->expire(clock.now());
+    cluster->onHeartbeat(w.next(), clock.now());
+    cluster->advanceTo(clock.now());
     cluster->place(clock.now());
     EXPECT_TRUE(job("run-1").allDone());
-    EXPECT_TRUE(second.held) << "its result does not stand yet: a successor would not know of it";
+    EXPECT_TRUE(second.blocked)
+        << "its result does not stand yet: a successor would not know of it";
     commit();
-    EXPECT_FALSE(second.held);
+    EXPECT_FALSE(second.blocked);
     round();
     round();
     EXPECT_TRUE(onWorker("run-2"));
@@ -104,10 +105,10 @@
     finish("run-1");
     round();
     round();
-    ASSERT_FALSE(second.held);
+    ASSERT_FALSE(second.blocked);
     // Its waiting counts from now: it can still meet what counts from its release.
-    EXPECT_EQ(cluster->turn(second, clock.now()).missed, 0U);
-    EXPECT_EQ(cluster->turn(second, clock.now()).by, clock.now() + 5s);
+    EXPECT_EQ(cluster->schedulingPriority(second, clock.now()).missedObjectives, 0U);
+    EXPECT_EQ(cluster->schedulingPriority(second, clock.now()).startBy, clock.now() + 5s);
 }
 
 TEST_F(WaitingTest, AllAfterACancelledJobAreCancelledWithItAndStaySoAfterATakeOver) {
@@ -119,10 +120,10 @@
     round();
     const auto before = records;
     cluster->cancel(job("run-1"), clock.now());
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     EXPECT_FALSE(job("run-4").cancelled) << "nobody was told, and no record says so";
     commit();
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     for (const char* id : {"run-2", "run-3", "run-4"}) {
         EXPECT_TRUE(job(id).cancelDurable()) << id;
         EXPECT_EQ(job(id).cancelledWith, "run-1");
@@ -144,13 +145,13 @@
     Job& second = submit("run-2", {"run-1"});
     for (int i = 0; i < 3; ++i) round();
     finish("run-1");
-    cluster->beat(w.next(), clock.now());
+    cluster->onHeartbeat(w.next(), clock.now());
     cluster->cancel(job("run-1"), clock.now());
     commit();
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     EXPECT_TRUE(job("run-1").doneDurable());
     EXPECT_FALSE(job("run-1").cancelled);
-    EXPECT_FALSE(second.held);
+    EXPECT_FALSE(second.blocked);
     EXPECT_TRUE(second.open());
 }
 
@@ -175,8 +176,8 @@
     submit("run-3", {"run-2"});
     for (int i = 0; i < 3; ++i) round();
     takeOver();
-    EXPECT_TRUE(job("run-2").held);
-    EXPECT_TRUE(job("run-3").held);
+    EXPECT_TRUE(job("run-2").blocked);
+    EXPECT_TRUE(job("run-3").blocked);
     finish("run-1");
     clock.advance(50s);
     for (int i = 0; i < 4; ++i) round();
@@ -184,31 +185,31 @@
     const Duration waited = job("run-2").releasedAt - job("run-2").submittedAt;
     EXPECT_GE(waited, 50s);
     takeOver();
-    EXPECT_FALSE(job("run-2").held);
+    EXPECT_FALSE(job("run-2").blocked);
     EXPECT_EQ(job("run-2").releasedAt - job("run-2").submittedAt, waited);
-    EXPECT_TRUE(job("run-3").held);
-    EXPECT_EQ(cluster->check(), "");
+    EXPECT_TRUE(job("run-3").blocked);
+    EXPECT_EQ(cluster->findInconsistency(), "");
 }
 
 TEST_F(WaitingTest, WhatAJobMayNotNeedIsNamedBeforeAnythingIsKept) {
-    using Wrong = Cluster::Need::Wrong;
+    using Kind = Cluster::DependencyError::Kind;
     submit("run-1", {});
     submit("run-2", {}, 1, [](JobSpec& s) { s.shape = Shape::service; });
     const auto wrong = [&](std::vector<JobId> needs) {
         JobSpec s = testing::spec("run-9");
-        s.needs = std::move(needs);
-        return cluster->wrongNeed(s);
+        s.dependencies = std::move(needs);
+        return cluster->checkDependencies(s);
     };
-    EXPECT_EQ(wrong({"run-1"}).wrong, Wrong::nothing);
-    EXPECT_EQ(wrong({"run-1", "run-9"}).wrong, Wrong::itself);
-    EXPECT_EQ(wrong({"run-1", "run-7"}).wrong, Wrong::unknown);
-    EXPECT_EQ(wrong({"run-1", "run-7"}).id, "run-7");
-    EXPECT_EQ(wrong({"run-2"}).wrong, Wrong::service);
+    EXPECT_EQ(wrong({"run-1"}).kind, Kind::none);
+    EXPECT_EQ(wrong({"run-1", "run-9"}).kind, Kind::self);
+    EXPECT_EQ(wrong({"run-1", "run-7"}).kind, Kind::unknown);
+    EXPECT_EQ(wrong({"run-1", "run-7"}).job, "run-7");
+    EXPECT_EQ(wrong({"run-2"}).kind, Kind::isService);
     cluster->submit(testing::spec("run-3"), clock.now(), clock.wall());
-    EXPECT_EQ(wrong({"run-3"}).wrong, Wrong::unsure) << "its acceptance is under way";
-    EXPECT_EQ(wrong({"run-3", "run-7"}).wrong, Wrong::unknown) << "certain, whatever becomes of it";
+    EXPECT_EQ(wrong({"run-3"}).kind, Kind::undecided) << "its acceptance is under way";
+    EXPECT_EQ(wrong({"run-3", "run-7"}).kind, Kind::unknown) << "certain, whatever becomes of it";
     commit();
-    EXPECT_EQ(wrong({"run-3"}).wrong, Wrong::nothing);
+    EXPECT_EQ(wrong({"run-3"}).kind, Kind::none);
 }
 
 TEST_F(WaitingTest, TheLastJobsPriorityAndDeadlineCountForAllBeforeIt) {
@@ -226,21 +227,23 @@
     EXPECT_EQ(job("run-1").rank, Priority::high);
     EXPECT_EQ(job("run-3").rank, Priority::high);
     // 100 s less what the two after it take, and its own run.
-    const Duration after = cluster->takes(job("run-3").spec) + cluster->takes(job("run-4").spec);
-    EXPECT_EQ(cluster->turn(job("run-1"), clock.now()).by, clock.now() + 100s - after - 10s);
+    const Duration after = cluster->estimatedDuration(job("run-3").spec) +
+                           cluster->estimatedDuration(job("run-4").spec);
+    EXPECT_EQ(cluster->schedulingPriority(job("run-1"), clock.now()).startBy,
+              clock.now() + 100s - after - 10s);
     EXPECT_EQ(cluster->slack(job("run-4"), clock.now()),
-              100s - after - cluster->takes(job("run-1").spec));
+              100s - after - cluster->estimatedDuration(job("run-1").spec));
     round();
     EXPECT_EQ(job("run-1").boundCount, 8U);
     EXPECT_EQ(job("run-2").boundCount, 0U);
     // Past its first deadline it goes by the next one.
-    EXPECT_EQ(cluster->turn(job("run-1"), clock.now() + 95s).missed, 1U);
-    EXPECT_TRUE(cluster->turn(job("run-1"), clock.now() + 95s).hopes);
+    EXPECT_EQ(cluster->schedulingPriority(job("run-1"), clock.now() + 95s).missedObjectives, 1U);
+    EXPECT_TRUE(cluster->schedulingPriority(job("run-1"), clock.now() + 95s).canMeetAnother);
     cluster->cancel(job("run-4"), clock.now());
     commit();
     round();
     EXPECT_EQ(job("run-1").rank, Priority::low) << "nobody asks for more any longer";
-    EXPECT_EQ(job("run-1").ends, Ends{});
+    EXPECT_EQ(job("run-1").deadlines, Deadlines{});
 }
 
 TEST_F(WaitingTest, AChainsFirstJobMakesRoomAndIsNotPreemptedByWhatItsLastJobOutranks) {
@@ -285,7 +288,7 @@
         for (std::size_t i = 0; i < needs_.size(); ++i) {
             JobSpec s = testing::spec(name(i));
             s.demand = {1, 0, 1};
-            s.needs = needs_[i];
+            s.dependencies = needs_[i];
             cluster_->submit(s, clock_.now(), clock_.wall());
             write();
         }
@@ -312,7 +315,7 @@
     void renew() {
         cluster_ = std::make_unique<Cluster>(settings_, token_);
         cluster_->setCatalogue(testing::someCatalogue());
-        cluster_->setParted();
+        cluster_->enablePages();
         for (const auto& [k, data] : records_) cluster_->load(k, data, clock_.now(), clock_.wall());
         cluster_->loaded(clock_.now());
     }
@@ -321,10 +324,10 @@
         clock_.advance(100ms);
         switch (s) {
             case Step::beat: {
-                const auto orders = cluster_->beat(w_.next(), clock_.now());
+                const auto orders = cluster_->onHeartbeat(w_.next(), clock_.now());
                 w_.report.token = token_;
                 for (const auto& o : orders)
-                    if (o.verb == workers::Verb::launch) ran_.insert(o.job);
+                    if (o.kind == worker_api::CommandKind::launch) ran_.insert(o.job);
                 w_.execute(orders);
                 break;
             }
@@ -332,8 +335,8 @@
                 write();
                 break;
             case Step::withdrawFirst:
-                withdrawn_ = name(0);
-                cluster_->cancel(*cluster_->find(withdrawn_), clock_.now());
+                cancellations_ = name(0);
+                cluster_->cancel(*cluster_->find(cancellations_), clock_.now());
                 break;
             case Step::withdrawSecond:
                 cluster_->cancel(*cluster_->find(name(1)), clock_.now());
@@ -343,7 +346,7 @@
                 renew();
                 break;
             case Step::expire:
-                cluster_->expire(clock_.now());
+                cluster_->advanceTo(clock_.now());
                 cluster_->place(clock_.now());
                 break;
             case Step::finish:
@@ -361,7 +364,7 @@
         return !j.cancelled && j.doneDurable() ? "done" : "pending";
     }
     std::string wrong() {
-        if (auto bad = cluster_->check(); !bad.empty()) return bad;
+        if (auto bad = cluster_->findInconsistency(); !bad.empty()) return bad;
         for (std::size_t i = 0; i < needs_.size(); ++i) {
             const JobId id = name(i);
             const std::string is = status(id);
@@ -384,7 +387,7 @@
     std::unique_ptr<Cluster> cluster_;
     std::map<std::string, std::string> records_, told_;
     std::set<JobId> ran_, done_;
-    JobId withdrawn_;
+    JobId cancellations_;
     Worker w_{"n-1"};
     FencingToken token_ = 1;
 };
--- a/src/scheduler/meetings_test.cpp
+++ b/src/scheduler/fault_interactions_test.cpp
@@ -9,19 +9,19 @@
 
 class MeetingsTest : public ClusterTest {
   protected:
-    static std::vector<Verb> verbs(const std::vector<Order>& orders) {
-        std::vector<Verb> out;
-        for (const auto& o : orders) out.push_back(o.verb);
+    static std::vector<CommandKind> verbs(const std::vector<Command>& orders) {
+        std::vector<CommandKind> out;
+        for (const auto& o : orders) out.push_back(o.kind);
         return out;
     }
     /// A copy of a report that was sent before.
-    std::vector<Order> copy(const workers::Report& report) {
-        return cluster->beat(report, clock.now());
+    std::vector<Command> copy(const worker_api::StatusReport& report) {
+        return cluster->onHeartbeat(report, clock.now());
     }
     void pass(Duration span) {
         for (Duration d{}; d < span; d += 500ms) {
             clock.advance(500ms);
-            cluster->expire(clock.now());
+            cluster->advanceTo(clock.now());
         }
     }
 };
@@ -55,7 +55,7 @@
     EXPECT_TRUE(beat(first).empty());
     EXPECT_EQ(job.doneCount, 2U) << "it comes again";
     commit();
-    EXPECT_EQ(verbs(beat(first)), std::vector{Verb::forget});
+    EXPECT_EQ(verbs(beat(first)), std::vector{CommandKind::forget});
     takeOver();
     // Minutes later the others end, one of them under one more leader.
     for (int minute = 0; minute < 3; ++minute) {
@@ -84,12 +84,12 @@
 TEST_F(MeetingsTest, AnOldReportThatIsANewLeadersFirstWordProvesNothing) {
     Worker w("n-1"), other("n-2");
     exchange(w);
-    const workers::Report empty = w.report;  // before anything was there
+    const worker_api::StatusReport empty = w.report;  // before anything was there
     submit(testing::spec("run-1"));
     place();
     commit();
     exchange(w);
-    const workers::Report running = w.next();
+    const worker_api::StatusReport running = w.next();
     takeOver();
     EXPECT_TRUE(copy(empty).empty());
     Job& known = *cluster->find("run-1");
@@ -108,7 +108,7 @@
 TEST_F(MeetingsTest, ACopyFromAnEarlierSessionDoesNotBringItsTasksBack) {
     Worker w("n-1"), other("n-2");
     running(w, testing::spec("run-1"));
-    const workers::Report before = w.next();
+    const worker_api::StatusReport before = w.next();
     // The session ends, and the task goes on elsewhere.
     w.newSession();
     beat(w);
@@ -124,10 +124,10 @@
     Job& job = *cluster->find("run-1");
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
     EXPECT_EQ(job.tasks[0].attempt, 2U);
-    EXPECT_EQ(cluster->machines()[cluster->indexOf("n-1")].charges.size(), 1U)
+    EXPECT_EQ(cluster->machines()[cluster->indexOf("n-1")].allocations.size(), 1U)
         << "counted until n-1 speaks for itself";
     beat(w);
-    EXPECT_TRUE(cluster->machines()[cluster->indexOf("n-1")].charges.empty());
+    EXPECT_TRUE(cluster->machines()[cluster->indexOf("n-1")].allocations.empty());
     EXPECT_TRUE(beat(other).empty()) << "what runs is not touched";
     EXPECT_EQ(job.runningCount, 1U);
 }
@@ -139,9 +139,9 @@
     pass(settings.lease + 2s);
     EXPECT_EQ(job.boundCount, 0U);
     beat(w);
-    const workers::Machine& m = cluster->machines()[cluster->indexOf("n-1")];
-    EXPECT_TRUE(m.charges.empty());
-    EXPECT_FALSE(cluster->fresh(m, clock.now()));
+    const worker_api::Machine& m = cluster->machines()[cluster->indexOf("n-1")];
+    EXPECT_TRUE(m.allocations.empty());
+    EXPECT_FALSE(cluster->isResponsive(m, clock.now()));
     place();
     EXPECT_EQ(job.boundCount, 0U);
     exchange(other);
@@ -152,14 +152,14 @@
 TEST_F(MeetingsTest, ACopyAfterAMachineWasDeletedDoesNotBringItBack) {
     Worker w("n-1"), other("n-2");
     Job& job = running(w, testing::spec("run-1"));
-    const workers::Report last = w.next();
+    const worker_api::StatusReport last = w.next();
     cluster->machineGone(cluster->indexOf("n-1"), clock.now());
     exchange(other);
     place();
     commit();
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
     EXPECT_TRUE(copy(last).empty());
-    EXPECT_EQ(cluster->machines()[cluster->indexOf("n-1")].presence, workers::Presence::gone);
+    EXPECT_EQ(cluster->machines()[cluster->indexOf("n-1")].presence, worker_api::Presence::gone);
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
 }
 
@@ -169,22 +169,22 @@
     submit(testing::spec("run-1"));
     place();
     commit();
-    const auto held = cluster->directOrders(cluster->indexOf("n-1"), clock.now());
-    ASSERT_EQ(verbs(held), std::vector{Verb::launch});
+    const auto held = cluster->takeDirectCommands(cluster->indexOf("n-1"), clock.now());
+    ASSERT_EQ(verbs(held), std::vector{CommandKind::launch});
     takeOver();  // before it arrives
     Job& job = *cluster->find("run-1");
     cluster->cancel(job, clock.now());
     commit();
     EXPECT_TRUE(job.cancelDurable());
-    cluster->told(job, clock.now());
+    cluster->acknowledgeCancellation(job, clock.now());
     const auto stops = beat(w);
-    EXPECT_EQ(verbs(stops), std::vector{Verb::stop}) << "it may be there";
+    EXPECT_EQ(verbs(stops), std::vector{CommandKind::stop}) << "it may be there";
     EXPECT_FALSE(job.perZone.empty());
     w.report.token = cluster->token() - 1;  // that answer was lost
     w.execute(held);                        // the machine goes on
     ASSERT_EQ(w.report.tasks.size(), 1U);
     const auto again = beat(w);
-    ASSERT_EQ(verbs(again), std::vector{Verb::stop});
+    ASSERT_EQ(verbs(again), std::vector{CommandKind::stop});
     w.execute(again);
     beat(w);
     EXPECT_TRUE(job.perZone.empty()) << "proven";
@@ -199,7 +199,7 @@
     const FencingToken heard = deaf.report.token;
     for (Duration d{}; d < settings.lease; d += 2s) {
         // Its reports arrive; no answer does.
-        cluster->beat(deaf.next(), clock.now());
+        cluster->onHeartbeat(deaf.next(), clock.now());
         deaf.report.token = heard;
         pass(2s);
         exchange(other);
@@ -208,7 +208,7 @@
         EXPECT_EQ(job.runningCount, 2U) << "polls say so";
     }
     deaf.newSession();  // its lease has ended, by its own clock
-    cluster->beat(deaf.next(), clock.now());
+    cluster->onHeartbeat(deaf.next(), clock.now());
     EXPECT_EQ(job.boundCount, 0U);
     cluster->setDraining(cluster->indexOf("n-1"), true);
     place();
@@ -222,9 +222,9 @@
     Job& job = submit(testing::spec("run-1"));
     place();
     commit();
-    EXPECT_EQ(verbs(beat(deaf)), std::vector{Verb::launch});
+    EXPECT_EQ(verbs(beat(deaf)), std::vector{CommandKind::launch});
     pass(2s);
-    EXPECT_EQ(verbs(beat(deaf)), std::vector{Verb::launch}) << "one answer may be lost";
+    EXPECT_EQ(verbs(beat(deaf)), std::vector{CommandKind::launch}) << "one answer may be lost";
     pass(2s);
     EXPECT_TRUE(beat(deaf).empty());
     EXPECT_EQ(job.boundCount, 0U) << "no launch for it is under way";
@@ -237,21 +237,21 @@
     exchange(other);
     // Asked, it answers: it is used again at once.
     submit(testing::spec("run-2", 2));
-    cluster->report(deaf.next(), Cluster::Source::direct, clock.now());
-    cluster->expire(clock.now());
+    cluster->onStatusReport(deaf.next(), Cluster::Source::commandResponse, clock.now());
+    cluster->advanceTo(clock.now());
     place();
-    EXPECT_GT(cluster->machines()[cluster->indexOf("n-1")].charges.size(), 0U);
+    EXPECT_GT(cluster->machines()[cluster->indexOf("n-1")].allocations.size(), 0U);
 }
 
 TEST_F(MeetingsTest, AMachineWhoseLeaseRunsOutThoughItIsAnsweredDoesNotHear) {
     Worker deaf("n-1"), other("n-2");
     Job& job = running(deaf, testing::spec("run-1"));
     for (Duration d{}; d < settings.lease; d += 2s) {
-        cluster->beat(deaf.next(), clock.now());
+        cluster->onHeartbeat(deaf.next(), clock.now());
         pass(2s);
     }
     deaf.newSession();
-    cluster->beat(deaf.next(), clock.now());
+    cluster->onHeartbeat(deaf.next(), clock.now());
     place();
     EXPECT_EQ(job.boundCount, 0U);
     exchange(other);
@@ -261,17 +261,18 @@
     submit(testing::spec("run-2", 4));
     exchange(deaf);
     place();
-    EXPECT_GT(cluster->machines()[cluster->indexOf("n-1")].charges.size(), 0U)
+    EXPECT_GT(cluster->machines()[cluster->indexOf("n-1")].allocations.size(), 0U)
         << "tried again after a lease";
 }
 
 TEST_F(MeetingsTest, LongTasksOnMachinesThatANewLeaderNeverHeardWaitForTheLongestDelegation) {
-    const delegation::Bounds terms = delegation::Bounds::of(settings);
+    const lease_delegation::DelegationLimits terms =
+        lease_delegation::DelegationLimits::from(settings);
     Worker silent("n-1"), other("n-2");
     running(silent, testing::spec("run-1"));
     takeOver();
-    delegation::Delegator delegator(terms, cluster->token(), {"rig-0", "b"}, 1h, {{"rig-1", "a"}},
-                                    clock.now());
+    lease_delegation::Delegator delegator(terms, cluster->token(), {"rig-0", "b"}, 1h,
+                                          {{"rig-1", "a"}}, clock.now());
     cluster->setDelegator(delegator);
     Job& job = *cluster->find("run-1");
     const auto place2 = [&](Duration span) {
@@ -282,7 +283,7 @@
     place2(settings.lease + 2s);
     EXPECT_EQ(job.tasks[0].attempt, 1U)
         << "somebody may have answered it in a former leader's name";
-    place2(terms.longest);
+    place2(terms.maxDuration);
     EXPECT_EQ(job.tasks[0].attempt, 2U);
 }
 
@@ -300,21 +301,22 @@
     ASSERT_EQ(cancelled.runningCount, 1U);
     const MachineIndex at = cluster->indexOf("n-1");
     const auto inspect = [&] {
-        cluster->report(mute.next(), Cluster::Source::direct, clock.now());
+        cluster->onStatusReport(mute.next(), Cluster::Source::commandResponse, clock.now());
     };
     // A command to stop is lost. No more reports come from now on.
     cluster->cancel(cancelled, clock.now());
     commit();
-    ASSERT_EQ(verbs(cluster->directOrders(at, clock.now())), std::vector{Verb::stop});
-    cluster->directEnded(at, true);
+    ASSERT_EQ(verbs(cluster->takeDirectCommands(at, clock.now())), std::vector{CommandKind::stop});
+    cluster->onDirectCommandEnded(at, true);
     pass(settings.reportEvery * 5 / 4 + 2s);
     inspect();
-    EXPECT_TRUE(cluster->machines()[at].mute);
-    EXPECT_TRUE(cluster->take().push.contains(at)) << "it hears: it is told once more";
-    const auto stops = cluster->directOrders(at, clock.now());
-    ASSERT_EQ(verbs(stops), std::vector{Verb::stop});
+    EXPECT_TRUE(cluster->machines()[at].outboundPartitioned);
+    EXPECT_TRUE(cluster->takeEffects().sendCommands.contains(at))
+        << "it hears: it is told once more";
+    const auto stops = cluster->takeDirectCommands(at, clock.now());
+    ASSERT_EQ(verbs(stops), std::vector{CommandKind::stop});
     mute.execute(stops);
-    cluster->directEnded(at, false);
+    cluster->onDirectCommandEnded(at, false);
     inspect();
     EXPECT_TRUE(cancelled.perZone.empty()) << "proven long before its lease ends";
     // There is room, and its image, but what goes there is lost with the lease: any other is taken.
@@ -331,7 +333,7 @@
     EXPECT_EQ(waits.boundCount, 0U) << "it would be lost";
     ASSERT_EQ(replica.boundCount, 1U) << "better than none";
     EXPECT_EQ(cluster->machines()[replica.tasks[0].machine].name, "n-1");
-    EXPECT_EQ(cluster->check(), "");
+    EXPECT_EQ(cluster->findInconsistency(), "");
     // What saves is stopped as late as that allows, before the lease ends.
     for (Duration d{}; d < settings.lease && !job.tasks[0].stopping; d += 1s) {
         pass(1s);
@@ -341,8 +343,8 @@
     EXPECT_GT(cluster->machines()[at].answeredAt + settings.lease, clock.now() + 2s);
     // It reports again.
     beat(mute);
-    EXPECT_FALSE(cluster->machines()[at].mute);
-    EXPECT_EQ(cluster->check(), "");
+    EXPECT_FALSE(cluster->machines()[at].outboundPartitioned);
+    EXPECT_EQ(cluster->findInconsistency(), "");
 }
 
 TEST_F(MeetingsTest, ANewLeaderSavesAtOnceWhatAMutedMachineRuns) {
@@ -356,18 +358,19 @@
     takeOver();
     exchange(other);
     pass(settings.reportEvery * 5 / 4 + 2s);
-    cluster->report(mute.next(), Cluster::Source::direct, clock.now());
+    cluster->onStatusReport(mute.next(), Cluster::Source::commandResponse, clock.now());
     pass(500ms);
-    EXPECT_TRUE(cluster->machines()[cluster->indexOf("n-1")].mute) << "it has not reported since";
+    EXPECT_TRUE(cluster->machines()[cluster->indexOf("n-1")].outboundPartitioned)
+        << "it has not reported since";
     EXPECT_TRUE(cluster->find("run-1")->tasks[0].stopping);
-    const auto stops = cluster->directOrders(cluster->indexOf("n-1"), clock.now());
-    EXPECT_EQ(verbs(stops), std::vector{Verb::stop});
+    const auto stops = cluster->takeDirectCommands(cluster->indexOf("n-1"), clock.now());
+    EXPECT_EQ(verbs(stops), std::vector{CommandKind::stop});
 }
 
 TEST_F(MeetingsTest, CopiesThatComeForMinutesKeepNobodyWaitingForADeadMachine) {
     Worker dead("n-1"), other("n-2");
     Job& job = running(dead, testing::spec("run-1"));
-    const workers::Report last = dead.report;
+    const worker_api::StatusReport last = dead.report;
     TimePoint released{};
     for (Duration d{}; d < settings.lease * 2 && released == TimePoint{}; d += 1s) {
         copy(last);
@@ -386,8 +389,8 @@
     Worker w("n-1");
     Job& job = running(w, testing::spec("run-1"));
     pass(10s);
-    const workers::Report sent = w.next();
-    cluster->report(w.next(), Cluster::Source::direct, clock.now());
+    const worker_api::StatusReport sent = w.next();
+    cluster->onStatusReport(w.next(), Cluster::Source::commandResponse, clock.now());
     pass(1s);
     copy(sent);
     pass(settings.lease - 2s);
@@ -405,7 +408,7 @@
     spec.demand.cores = 4;
     Worker gone("n-1"), other("n-2");
     Job& job = running(gone, spec);
-    const workers::Report old = gone.next();
+    const worker_api::StatusReport old = gone.next();
     cluster->machineGone(cluster->indexOf("n-1"), clock.now());
     commit();
     EXPECT_EQ(job.boundCount, 0U);
@@ -416,7 +419,7 @@
     Job& now = *cluster->find("run-1");
     commit();
     EXPECT_NE(cluster->machines()[now.tasks[0].machine].name, "n-2") << "it may be there";
-    EXPECT_EQ(cluster->check(), "");
+    EXPECT_EQ(cluster->findInconsistency(), "");
     for (Duration d{}; d < settings.lease + 2s; d += 1s) {
         copy(old);
         exchange(other);
--- a/src/scheduler/offers.cpp
+++ b/src/scheduler/free_capacity.cpp
@@ -7,8 +7,8 @@
 
 namespace basaltchute::scheduler {
 
-using workers::Charge;
-using workers::Machine;
+using worker_api::Allocation;
+using worker_api::Machine;
 
 namespace {
 // A report over 64 KiB is refused, and a worker whose reports are refused loses its lease and all
@@ -17,45 +17,46 @@
 constexpr std::size_t reportedTaskBytes = 96;
 }  // namespace
 
-void Cluster::changed(MachineIndex machine) {
+void Cluster::markCapacityDirty(MachineIndex machine) {
     Machine& m = machines_[machine];
-    if (m.changed) return;
-    m.changed = true;
-    changed_.push_back(machine);
+    if (m.capacityDirty) return;
+    m.capacityDirty = true;
+    capacityDirty_.push_back(machine);
 }
 
-bool Cluster::reportsFit(const Machine& m) const {
+bool Cluster::reportFitsOneMore(const Machine& m) const {
     std::size_t bytes = m.reportBytes;
-    for (const auto& c : m.charges)
-        if (!c.seen) bytes += reportedTaskBytes;
+    for (const auto& c : m.allocations)
+        if (!c.confirmed) bytes += reportedTaskBytes;
     return bytes <= fullReportBytes;
 }
 
-bool Cluster::open(const Machine& m) const {
-    return fresh(m, now_) && reportsFit(m) && !m.sick && !m.draining && !m.recalledAt &&
-           !away_.contains(m.zone) && now_ >= m.avoidUntil && !m.deaf &&
-           catalogue_.contains(m.type);
+bool Cluster::acceptsWork(const Machine& m) const {
+    return isResponsive(m, now_) && reportFitsOneMore(m) && !m.quarantined && !m.draining &&
+           !m.interruptionAt && !awayZones_.contains(m.zone) && now_ >= m.backOffUntil &&
+           !m.inboundPartitioned && catalogue_.contains(m.type);
 }
 
-Offer Cluster::offerOf(MachineIndex machine) const {
+FreeCapacity Cluster::freeCapacityFor(MachineIndex machine) const {
     const Machine& m = machines_[machine];
-    Offer o;
+    FreeCapacity o;
     o.type = m.type;
     o.zone = m.zone;
     o.spot = m.spot;
     // Closed to replicas too they cost users more than by the leases that end: where every machine
     // is in use there is no other room, and replicas start again on them at once.
-    o.mute = m.mute || now_ - m.beatAt >= settings_.reportEvery * 2;
+    o.outboundPartitioned =
+        m.outboundPartitioned || now_ - m.lastHeartbeatAt >= settings_.reportEvery * 2;
     if (const auto pool = pools_.find(m.type); pool != pools_.end())
-        o.distance = pool->second.distance(machine);
-    o.free = freeOn(m);
+        o.reservationDistance = pool->second.distance(machine);
+    o.free = freeCapacityOn(m);
     o.reclaimable.fill(o.free);
     for (const auto& [image, used] : m.images) o.images.push_back(image);
-    for (const auto& c : m.charges) {
-        for (std::size_t rank = 0; rank < Offer::preempting; ++rank)
+    for (const auto& c : m.allocations) {
+        for (std::size_t rank = 0; rank < FreeCapacity::preempting; ++rank)
             if (mustStop(c) || mayPreempt(static_cast<Priority>(rank), c))
                 o.reclaimable[rank] += c.job->spec.demand;
-        o.lasting = o.lasting || c.job->spec.shape == Shape::service;
+        o.hasServices = o.hasServices || c.job->spec.shape == Shape::service;
         if (!m.images.contains(c.job->spec.image)) o.fetching.push_back(c.job->spec.image);
     }
     std::sort(o.fetching.begin(), o.fetching.end());
@@ -63,33 +64,33 @@
     return o;
 }
 
-void Cluster::settle() {
-    for (const MachineIndex i : changed_) {
+void Cluster::refreshCapacities() {
+    for (const MachineIndex i : capacityDirty_) {
         Machine& m = machines_[i];
-        m.changed = false;
-        ++looks_;
-        const bool stopping = std::any_of(m.charges.begin(), m.charges.end(),
-                                          [&](const Charge& c) { return mustStop(c); });
-        if (!stopping || !m.up()) promises_.erase(i);
-        if (open(m))
-            room_.offer(i, offerOf(i));
+        m.capacityDirty = false;
+        ++visitedMachines_;
+        const bool stopping = std::any_of(m.allocations.begin(), m.allocations.end(),
+                                          [&](const Allocation& c) { return mustStop(c); });
+        if (!stopping || !m.up()) reclaimedFor_.erase(i);
+        if (acceptsWork(m))
+            capacityIndex_.update(i, freeCapacityFor(i));
         else
-            room_.withdraw(i);
+            capacityIndex_.remove(i);
     }
-    changed_.clear();
+    capacityDirty_.clear();
 }
 
-std::string Cluster::check() {
-    settle();
-    if (!room_.agrees(room_.recount())) return "the room index";
+std::string Cluster::findInconsistency() {
+    refreshCapacities();
+    if (!capacityIndex_.equals(capacityIndex_.recount())) return "the room index";
     std::unordered_map<std::string, Demand> used;
     std::map<const Job*, std::map<std::string, std::uint32_t>> zones;
     for (MachineIndex i = 0; i < machines_.size(); ++i) {
         const Machine& m = machines_[i];
-        const Offer* offer = room_.of(i);
-        if ((offer != nullptr) != open(m)) return "which machines are open: " + m.name;
-        if (offer != nullptr && !(*offer == offerOf(i))) return "the offer of " + m.name;
-        for (const auto& c : m.charges) {
+        const FreeCapacity* offer = capacityIndex_.find(i);
+        if ((offer != nullptr) != acceptsWork(m)) return "which machines are open: " + m.name;
+        if (offer != nullptr && !(*offer == freeCapacityFor(i))) return "the offer of " + m.name;
+        for (const auto& c : m.allocations) {
             used[c.job->spec.team] += c.job->spec.demand;
             ++zones[c.job][m.zone];
         }
@@ -105,13 +106,14 @@
         std::uint32_t waiting = 0;
         for (const auto& t : job->tasks) waiting += t.state == TaskState::waiting ? 1 : 0;
         if (waiting != job->waitingCount()) return "the tasks that wait of " + id;
-        if ((job->queuedAt != Job::notQueued) != (job->open() && !job->held && waiting > 0))
+        if ((job->queuePosition != Job::notQueued) != (job->open() && !job->blocked && waiting > 0))
             return "whether " + id + " is listed";
-        if (job->held != held_.contains(job.get()) || (job->held && !job->open()))
+        if (job->blocked != blocked_.contains(job.get()) || (job->blocked && !job->open()))
             return "whether " + id + " waits for others";
-        if (!job->held && job->boundCount > 0 && chains_.waits(id)) return id + " is too early";
+        if (!job->blocked && job->boundCount > 0 && dependencies_.isBlocked(id))
+            return id + " is too early";
     }
-    return chains_.check();
+    return dependencies_.findInconsistency();
 }
 
 }  // namespace basaltchute::scheduler
