--- a/src/scheduler/records.cpp
+++ b/src/scheduler/persistence.cpp
@@ -10,10 +10,10 @@
 namespace basaltchute::scheduler {
 
 using jobs::RecordName;
-using jobs::Stretch;
-using state::Encoded;
-using state::Urgency;
-using workers::Charge;
+using jobs::TaskRange;
+using kv_store::EncodedRecord;
+using kv_store::WritePriority;
+using worker_api::Allocation;
 using Kind = jobs::RecordName::Kind;
 
 namespace {
@@ -38,7 +38,7 @@
     if (!name) return false;
     const auto doc = json::parse(data);
     const auto bad = [&] {
-        unreadable_.insert(name->job);
+        unreadableJobs_.insert(name->job);
         return false;
     };
     if (!doc || !doc->IsObject()) return bad();
@@ -51,7 +51,7 @@
     }
     // What is in parts comes after all that is whole; the rest of a job after the job itself.
     if (job == nullptr || name->kind != Kind::block) {
-        read_[key] = data;
+        unappliedRecords_[key] = data;
         return true;
     }
     const bool well = jobs::decodeTasks(*doc, *name, *job,
@@ -65,7 +65,7 @@
         json::Document doc;
     };
     std::vector<Later> whole, parts;
-    const auto all = std::exchange(read_, {});
+    const auto all = std::exchange(unappliedRecords_, {});
     for (const auto& [key, data] : all) {
         const auto name = *RecordName::of(key);
         if (name.kind == Kind::text) continue;
@@ -80,7 +80,7 @@
             auto made = jobs::decodeJob(doc, description, valueBytes_);
             if (made == nullptr || made->spec.id != name.job) {
                 spdlog::error("record {} is malformed", key);
-                unreadable_.insert(name.job);
+                unreadableJobs_.insert(name.job);
                 continue;
             }
             add(std::move(made));
@@ -102,12 +102,12 @@
                            return machines_.indexOf(n);
                        })) {
                 spdlog::error("record {} is malformed", name.key());
-                unreadable_.insert(name.job);
+                unreadableJobs_.insert(name.job);
             }
         }
     }
     // Half of what stands about a job could start its tasks a second time.
-    for (const auto& id : unreadable_) jobs_.erase(id);
+    for (const auto& id : unreadableJobs_) jobs_.erase(id);
 }
 
 void Cluster::loaded(TimePoint now) {
@@ -119,42 +119,42 @@
         }
     restoreChains();
     for (auto& [id, job] : jobs_) {
-        if (job->open() && !job->held) opened(*job);
-        if (job->cancelled) withdrawn_.insert(job.get());
+        if (job->open() && !job->blocked) onJobOpened(*job);
+        if (job->cancelled) cancellations_.insert(job.get());
         for (std::uint32_t t = 0; t < job->spec.tasks; ++t) {
             const JobTask& task = job->tasks[t];
             if (task.state != TaskState::bound) continue;
-            Charge c;
+            Allocation c;
             c.job = job.get();
             c.task = t;
             c.attempt = task.attempt;
-            c.sent = c.recovered = true;
-            charge(task.machine, std::move(c));
+            c.launchSent = c.adopted = true;
+            allocate(task.machine, std::move(c));
         }
     }
     // The former leader's right had ended before this one's began.
     for (MachineIndex i = 0; i < machines_.size(); ++i) {
         machines_[i].leaseEnd = leaseEnd(now);
-        machines_[i].beatAt = now;  // it has been there: its reports are due from now on
-        attendAt(i, machines_[i].leaseEnd);
+        machines_[i].lastHeartbeatAt = now;  // it has been there: its reports are due from now on
+        scheduleTimer(i, machines_[i].leaseEnd);
     }
 }
 
 // ---------------------------------------------------------------- written
 
-void Cluster::touch(Job& job, std::uint32_t task, Urgency urgency) {
-    const Stretch& s = job.layout.touch(task);
+void Cluster::markTaskDirty(Job& job, std::uint32_t task, kv_store::WritePriority urgency) {
+    const TaskRange& s = job.layout.touch(task);
     // Nothing in parts stands before the job does: nobody would find it.
     if (s.part && !job.accepted()) return;
-    effects_.dirty.emplace_back(job.layout.nameOf(job.spec.id, s).key(), urgency);
+    effects_.dirtyRecords.emplace_back(job.layout.nameOf(job.spec.id, s).key(), urgency);
 }
 
-void Cluster::touchHead(Job& job, Urgency urgency) {
+void Cluster::markHeadDirty(Job& job, kv_store::WritePriority urgency) {
     job.layout.touchHead();
-    effects_.dirty.emplace_back(job.layout.headName(job.spec.id).key(), urgency);
+    effects_.dirtyRecords.emplace_back(job.layout.headName(job.spec.id).key(), urgency);
 }
 
-std::string Cluster::encoded(const Job& job, const RecordName& name) const {
+std::string Cluster::encodeRecord(const Job& job, const RecordName& name) const {
     const auto machine = [&](MachineIndex i) -> const std::string& { return machines_[i].name; };
     switch (name.kind) {
         case Kind::block:
@@ -170,69 +170,70 @@
     return name.from < texts.size() ? texts[name.from] : "{}";
 }
 
-std::optional<Encoded> Cluster::encode(const std::string& key) {
+std::optional<EncodedRecord> Cluster::encode(const std::string& key) {
     const auto name = RecordName::of(key);
     if (!name) return std::nullopt;
     Job& job = *jobs_.at(name->job);
-    const jobs::Layout& l = job.layout;
+    const jobs::RecordLayout& l = job.layout;
     if (name->kind == Kind::text) {
         if (job.accepted() || name->from >= l.texts) return std::nullopt;
-        return Encoded{encoded(job, *name), 1};
+        return EncodedRecord{encodeRecord(job, *name), 1};
     }
     const bool head = *name == l.headName(job.spec.id);
     if (name->kind == Kind::head || (head && l.bare())) {
         if (!head || l.textsDurable < l.texts) return std::nullopt;
-        return Encoded{encoded(job, *name), l.head().version};
+        return EncodedRecord{encodeRecord(job, *name), l.head().version};
     }
     return encodeTasks(job, *name);
 }
 
-std::optional<Encoded> Cluster::encodeTasks(Job& job, const RecordName& name) {
-    jobs::Layout& l = job.layout;
-    const Stretch* s = l.find(name);
+std::optional<EncodedRecord> Cluster::encodeTasks(Job& job, const RecordName& name) {
+    jobs::RecordLayout& l = job.layout;
+    const TaskRange* s = l.find(name);
     if (s == nullptr) return std::nullopt;  // in parts by now
-    std::string data = encoded(job, name);
+    std::string data = encodeRecord(job, name);
     const std::string key = name.key();
-    if (data.size() <= valueBytes_) return Encoded{std::move(data), s->version};
-    if (!parted_) {
+    if (data.size() <= valueBytes_) return EncodedRecord{std::move(data), s->version};
+    if (!supportsPages_) {
         // What everyone reads goes on, as long as the service takes it.
-        oversized_.insert(key);
+        oversizedKeys_.insert(key);
         if (data.size() > settings_.valueBytesNow) return std::nullopt;
-        return Encoded{std::move(data), s->version};
+        return EncodedRecord{std::move(data), s->version};
     }
     const bool first = name.kind == Kind::block && name.from == 0;
     if (first && !job.accepted()) {
         l.setBare();
-        data = encoded(job, name);
-        if (data.size() <= valueBytes_) return Encoded{std::move(data), l.head().version};
-        spread(job);
+        data = encodeRecord(job, name);
+        if (data.size() <= valueBytes_) return EncodedRecord{std::move(data), l.head().version};
+        splitHead(job);
         return std::nullopt;
     }
-    const Stretch whole = *s;
+    const TaskRange whole = *s;
     if (!l.split(whole)) {
         spdlog::error("{} does not fit into a value of {} bytes", key, valueBytes_);
         return std::nullopt;
     }
     for (const std::uint32_t task : {whole.from, whole.from + whole.count / 2})
-        effects_.dirty.emplace_back(l.nameOf(job.spec.id, l.of(task)).key(), Urgency::bindings);
+        effects_.dirtyRecords.emplace_back(l.nameOf(job.spec.id, l.of(task)).key(),
+                                           WritePriority::bindings);
     if (first) {
         const bool told = !job.cancelled || job.cancelDurable();
         if (told)
             l.settleHead();
         else
-            effects_.dirty.emplace_back(l.headName(job.spec.id).key(), Urgency::users);
+            effects_.dirtyRecords.emplace_back(l.headName(job.spec.id).key(), WritePriority::users);
     }
     return std::nullopt;
 }
 
-void Cluster::spread(Job& job) {
-    jobs::Layout& l = job.layout;
+void Cluster::splitHead(Job& job) {
+    jobs::RecordLayout& l = job.layout;
     l.textBytes = valueBytes_;
     l.texts = static_cast<std::uint32_t>(jobs::encodeTexts(job, valueBytes_).size());
     l.textsDurable = 0;
     for (std::uint32_t i = 0; i < l.texts; ++i)
-        effects_.dirty.emplace_back(RecordName{job.spec.id, Kind::text, i, 0}.key(),
-                                    Urgency::users);
+        effects_.dirtyRecords.emplace_back(RecordName{job.spec.id, Kind::text, i, 0}.key(),
+                                           WritePriority::users);
 }
 
 void Cluster::tooLarge(const std::string& key, std::size_t bytes) {
@@ -241,51 +242,52 @@
     const auto name = RecordName::of(key);
     if (!name) return;
     Job& job = *jobs_.at(name->job);
-    if (!job.accepted() && job.layout.texts > 0) return spread(job);
-    if (parted_)
-        effects_.dirty.emplace_back(key, Urgency::bindings);
+    if (!job.accepted() && job.layout.texts > 0) return splitHead(job);
+    if (supportsPages_)
+        effects_.dirtyRecords.emplace_back(key, WritePriority::bindings);
     else
-        oversized_.insert(key);
+        oversizedKeys_.insert(key);
 }
 
-void Cluster::setParted() {
-    if (std::exchange(parted_, true)) return;
-    for (const auto& key : std::exchange(oversized_, {}))
-        effects_.dirty.emplace_back(key, Urgency::bindings);
+void Cluster::enablePages() {
+    if (std::exchange(supportsPages_, true)) return;
+    for (const auto& key : std::exchange(oversizedKeys_, {}))
+        effects_.dirtyRecords.emplace_back(key, WritePriority::bindings);
 }
 
 void Cluster::committed(const std::string& key, std::uint64_t version) {
     const auto name = RecordName::of(key);
     if (!name) return;
     Job& job = *jobs_.at(name->job);
-    jobs::Layout& l = job.layout;
+    jobs::RecordLayout& l = job.layout;
     const bool before = job.accepted();
     auto [from, to] = l.committed(*name, version);
     if (name->kind == Kind::text) {
         if (!before && l.textsDurable == l.texts)
-            effects_.dirty.emplace_back(l.headName(job.spec.id).key(), Urgency::users);
+            effects_.dirtyRecords.emplace_back(l.headName(job.spec.id).key(), WritePriority::users);
         return;
     }
     const bool justAccepted = !before && job.accepted();
     if (justAccepted && l.bare())
-        for (const Stretch& s : l.stretches())
+        for (const TaskRange& s : l.stretches())
             if (s.part && s.durable < s.version)
-                effects_.dirty.emplace_back(l.nameOf(job.spec.id, s).key(), Urgency::bindings);
-    if (chains_.contains(job.spec.id)) {
+                effects_.dirtyRecords.emplace_back(l.nameOf(job.spec.id, s).key(),
+                                                   WritePriority::bindings);
+    if (dependencies_.contains(job.spec.id)) {
         if (job.cancelDurable())
-            chains_.settle(job.spec.id, chains::Fate::cancelled);
+            dependencies_.setOutcome(job.spec.id, dependencies::JobOutcome::cancelled);
         else if (!job.cancelled && job.doneDurable())
-            chains_.settle(job.spec.id, chains::Fate::done);
+            dependencies_.setOutcome(job.spec.id, dependencies::JobOutcome::done);
         // At once: whoever asks next is told what follows from it.
-        followChains(now_);
+        applyDependencyChanges(now_);
     }
     if (!job.open() && !job.cancelled) return;
     // Nothing is launched before its job stands, whichever record came first.
     if (justAccepted) std::tie(from, to) = std::pair(0U, job.spec.tasks);
     for (std::uint32_t t = from; t < to; ++t)
         if (job.tasks[t].state == TaskState::bound &&
-            (job.cancelled || job.tasks[t].phase == Phase::binding))
-            effects_.push.insert(job.tasks[t].machine);
+            (job.cancelled || job.tasks[t].phase == Phase::pendingBind))
+            effects_.sendCommands.insert(job.tasks[t].machine);
 }
 
 }  // namespace basaltchute::scheduler
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -7,28 +7,28 @@
 
 namespace basaltchute::scheduler {
 
-using workers::Charge;
-using workers::Machine;
+using worker_api::Allocation;
+using worker_api::Machine;
 
 namespace {
 constexpr std::size_t victimsLookedAt = 24;  // machines compared before work is stopped on one
 constexpr std::uint32_t stoppedAtOnce = 32;  // tasks for which a job has work stopped in a pass
 }  // namespace
 
-Demand Cluster::roomOnceStopped(const Machine& m) const {
-    Demand room = freeOn(m);
-    for (const auto& c : m.charges)
+Demand Cluster::capacityOnceStopped(const Machine& m) const {
+    Demand room = freeCapacityOn(m);
+    for (const auto& c : m.allocations)
         if (mustStop(c)) room += c.job->spec.demand;
     return room;
 }
 
-bool Cluster::makeRoom(const Job& job, MachineIndex machine,
-                       const std::function<bool(const Charge&)>& victim) {
+bool Cluster::reclaimCapacity(const Job& job, MachineIndex machine,
+                              const std::function<bool(const Allocation&)>& victim) {
     Machine& m = machines_[machine];
-    if (fits(job.spec.demand, freeOn(m))) return true;
-    Demand room = roomOnceStopped(m);
+    if (fits(job.spec.demand, freeCapacityOn(m))) return true;
+    Demand room = capacityOnceStopped(m);
     std::vector<std::pair<Job*, std::uint32_t>> chosen;
-    for (const auto& c : m.charges) {
+    for (const auto& c : m.allocations) {
         if (fits(job.spec.demand, room)) break;
         if (mustStop(c) || !victim(c)) continue;
         room += c.job->spec.demand;
@@ -39,7 +39,7 @@
     return false;
 }
 
-bool Cluster::mayPreempt(Priority rank, const Charge& c) const {
+bool Cluster::mayPreempt(Priority rank, const Allocation& c) const {
     return !mustStop(c) && c.cells.empty() && c.job->rank > rank;
 }
 
@@ -48,7 +48,7 @@
     if (job.rank == Priority::low) return;
     const auto rank = static_cast<std::size_t>(job.rank);
     Planned planned;  // room that is being made already
-    for (const auto& [machine, for_] : promises_) {
+    for (const auto& [machine, for_] : reclaimedFor_) {
         if (for_ != &job) continue;
         ++planned[machine].tasks;
         if (--tasks == 0) return;
@@ -59,17 +59,17 @@
         std::vector<std::size_t> victims;
         double bestLoss = std::numeric_limits<double>::infinity();
         const auto weigh = [&](MachineIndex i) {
-            ++looks_;
+            ++visitedMachines_;
             const Machine& m = machines_[i];
-            Demand room = roomOnceStopped(m);
-            const auto [from, to] = promises_.equal_range(i);
+            Demand room = capacityOnceStopped(m);
+            const auto [from, to] = reclaimedFor_.equal_range(i);
             for (auto p = from; p != to; ++p)
                 if (p->second != &job) room -= p->second->spec.demand;
             if (const auto own = planned.find(i); own != planned.end())
                 for (std::uint32_t n = 0; n < own->second.tasks; ++n) room -= s.demand;
             std::vector<std::pair<double, std::size_t>> candidates;
-            for (std::size_t k = 0; k < m.charges.size(); ++k) {
-                const Charge& c = m.charges[k];
+            for (std::size_t k = 0; k < m.allocations.size(); ++k) {
+                const Allocation& c = m.allocations[k];
                 if (!mayPreempt(job.rank, c)) continue;
                 const JobTask& t = c.job->tasks[c.task];
                 const double ran = t.phase == Phase::running ? toSeconds(now - t.runningSince) : 0;
@@ -82,24 +82,24 @@
             double loss = startDelay(s, m);
             for (const auto& [lost, k] : candidates) {
                 if (fits(s.demand, room)) break;
-                room += m.charges[k].job->spec.demand;
-                taken -= m.charges[k].job->spec.demand;
+                room += m.allocations[k].job->spec.demand;
+                taken -= m.allocations[k].job->spec.demand;
                 loss += lost + 1;
                 chosen.push_back(k);
             }
             if (!fits(s.demand, room) || loss >= bestLoss) return;
             // Room that must stay warm for others would not be taken: nobody is stopped for it.
-            if (!room_.staysWarm(i, taken, job.rank)) return;
+            if (!capacityIndex_.keepsWarmCapacity(i, taken, job.rank)) return;
             bestLoss = loss;
             best = i;
             victims = std::move(chosen);
         };
-        for (const auto& [key, pool] : room_.pools()) {
+        for (const auto& [key, pool] : capacityIndex_.pools()) {
             const auto& [type, zone, spot, lasting, mute, distance] = key;
             if (mute) continue;
             if (!allowed(job, type, zone, spot, planned)) continue;
             std::size_t looked = 0;
-            pool.reclaimable[rank].ascend(s.demand, [&](MachineIndex i) {
+            pool.reclaimable[rank].visitFitting(s.demand, [&](MachineIndex i) {
                 if (placeable(job, i, now)) weigh(i);
                 return ++looked >= victimsLookedAt;
             });
@@ -107,11 +107,12 @@
         if (best == noMachine) return;
         std::vector<std::pair<Job*, std::uint32_t>> stopped;
         for (const std::size_t k : victims)
-            stopped.emplace_back(machines_[best].charges[k].job, machines_[best].charges[k].task);
+            stopped.emplace_back(machines_[best].allocations[k].job,
+                                 machines_[best].allocations[k].task);
         for (const auto& [victim, task] : stopped) stop(*victim, task);
-        promises_.emplace(best, &job);
+        reclaimedFor_.emplace(best, &job);
         ++planned[best].tasks;
-        settle();
+        refreshCapacities();
     }
 }
 
--- a/src/scheduler/order.cpp
+++ b/src/scheduler/queue_order.cpp
@@ -15,14 +15,15 @@
 constexpr Duration nextLook = 1s;  // what waits is looked at again, as its order changes
 }  // namespace
 
-Cluster::Turn Cluster::turn(const Job& job, TimePoint now, std::size_t given) const {
+Cluster::SchedulingPriority Cluster::schedulingPriority(const Job& job, TimePoint now,
+                                                        std::size_t given) const {
     Duration last = overdueTurn;
     const Duration run = runTime(job.spec);
-    Turn u;
+    SchedulingPriority u;
     std::vector<TimePoint> open;  // latest starts that still serve an objective
     const auto considerBy = [&](TimePoint latestStart) {
         if (latestStart < now)
-            ++u.missed;
+            ++u.missedObjectives;
         else
             open.push_back(latestStart);
     };
@@ -44,71 +45,73 @@
     if (job.spec.deadlineS && !deadlines)
         consider(job.submittedAt, fromSeconds(*job.spec.deadlineS), run);
     // What jobs after it ask of it: a chain is late as a whole.
-    if (job.ends.first != Ends::never) considerBy(job.ends.first - run);
-    if (job.ends.last != job.ends.first) considerBy(job.ends.last - run);
+    if (job.deadlines.first != Deadlines::never) considerBy(job.deadlines.first - run);
+    if (job.deadlines.last != job.deadlines.first) considerBy(job.deadlines.last - run);
     // Work that nobody has an objective for does not go before work that can still meet one, or
     // whoever takes its time fills the room of those in a hurry; its turn comes late, but it does.
-    if (open.empty() && u.missed == 0) {
-        u.missed = 1;
+    if (open.empty() && u.missedObjectives == 0) {
+        u.missedObjectives = 1;
         last = patientTurn;
     }
     std::sort(open.begin(), open.end());
-    u.missed += std::min(given, open.size());
-    u.hopes = given < open.size();
-    if (u.hopes) {
-        u.by = open[given];
+    u.missedObjectives += std::min(given, open.size());
+    u.canMeetAnother = given < open.size();
+    if (u.canMeetAnother) {
+        u.startBy = open[given];
         return u;
     }
     // A start that meets every objective is worth more than one that meets the rest: in a burst
     // what is late would make all that follows late as well. What has missed them all waits, but
     // not for ever: its turn comes by age.
-    u.by = job.releasedAt + last;
-    if (u.by <= now) u.missed = 0;
+    u.startBy = job.releasedAt + last;
+    if (u.startBy <= now) u.missedObjectives = 0;
     return u;
 }
 
-void Cluster::measurePace(TimePoint now) {
-    if (now - pacedAt_ < nextLook) return;
-    pacedAt_ = now;
+void Cluster::measureDrainRate(TimePoint now) {
+    if (now - drainRateAt_ < nextLook) return;
+    drainRateAt_ = now;
     std::array<double, 4> cores{}, seconds{};
-    for (const Job* job : open_) {
+    for (const Job* job : openJobs_) {
         if (job->spec.shape == Shape::service || job->boundCount == 0) continue;
         const auto rank = static_cast<std::size_t>(job->rank);
         const double bound = job->spec.demand.cores * job->boundCount;
         cores[rank] += bound;
         seconds[rank] += bound * std::max(1.0, toSeconds(runTime(job->spec)));
     }
-    for (std::size_t rank = 0; rank < pace_.size(); ++rank)
-        pace_[rank] = cores[rank] > 0 ? cores[rank] * cores[rank] / seconds[rank] : 0;
+    for (std::size_t rank = 0; rank < drainRate_.size(); ++rank)
+        drainRate_[rank] = cores[rank] > 0 ? cores[rank] * cores[rank] / seconds[rank] : 0;
 }
 
-std::vector<Cluster::Entry> Cluster::inOrder(const std::vector<Job*>& jobs, TimePoint now) const {
+std::vector<Cluster::QueueEntry> Cluster::queueOrder(const std::vector<Job*>& jobs,
+                                                     TimePoint now) const {
     // By what is due first, as long as all of it can be served in time. Where it cannot, the
     // largest jobs are put back to their next objective until the rest can: serving in order of
     // due times would make everybody late together (Moore and Hodgson's rule).
-    std::map<std::size_t, std::vector<Entry>> tiers;
+    std::map<std::size_t, std::vector<QueueEntry>> tiers;
     for (Job* job : jobs) {
-        const Turn t = turn(*job, now);
-        tiers[t.missed].push_back({t, job});
+        const SchedulingPriority t = schedulingPriority(*job, now);
+        tiers[t.missedObjectives].push_back({t, job});
     }
-    std::vector<Entry> order;
+    std::vector<QueueEntry> order;
     double ahead = 0;
     for (auto tier = tiers.begin(); tier != tiers.end(); ++tier) {
         auto& entries = tier->second;
-        std::sort(entries.begin(), entries.end(), [](const Entry& a, const Entry& b) {
-            return std::tie(a.turn, a.job->submitted, a.job->spec.id) <
-                   std::tie(b.turn, b.job->submitted, b.job->spec.id);
+        std::sort(entries.begin(), entries.end(), [](const QueueEntry& a, const QueueEntry& b) {
+            return std::tie(a.priority, a.job->submitted, a.job->spec.id) <
+                   std::tie(b.priority, b.job->submitted, b.job->spec.id);
         });
         std::set<std::pair<double, std::size_t>> kept;  // by cores that wait
         std::vector<bool> put(entries.size(), false);
         for (std::size_t i = 0; i < entries.size(); ++i) {
-            const Entry& e = entries[i];
-            const double pace = pace_[static_cast<std::size_t>(e.job->rank)];
+            const QueueEntry& e = entries[i];
+            const double pace = drainRate_[static_cast<std::size_t>(e.job->rank)];
             const double work = e.job->spec.demand.cores * e.job->waitingCount();
             ahead += work;
-            if (!e.turn.hopes || e.job->spec.shape == Shape::service || pace <= 0) continue;
+            if (!e.priority.canMeetAnother || e.job->spec.shape == Shape::service || pace <= 0)
+                continue;
             kept.emplace(work, i);
-            while (!kept.empty() && ahead > pace * toSeconds(e.turn.by - now)) {
+            while (!kept.empty() && ahead > pace * toSeconds(e.priority.startBy - now)) {
                 const auto largest = std::prev(kept.end());
                 ahead -= largest->first;
                 put[largest->second] = true;
@@ -122,19 +125,19 @@
             }
             // What it could meet and gives up counts as missed; what it has missed does already.
             std::size_t given = 1;
-            Turn later = turn(*entries[i].job, now, given);
-            while (later.missed <= tier->first && later.hopes)
-                later = turn(*entries[i].job, now, ++given);
-            later.missed = std::max(later.missed, tier->first + 1);
-            tiers[later.missed].push_back({later, entries[i].job});
+            SchedulingPriority later = schedulingPriority(*entries[i].job, now, given);
+            while (later.missedObjectives <= tier->first && later.canMeetAnother)
+                later = schedulingPriority(*entries[i].job, now, ++given);
+            later.missedObjectives = std::max(later.missedObjectives, tier->first + 1);
+            tiers[later.missedObjectives].push_back({later, entries[i].job});
         }
     }
     return order;
 }
 
-double Cluster::biasOf(const std::string& jobClass) const {
-    const auto it = bias_.find(jobClass);
-    return it == bias_.end() ? 1.0 : std::exp(it->second);
+double Cluster::estimatorBias(const std::string& jobClass) const {
+    const auto it = logBias_.find(jobClass);
+    return it == logBias_.end() ? 1.0 : std::exp(it->second);
 }
 
 }  // namespace basaltchute::scheduler
--- a/src/scheduler/guarantees.cpp
+++ b/src/scheduler/reservations.cpp
@@ -10,10 +10,10 @@
 using cells::CellIndex;
 using cells::Level;
 using cells::Pool;
-using workers::Charge;
-using workers::Machine;
+using worker_api::Allocation;
+using worker_api::Machine;
 
-void Cluster::setCatalogue(fleet::Catalogue catalogue) {
+void Cluster::setCatalogue(autoscaler::Catalogue catalogue) {
     const bool sameTypes =
         std::equal(catalogue.begin(), catalogue.end(), catalogue_.begin(), catalogue_.end(),
                    [](const auto& a, const auto& b) {
@@ -21,7 +21,7 @@
                    });
     catalogue_ = std::move(catalogue);
     if (sameTypes) return;  // prices move, and nothing here follows them
-    for (MachineIndex i = 0; i < machines_.size(); ++i) changed(i);
+    for (MachineIndex i = 0; i < machines_.size(); ++i) markCapacityDirty(i);
     for (const auto& [name, type] : catalogue_) {
         if (pools_.contains(name)) continue;
         cells::Shape shape;
@@ -68,49 +68,49 @@
     if (pool == nullptr) return;
     pool->addMachine(machine, m.zone);
     // After a take-over: bindings on record come first, before anything new is placed.
-    for (auto& c : m.charges) {
-        if (!c.cells.empty() || c.lowSlots > 0) continue;
+    for (auto& c : m.allocations) {
+        if (!c.cells.empty() || c.opportunisticSlots > 0) continue;
         const JobTask& t = c.job->tasks[c.task];
-        if (t.guaranteed && owns(c, machine) && withinGuarantee(*c.job)) {
+        if (t.reserved && ownsAllocation(c, machine) && withinReservation(*c.job)) {
             auto found = cellsOn(*pool, c.job->spec.team, slotsFor(c.job->spec, m.type),
                                  [machine](MachineIndex i) { return i == machine; });
             if (found) c.cells = std::move(*found);
         }
-        chargeCells(c, machine);
+        allocateCells(c, machine);
     }
 }
 
-void Cluster::chargeCells(Charge& c, MachineIndex machine) {
+void Cluster::allocateCells(Allocation& c, MachineIndex machine) {
     const Machine& m = machines_[machine];
     Pool* pool = poolOf(m);
     if (pool == nullptr) return;
     const std::uint32_t slots = slotsFor(c.job->spec, m.type);
     if (c.cells.empty()) {
-        c.lowSlots = slots;
+        c.opportunisticSlots = slots;
         pool->use(machine, static_cast<int>(slots));
         return;
     }
-    guaranteedUse_[c.job->spec.team] += c.job->spec.demand;
-    for (const MachineIndex buddy : pool->buddies(machine)) changed(buddy);
-    const auto it = shared_.find({m.type, c.cells.front()});
-    if (it == shared_.end()) return;
+    reservedUse_[c.job->spec.team] += c.job->spec.demand;
+    for (const MachineIndex buddy : pool->buddies(machine)) markCapacityDirty(buddy);
+    const auto it = sharedCells_.find({m.type, c.cells.front()});
+    if (it == sharedCells_.end()) return;
     it->second.used += slots;
     ++it->second.tasks;
 }
 
-void Cluster::freeCells(const Charge& c, MachineIndex machine) {
+void Cluster::freeCells(const Allocation& c, MachineIndex machine) {
     const Machine& m = machines_[machine];
     Pool* pool = poolOf(m);
     if (pool == nullptr) return;
-    if (c.lowSlots > 0) pool->use(machine, -static_cast<int>(c.lowSlots));
+    if (c.opportunisticSlots > 0) pool->use(machine, -static_cast<int>(c.opportunisticSlots));
     if (c.cells.empty()) return;
-    guaranteedUse_[c.job->spec.team] -= c.job->spec.demand;
-    for (const MachineIndex buddy : pool->buddies(machine)) changed(buddy);
-    const auto it = shared_.find({m.type, c.cells.front()});
-    if (it != shared_.end()) {
+    reservedUse_[c.job->spec.team] -= c.job->spec.demand;
+    for (const MachineIndex buddy : pool->buddies(machine)) markCapacityDirty(buddy);
+    const auto it = sharedCells_.find({m.type, c.cells.front()});
+    if (it != sharedCells_.end()) {
         it->second.used -= slotsFor(c.job->spec, m.type);
         if (--it->second.tasks > 0) return;
-        shared_.erase(it);
+        sharedCells_.erase(it);
     }
     for (const CellIndex cell : c.cells) pool->release(cell);
 }
@@ -138,15 +138,15 @@
     }
 }
 
-bool Cluster::withinGuarantee(const Job& job) const {
+bool Cluster::withinReservation(const Job& job) const {
     const auto team = std::find_if(settings_.teams.begin(), settings_.teams.end(),
                                    [&](const auto& t) { return t.name == job.spec.team; });
     if (team == settings_.teams.end()) return false;
     const bool reserved = std::any_of(operator_.reservations.begin(), operator_.reservations.end(),
                                       [&](const auto& r) { return r.team == job.spec.team; });
     if (reserved) return true;  // the cells themselves are the bound
-    const auto it = guaranteedUse_.find(job.spec.team);
-    const Demand used = it == guaranteedUse_.end() ? Demand{} : it->second;
+    const auto it = reservedUse_.find(job.spec.team);
+    const Demand used = it == reservedUse_.end() ? Demand{} : it->second;
     return (team->cores > 0 && used.cores + job.spec.demand.cores <= team->cores + 1e-6) ||
            (team->gpus > 0 && job.spec.demand.gpus > 0 &&
             used.gpus + job.spec.demand.gpus <= team->gpus + 1e-6);
@@ -157,7 +157,7 @@
     return it == operator_.weights.end() ? 1.0 : it->second;
 }
 
-bool Cluster::placeGuaranteed(Job& job, std::uint32_t task, TimePoint now) {
+bool Cluster::placeInReservation(Job& job, std::uint32_t task, TimePoint now) {
     const std::string& team = job.spec.team;
     for (auto& [type, pool] : pools_) {
         if (!typeAllowed(job.spec, type)) continue;
@@ -166,7 +166,7 @@
             return placeable(job, m, now) && allowed(job, machines_[m]);
         };
         std::optional<std::vector<CellIndex>> found;
-        for (const auto& [key, s] : shared_) {
+        for (const auto& [key, s] : sharedCells_) {
             if (key.first != type || s.team != team) continue;
             if (s.used + slots > pool.slotsPerMachine()) continue;
             if (usable(pool.machinesOf(key.second).front())) found = {key.second};
@@ -176,14 +176,14 @@
         if (!found && slots <= pool.slotsPerMachine()) {
             if (const auto cell = pool.bind(team, Level::machine, usable)) {
                 found = {*cell};
-                shared_[{type, *cell}] = Shared{team, 0, 0};
+                sharedCells_[{type, *cell}] = SharedCell{team, 0, 0};
             }
         }
         if (!found) continue;
         const MachineIndex m = pool.machinesOf(found->front()).front();
         // Only what is borrowed gives way: work of another team beyond its guarantee, or of a
         // lower priority.
-        const bool room = makeRoom(job, m, [&](const Charge& c) {
+        const bool room = reclaimCapacity(job, m, [&](const Allocation& c) {
             return c.cells.empty() && (c.job->spec.team != team || c.job->rank > job.rank);
         });
         if (room) {
@@ -192,7 +192,7 @@
         }
         // Not free yet: the cells are bound again once what stood on them has gone.
         if (share) continue;
-        shared_.erase({type, found->front()});
+        sharedCells_.erase({type, found->front()});
         for (const CellIndex c : *found) pool.release(c);
     }
     return false;
--- a/src/scheduler/guarantees_test.cpp
+++ b/src/scheduler/reservations_test.cpp
@@ -23,7 +23,7 @@
     }
     void commit() { testing::commitAll(*cluster, records); }
     void exchange(Worker& w) {
-        w.execute(cluster->beat(w.next(), clock.now()));
+        w.execute(cluster->onHeartbeat(w.next(), clock.now()));
         w.report.token = cluster->token();
     }
     Job& submit(const std::string& id, const std::string& team, std::uint32_t tasks) {
--- a/src/scheduler/upgrade_test.cpp
+++ b/src/scheduler/upgrade_test.cpp
@@ -2,7 +2,7 @@
 
 #include <random>
 
-#include "mesh/mesh.h"
+#include "peer_rpc/peer_rpc.h"
 #include "scheduler/cluster.h"
 #include "testing/world.h"
 
@@ -14,8 +14,8 @@
 
 using namespace std::chrono_literals;
 using testing::Worker;
-using workers::ExitCause;
-using workers::TaskStatus;
+using worker_api::ExitCause;
+using worker_api::TaskStatus;
 
 json::Document golden() {
     const auto text = settings::readFile(GOLDEN);
@@ -121,14 +121,14 @@
         for (const auto& [k, data] : records)
             ASSERT_TRUE(cluster->load(k, data, clock.now(), clock.wall())) << k;
         cluster->loaded(clock.now());
-        if (parted) cluster->setParted();
+        if (parted) cluster->enablePages();
     }
     /// What runs by the records is there, and says so.
     void report() {
         for (MachineIndex i = 0; i < cluster->machines().size(); ++i) {
             const auto& m = cluster->machines()[i];
             Worker& w = workers.try_emplace(m.name, m.name).first->second;
-            for (const auto& c : m.charges) {
+            for (const auto& c : m.allocations) {
                 const bool known =
                     std::any_of(w.report.tasks.begin(), w.report.tasks.end(), [&](const auto& t) {
                         return t.job == c.job->spec.id && t.task == c.task &&
@@ -140,14 +140,14 @@
             }
         }
         for (auto& [name, w] : workers) {
-            w.execute(cluster->beat(w.next(), clock.now()));
+            w.execute(cluster->onHeartbeat(w.next(), clock.now()));
             w.report.token = token;
         }
     }
     /// So many of the writes that are due, then the process ends.
     void write(std::size_t most) {
         while (true) {
-            const auto dirty = cluster->take().dirty;
+            const auto dirty = cluster->takeEffects().dirtyRecords;
             if (dirty.empty()) return;
             for (const auto& [key, urgency] : dirty) {
                 const auto e = cluster->encode(key);
@@ -172,7 +172,7 @@
             const Job& was = *before.find(id);
             const Job& is = *cluster->find(id);
             if (was.cancelDurable()) {
-                EXPECT_TRUE(is.cancelFinal) << id;
+                EXPECT_TRUE(is.cancelCommitted) << id;
             }
             if (was.doneDurable()) {
                 EXPECT_TRUE(is.allDone()) << id;
@@ -187,7 +187,7 @@
                 ASSERT_EQ(a.attempt, b.attempt) << id << '/' << t;
                 if (a.state != TaskState::bound) continue;
                 ASSERT_EQ(before.machines()[a.machine].name, cluster->machines()[b.machine].name);
-                ASSERT_EQ(a.guaranteed, b.guaranteed) << id << '/' << t;
+                ASSERT_EQ(a.reserved, b.reserved) << id << '/' << t;
             }
         }
     }
@@ -199,14 +199,14 @@
     EXPECT_EQ(cluster->find("run-000001")->waitingCount(), 2U);
     EXPECT_EQ(cluster->find("run-000002")->boundCount, 300U);
     EXPECT_EQ(*cluster->find("run-000002")->spec.deadlineS, 120.5);
-    EXPECT_TRUE(cluster->find("run-000002")->spec.needs.empty());
+    EXPECT_TRUE(cluster->find("run-000002")->spec.dependencies.empty());
     EXPECT_EQ(cluster->find("run-000003")->doneCount, 320U);
     EXPECT_EQ(cluster->find("run-000003")->boundCount, 330U);
     EXPECT_EQ(cluster->find("run-000003")->tasks[401].attempt, 1U + 401 % 3);
     EXPECT_TRUE(cluster->find("run-000004")->cancelled);
-    EXPECT_FALSE(cluster->find("run-000004")->cancelFinal);
+    EXPECT_FALSE(cluster->find("run-000004")->cancelCommitted);
     EXPECT_TRUE(cluster->find("run-000005")->cancelDurable());
-    EXPECT_TRUE(cluster->find("run-000006")->tasks[2].guaranteed);
+    EXPECT_TRUE(cluster->find("run-000006")->tasks[2].reserved);
     EXPECT_TRUE(cluster->find("run-000007")->doneDurable());
     const auto doc = golden();
     for (const auto& f : doc["frames"].GetObject()) {
@@ -214,13 +214,13 @@
         const std::string hex = f.value.GetString();
         for (std::size_t i = 0; i < hex.size(); i += 2)
             data += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
-        mesh::Message m;
-        ASSERT_EQ(mesh::decode(data, m), mesh::Decoded::message) << f.name.GetString();
+        peer_rpc::Message m;
+        ASSERT_EQ(peer_rpc::decode(data, m), peer_rpc::DecodeStatus::message) << f.name.GetString();
         if (!m.hello) continue;
         EXPECT_EQ(m.hello->node, "rig-1");
-        EXPECT_EQ(m.hello->process, "a-process");
-        EXPECT_TRUE(m.hello->handsOn);
-        EXPECT_EQ(m.hello->format, 1U) << "nothing that it does not know may be written";
+        EXPECT_EQ(m.hello->incarnation, "a-process");
+        EXPECT_TRUE(m.hello->supportsTransfers);
+        EXPECT_EQ(m.hello->storedFormat, 1U) << "nothing that it does not know may be written";
     }
 }
 
@@ -249,8 +249,8 @@
         const Job& job = *cluster->find(id);
         EXPECT_EQ(j.tasks, job.spec.tasks);
         EXPECT_EQ(j.at, job.submitted.count());
-        EXPECT_EQ(j.cancelled, job.cancelFinal) << id;
-        EXPECT_EQ(j.withdrawing, job.cancelled && !job.cancelFinal) << id;
+        EXPECT_EQ(j.cancelled, job.cancelCommitted) << id;
+        EXPECT_EQ(j.withdrawing, job.cancelled && !job.cancelCommitted) << id;
         for (std::uint32_t t = 0; t < job.spec.tasks; ++t) {
             const JobTask& task = job.tasks[t];
             ASSERT_EQ(j.state[t].done, task.state == TaskState::done) << id << '/' << t;
@@ -258,7 +258,7 @@
             ASSERT_EQ(j.state[t].attempt, task.attempt) << id << '/' << t;
             const bool bound = task.state == TaskState::bound;
             ASSERT_EQ(j.state[t].machine, bound ? cluster->machines()[task.machine].name : "");
-            ASSERT_EQ(j.state[t].guaranteed, bound && task.guaranteed);
+            ASSERT_EQ(j.state[t].guaranteed, bound && task.reserved);
         }
     }
     EXPECT_EQ(old->size(), 8U);
@@ -278,7 +278,7 @@
     }
     cluster->cancel(*cluster->find("run-000002"), clock.now());
     clock.advance(1s);
-    cluster->expire(clock.now());
+    cluster->advanceTo(clock.now());
     write(SIZE_MAX);
     EXPECT_TRUE(cluster->find("run-000002")->cancelDurable());
     EXPECT_TRUE(cluster->find("run-000004")->cancelDurable()) << "it was being withdrawn";
@@ -340,7 +340,7 @@
         machines.emplace_back("n-" + std::string(60, 'x') + std::to_string(i));
     for (int i = 0; i < 80; ++i) {
         for (auto& w : machines) {
-            w.execute(old.beat(w.next(), clock.now()));
+            w.execute(old.onHeartbeat(w.next(), clock.now()));
             w.report.token = 1;
         }
         old.place(clock.now(), 64);
@@ -375,13 +375,13 @@
     testing::commitAll(*cluster, records);
     records.clear();  // of these nothing more is looked at
     JobSpec s = testing::spec("run-9", 40);
-    s.needs = needs;
+    s.dependencies = needs;
     s.image = "caf\xC3\xA9 \"quoted\" \n";
-    ASSERT_EQ(cluster->submit(s, clock.now(), clock.wall()), Submitted::fresh);
+    ASSERT_EQ(cluster->submit(s, clock.now(), clock.wall()), SubmitResult::accepted);
     const Job& job = *cluster->find("run-9");
     std::size_t writes = 0;
-    for (auto e = cluster->take(); !e.dirty.empty(); e = cluster->take())
-        for (const auto& [key, urgency] : e.dirty) {
+    for (auto e = cluster->takeEffects(); !e.dirtyRecords.empty(); e = cluster->takeEffects())
+        for (const auto& [key, urgency] : e.dirtyRecords) {
             const auto encoded = cluster->encode(key);
             if (!encoded) continue;
             EXPECT_LE(encoded->data.size(), settings.valueBytes) << key;
@@ -395,9 +395,9 @@
     EXPECT_GT(writes, 30U);
     takeOver(true);
     const Job& read = *cluster->find("run-9");
-    EXPECT_EQ(read.spec.needs, needs);
+    EXPECT_EQ(read.spec.dependencies, needs);
     EXPECT_EQ(read.spec.image, s.image);
-    EXPECT_TRUE(read.held) << "none of what it needs is on record here, so none is done";
+    EXPECT_TRUE(read.blocked) << "none of what it needs is on record here, so none is done";
 }
 
 TEST_F(UpgradeTest, AValueThatIsRefusedIsNeverWrittenAsItIsAgain) {
@@ -405,15 +405,15 @@
     records.clear();
     takeOver(true);
     Worker w("n-1");
-    w.execute(cluster->beat(w.next(), clock.now()));
+    w.execute(cluster->onHeartbeat(w.next(), clock.now()));
     JobSpec s = testing::spec("run-000001", 200);
     s.demand = {0.02, 0, 0.02};
     cluster->submit(s, clock.now(), clock.wall());
     cluster->place(clock.now());
     constexpr std::size_t limit = 900;
     std::set<std::pair<std::string, std::string>> refused;
-    for (auto e = cluster->take(); !e.dirty.empty(); e = cluster->take())
-        for (const auto& [key, urgency] : e.dirty) {
+    for (auto e = cluster->takeEffects(); !e.dirtyRecords.empty(); e = cluster->takeEffects())
+        for (const auto& [key, urgency] : e.dirtyRecords) {
             const auto encoded = cluster->encode(key);
             if (!encoded) continue;
             if (encoded->data.size() > limit) {
--- a/src/lab/worker.cpp
+++ b/src/simulator/agent.cpp
@@ -1,22 +1,22 @@
-#include "lab/worker.h"
+#include "simulator/agent.h"
 
 #include <algorithm>
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 using namespace std::chrono_literals;
-using workers::ExitCause;
-using workers::TaskStatus;
+using worker_api::ExitCause;
+using worker_api::TaskStatus;
 
 namespace {
-constexpr Duration patience = 4s, pause = 1s, soonest = 500ms;
+constexpr Duration timeout = 4s, pause = 1s, soonest = 500ms;
 constexpr double heldAtMostS = 8;  // a command that is held up
 
 const char* wordOf(TaskStatus s) {
     switch (s) {
         case TaskStatus::pulling:
             return "pulling";
-        case TaskStatus::saving:
+        case TaskStatus::checkpointing:
             return "saving";
         case TaskStatus::exited:
             return "exited";
@@ -42,8 +42,8 @@
 }
 }  // namespace
 
-Worker::Worker(Timeline& time, Machine& machine, Cloud::Host host, TypeTerms type,
-               WorkerTerms& terms, History& history, const Worker* former)
+Agent::Agent(Timeline& time, Machine& machine, Cloud::Host host, TypeTerms type,
+             AgentEnvironment& terms, History& history, const Agent* former)
     : time_(time),
       machine_(machine),
       host_(std::move(host)),
@@ -59,48 +59,50 @@
     server_->start(scope_);
     node_ = static_cast<std::size_t>(time_.between(0, static_cast<double>(terms_.nodes.size())));
     if (former != nullptr) {
-        session_ = former->session_ + 1;
+        incarnation_ = former->incarnation_ + 1;
         sequence_ = former->sequence_;
         token_ = former->token_;
     }
     history_.machines[host_.name] = {
         host_.type, host_.zone, machine.site, host_.spot, {type_.cores, type_.gpus, type_.ramGb}};
-    history_.facts.push_back({time_.seconds(), Fact::Kind::up, machine_.site, "", host_.name});
+    history_.facts.push_back(
+        {time_.seconds(), HistoryEvent::Kind::up, machine_.site, "", host_.name});
     renew(now());
-    scope_.spawn(beat());
+    scope_.spawn(sendHeartbeats());
 }
 
-void Worker::kill(bool power) {
+void Agent::kill(bool power) {
     if (gone_) return;
     gone_ = true;
-    for (auto& [key, h] : held_)
-        if (h.on) say(Fact::Kind::off, h);
-    history_.facts.push_back({time_.seconds(), Fact::Kind::gone, machine_.site, "", host_.name});
+    for (auto& [key, h] : tasks_)
+        if (h.on) say(HistoryEvent::Kind::taskStopped, h);
+    history_.facts.push_back(
+        {time_.seconds(), HistoryEvent::Kind::gone, machine_.site, "", host_.name});
     machine_.cutOff(power);
     machine_.unwind(scope_);
     server_.reset();
-    held_.clear();
+    tasks_.clear();
     machine_.halt();
 }
 
-void Worker::deafen(Duration span) {
-    deafUntil_ = std::max(deafUntil_, now() + span);
+void Agent::blockInbound(Duration span) {
+    inboundBlockedUntil_ = std::max(inboundBlockedUntil_, now() + span);
 }
 
-std::set<std::string> Worker::jobsOn() const {
+std::set<std::string> Agent::jobsOn() const {
     std::set<std::string> out;
-    for (const auto& [key, h] : held_)
+    for (const auto& [key, h] : tasks_)
         if (h.on) out.insert(h.job);
     return out;
 }
 
-void Worker::recall(Duration notice) {
+void Agent::noticeInterruption(Duration notice) {
     notice_ = now() + notice;
     change();
 }
 
-void Worker::say(Fact::Kind kind, const Held& h) {
-    Fact e;
+void Agent::say(HistoryEvent::Kind kind, const RunningTask& h) {
+    HistoryEvent e;
     e.at = time_.seconds();
     e.kind = kind;
     e.site = machine_.site;
@@ -111,34 +113,34 @@
     history_.facts.push_back(std::move(e));
 }
 
-void Worker::renew(TimePoint sentAt) {
+void Agent::renew(TimePoint sentAt) {
     leaseEnd_ = std::max(leaseEnd_, sentAt + terms_.lease);
     // By the worker's clock, and also while it hangs: what is on it counts no longer then.
     time_.at(machine_.clock().trueTime(leaseEnd_) + 1us, [this, until = leaseEnd_] {
-        if (!gone_ && leaseEnd_ == until) endSession();
+        if (!gone_ && leaseEnd_ == until) endIncarnation();
     });
 }
-void Worker::endSession() {
-    for (auto& [key, h] : held_)
-        if (h.on) say(Fact::Kind::off, h);
-    held_.clear();
-    ++session_;
+void Agent::endIncarnation() {
+    for (auto& [key, h] : tasks_)
+        if (h.on) say(HistoryEvent::Kind::taskStopped, h);
+    tasks_.clear();
+    ++incarnation_;
     leaseEnd_ = TimePoint{};
     renew(now());
     change();
 }
 
-std::string Worker::report() {
+std::string Agent::report() {
     json::Out o;
     o.open().field("host", host_.name).field("addr", host_.address).field("rigKind", host_.type);
-    o.field("hall", host_.zone).field("loaners", host_.spot).field("stint", session_);
+    o.field("hall", host_.zone).field("loaners", host_.spot).field("stint", incarnation_);
     o.field("tick", ++sequence_).field("baton", token_).key("recallS");
     if (notice_)
         o.value(std::max(0.0, toSeconds(*notice_ - now())));
     else
         o.null();
     o.key("splits").openArray();
-    for (const auto& [key, h] : held_) {
+    for (const auto& [key, h] : tasks_) {
         o.open().field("split", h.id()).field("try", h.attempt).field("status", wordOf(h.status));
         if (h.status == TaskStatus::exited) o.field("cause", wordOf(h.cause));
         if (h.stored) o.field("stored", true);
@@ -148,38 +150,38 @@
     return o.text();
 }
 
-Task<void> Worker::beat() {
+Task<void> Agent::sendHeartbeats() {
     std::map<std::size_t, std::unique_ptr<http::Client>> clients;
     while (!scope_.cancelled()) {
         changed_ = false;
-        if (now() < muteUntil_) {
+        if (now() < outboundBlockedUntil_) {
             // No connection comes about.
             node_ = (node_ + 1) % terms_.nodes.size();
             co_await loop_.sleep(pause, scope_);
             continue;
         }
         const TimePoint sentAt = now();
-        const std::uint64_t session = session_;
+        const std::uint64_t session = incarnation_;
         auto& client = clients[node_];
         if (!client) client = std::make_unique<http::Client>(loop_, terms_.nodes[node_].second, 1);
         http::Request request{"POST", "/agent/beat", report()};
         if (terms_.reported) terms_.reported(request.body);
-        auto o = co_await client->request(std::move(request), patience, scope_);
+        auto o = co_await client->request(std::move(request), timeout, scope_);
         if (scope_.cancelled()) co_return;
-        if (deaf()) {
+        if (inboundBlocked()) {
             // The answer does not arrive; the connection is given up.
-            const TimePoint until = sentAt + patience;
+            const TimePoint until = sentAt + timeout;
             while (now() < until && !scope_.cancelled())
                 co_await loop_.sleep(until - now(), scope_);
             if (scope_.cancelled()) co_return;
-            o = http::Outcome{};
+            o = http::RequestOutcome{};
         }
         const auto doc = o.answered ? json::parse(o.response.body) : std::nullopt;
-        if (o.answered && o.response.status == 200 && doc && now() - sentAt <= patience) {
+        if (o.answered && o.response.status == 200 && doc && now() - sentAt <= timeout) {
             const auto token = json::count(*doc, "baton");
-            if (token && *token >= token_ && session == session_) {
-                if (*token > token_ && now() >= tokenToldAt_ + terms_.lease / 2) {
-                    tokenToldAt_ = now();
+            if (token && *token >= token_ && session == incarnation_) {
+                if (*token > token_ && now() >= tokenSeenAt_ + terms_.lease / 2) {
+                    tokenSeenAt_ = now();
                     changed_ = true;
                 }
                 token_ = *token;
@@ -209,9 +211,10 @@
     }
 }
 
-Task<http::Response> Worker::serve(http::Request r) {
+Task<http::Response> Agent::serve(http::Request r) {
     // Held back, and delivered when it ends.
-    while (deaf() && !scope_.cancelled()) co_await loop_.sleep(deafUntil_ - now(), scope_);
+    while (inboundBlocked() && !scope_.cancelled())
+        co_await loop_.sleep(inboundBlockedUntil_ - now(), scope_);
     const bool held = now() < holdUntil_, answer = held && time_.chance(0.5);
     const auto pause = fromSeconds(held ? time_.between(0.2, heldAtMostS) : 0);
     if (held && !answer) co_await loop_.sleep(pause, scope_);
@@ -220,20 +223,20 @@
     co_return response;
 }
 
-http::Response Worker::command(const http::Request& r) {
+http::Response Agent::command(const http::Request& r) {
     if (r.target == "/inspect") return {200, report()};
     if (r.target != "/commands") return {404, "{}"};
     const auto doc = json::parse(r.body);
     const auto token = doc ? json::count(*doc, "baton") : std::nullopt;
     const auto session = doc ? json::count(*doc, "stint") : std::nullopt;
     if (!token || !session) return {400, "{}"};
-    if (*token < token_ || *session != session_) return {409, report()};
+    if (*token < token_ || *session != incarnation_) return {409, report()};
     token_ = *token;
     execute(*doc);
     return {200, report()};
 }
 
-void Worker::execute(const json::Value& answer) {
+void Agent::execute(const json::Value& answer) {
     const auto* orders = json::array(answer, "orders");
     if (orders == nullptr) return;
     for (const auto& o : orders->GetArray()) {
@@ -247,32 +250,32 @@
                    static_cast<std::uint32_t>(std::stoul(split->substr(slash + 1))), *attempt);
         } else if (*verb == "stop") {
             stop(key, fromSeconds(json::number(o, "windDownS").value_or(0)));
-        } else if (const auto h = held_.find(key);
-                   h != held_.end() && h->second.status == TaskStatus::exited) {
-            held_.erase(h);
+        } else if (const auto h = tasks_.find(key);
+                   h != tasks_.end() && h->second.status == TaskStatus::exited) {
+            tasks_.erase(h);
         }
     }
 }
 
-void Worker::launch(const std::string& job, std::uint32_t task, Attempt attempt) {
-    Held h;
+void Agent::launch(const std::string& job, std::uint32_t task, Attempt attempt) {
+    RunningTask h;
     h.job = job;
     h.task = task;
     h.attempt = attempt;
     const Key key{h.id(), attempt};
-    if (held_.contains(key)) return;
+    if (tasks_.contains(key)) return;
     const auto known = history_.jobs.find(job);
     const auto refuse = [&](ExitCause why) {
         h.status = TaskStatus::exited;
         h.cause = why;
-        held_[key] = h;
+        tasks_[key] = h;
         change();
     };
     if (known == history_.jobs.end() || task >= known->second.tasks)
         return refuse(ExitCause::noSuch);
     const JobSpec& spec = known->second;
     double cores = spec.demand.cores, ram = spec.demand.ramGb, gpus = spec.demand.gpus;
-    for (const auto& [k, other] : held_) {
+    for (const auto& [k, other] : tasks_) {
         if (other.status == TaskStatus::exited) continue;
         if (k.first == key.first) return refuse(ExitCause::busy);
         const Demand& d = history_.jobs.at(other.job).demand;
@@ -284,73 +287,73 @@
     if (cores > type_.cores + tiny || ram > type_.ramGb + tiny || gpus > type_.gpus + tiny)
         return refuse(ExitCause::full);
     h.serial = ++serials_;
-    held_[key] = h;
+    tasks_[key] = h;
     change();
     scope_.spawn(run(key, h.serial));
 }
 
-Worker::Held* Worker::find(const Key& key, std::uint64_t serial) {
-    const auto it = held_.find(key);
-    return it != held_.end() && it->second.serial == serial ? &it->second : nullptr;
+Agent::RunningTask* Agent::find(const Key& key, std::uint64_t serial) {
+    const auto it = tasks_.find(key);
+    return it != tasks_.end() && it->second.serial == serial ? &it->second : nullptr;
 }
 
-Task<void> Worker::run(Key key, std::uint64_t serial) {
+Task<void> Agent::run(Key key, std::uint64_t serial) {
     const JobSpec spec = history_.jobs.at(find(key, serial)->job);
     auto [image, fresh] = images_.try_emplace(spec.image, now());
     if (fresh)
         image->second += fromSeconds(spec.imageGb / type_.fetchGbPerS * time_.between(0.67, 1.33));
     const TimePoint there = image->second;
     while (now() < there && !scope_.cancelled()) co_await loop_.sleep(there - now(), scope_);
-    Held* h = find(key, serial);
+    RunningTask* h = find(key, serial);
     if (h == nullptr || scope_.cancelled()) co_return;
     h->status = TaskStatus::running;
     h->on = true;
     h->since = now();
-    say(Fact::Kind::on, *h);
+    say(HistoryEvent::Kind::taskStarted, *h);
     change();
     const std::string id = h->id();
     const double place = spec.tasks > 1 ? static_cast<double>(h->task) / (spec.tasks - 1) : 0;
     const double whole = terms_.runS.at(spec.id) * (1 + terms_.apart[spec.id] * place);
-    double left = sick_ ? 1.0 : whole - terms_.progress[id];
+    double left = failing_ ? 1.0 : whole - terms_.progress[id];
     if (terms_.results.contains(id)) left = 0;
-    if (spec.shape == Shape::service && !sick_) co_return;  // until it is stopped
+    if (spec.shape == Shape::service && !failing_) co_return;  // until it is stopped
     const TimePoint until = now() + fromSeconds(std::max(left, 0.05));
     while (now() < until && !scope_.cancelled()) co_await loop_.sleep(until - now(), scope_);
     h = find(key, serial);
     if (h == nullptr || scope_.cancelled()) co_return;
-    const bool failed = sick_ && !terms_.results.contains(id);
+    const bool failed = failing_ && !terms_.results.contains(id);
     if (!failed && terms_.results.insert(id).second) {
-        say(Fact::Kind::completed, *h);
+        say(HistoryEvent::Kind::completed, *h);
         if (++terms_.resultsOf[spec.id] == spec.tasks && terms_.ended) terms_.ended(spec.id);
     }
     end(*h, failed ? ExitCause::error : ExitCause::done, false);
 }
 
-void Worker::stop(const Key& key, Duration grace) {
-    const auto it = held_.find(key);
-    if (it == held_.end() || it->second.status == TaskStatus::exited) return;
-    Held& h = it->second;
+void Agent::stop(const Key& key, Duration grace) {
+    const auto it = tasks_.find(key);
+    if (it == tasks_.end() || it->second.status == TaskStatus::exited) return;
+    RunningTask& h = it->second;
     const JobSpec& spec = history_.jobs.at(h.job);
     const bool saves =
         h.status == TaskStatus::running && spec.checkpointS > 0 && grace >= fromSeconds(spec.saveS);
-    if (h.status == TaskStatus::saving && grace > Duration::zero()) return;
+    if (h.status == TaskStatus::checkpointing && grace > Duration::zero()) return;
     h.serial = ++serials_;
     if (!saves) return end(h, ExitCause::stopped, false);
-    h.status = TaskStatus::saving;
+    h.status = TaskStatus::checkpointing;
     change();
     scope_.spawn(save(key, h.serial, fromSeconds(spec.saveS)));
 }
-Task<void> Worker::save(Key key, std::uint64_t serial, Duration span) {
+Task<void> Agent::save(Key key, std::uint64_t serial, Duration span) {
     const TimePoint until = now() + span;
     while (now() < until && !scope_.cancelled()) co_await loop_.sleep(until - now(), scope_);
-    Held* h = find(key, serial);
+    RunningTask* h = find(key, serial);
     if (h == nullptr || scope_.cancelled()) co_return;
     terms_.progress[h->id()] += toSeconds(now() - h->since);
     end(*h, ExitCause::stopped, true);
 }
 
-void Worker::end(Held& h, ExitCause cause, bool stored) {
-    if (h.on) say(Fact::Kind::off, h);
+void Agent::end(RunningTask& h, ExitCause cause, bool stored) {
+    if (h.on) say(HistoryEvent::Kind::taskStopped, h);
     h.on = false;
     h.status = TaskStatus::exited;
     h.cause = cause;
@@ -359,4 +362,4 @@
     change();
 }
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/checker.cpp
+++ b/src/simulator/checker.cpp
@@ -1,15 +1,15 @@
-#include "lab/checker.h"
+#include "simulator/checker.h"
 
 #include <algorithm>
 #include <deque>
 #include <functional>
 #include <set>
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 namespace {
 
-using Kind = Fact::Kind;
+using Kind = HistoryEvent::Kind;
 constexpr double tiny = 1e-6;
 constexpr double silentS = 90;  // every poll in vain for so long, while most others are answered
 constexpr double largestShare = 0.1;  // of a class's jobs, by their number of tasks
@@ -17,14 +17,14 @@
 constexpr double cancelSlackS = 0.01;  // the clock of whoever was told
 constexpr double besideEveryS = 1;     // how often it is looked who waits beside room
 
-bool isAnswer(const Fact& e) {
-    return e.kind == Kind::told && (e.status == 200 || e.status == 201);
+bool isAnswer(const HistoryEvent& e) {
+    return e.kind == Kind::answered && (e.status == 200 || e.status == 201);
 }
 
 class Check {
   public:
     Check(const History& history, const RuleTerms& terms) : h_(history), terms_(terms) {}
-    Verdict run();
+    CheckResult run();
 
   private:
     struct Place {
@@ -46,14 +46,14 @@
         out_.violations.push_back(std::move(v));
     }
     void on(std::size_t i);
-    void off(const Fact& e);
+    void off(const HistoryEvent& e);
     void told(std::size_t i);
     void place(std::size_t i, const JobSpec& spec, const Known& job);
     void quota(const JobSpec& spec);
     void overdue(double now);
     void asked(std::size_t i);
     /// Whether the question left after that was told; else the two overlap, which is counted.
-    bool after(const Fact& answer, std::size_t told);
+    bool after(const HistoryEvent& answer, std::size_t told);
     void unfit(std::size_t i);
     void beside(double now);
     [[nodiscard]] bool waitsBesideRoom(const JobSpec& spec, const Known& job) const;
@@ -75,7 +75,7 @@
     double lookedBesideAt_ = 0;
     std::uint64_t polls_ = 0, answered_ = 0, launches_ = 0;
     std::deque<std::pair<double, bool>> recent_;  // polls and whether they were answered
-    Verdict out_;
+    CheckResult out_;
 };
 
 void Check::quota(const JobSpec& spec) {
@@ -95,7 +95,7 @@
 }
 
 void Check::place(std::size_t i, const JobSpec& spec, const Known& job) {
-    const Fact& e = h_.facts[i];
+    const HistoryEvent& e = h_.facts[i];
     const MachineFacts& m = h_.machines.at(e.machine);
     const auto bad = [&](const std::string& why, std::vector<std::size_t> proof = {}) {
         proof.push_back(i);
@@ -113,7 +113,7 @@
         if (at.zone == m.zone && at.site == m.site) {
             ++here;
             others.push_back(p.event);
-        } else if (spec.oneZone) {
+        } else if (spec.sameZone) {
             bad("is in two zones", {p.event});
         }
     }
@@ -121,7 +121,7 @@
 }
 
 void Check::on(std::size_t i) {
-    const Fact& e = h_.facts[i];
+    const HistoryEvent& e = h_.facts[i];
     ++launches_;
     const auto spec = h_.jobs.find(e.job);
     if (spec == h_.jobs.end()) return;
@@ -156,7 +156,7 @@
         const auto spec = h_.jobs.find(next.back());
         next.pop_back();
         if (spec == h_.jobs.end()) continue;
-        for (const auto& need : spec->second.needs) {
+        for (const auto& need : spec->second.dependencies) {
             if (!seen.insert(need).second) continue;
             const auto job = jobs_.find(need);
             if (job != jobs_.end() && visit(need, job->second)) return true;
@@ -167,7 +167,7 @@
 }
 
 void Check::tooEarly(std::size_t i, const JobSpec& spec) {
-    for (const auto& need : spec.needs) {
+    for (const auto& need : spec.dependencies) {
         const auto job = jobs_.find(need);
         const std::size_t done = job == jobs_.end() ? 0 : job->second.completed.size();
         if (done < h_.jobs.at(need).tasks)
@@ -179,12 +179,12 @@
 }
 
 void Check::orphaned(std::size_t i) {
-    const Fact& e = h_.facts[i];
+    const HistoryEvent& e = h_.facts[i];
     before(e.job, [&](const std::string& id, const Known& job) {
         const bool late =
             job.cancelled && e.at > h_.facts[*job.cancelled].at + terms_.cancelS + cancelSlackS;
         if (late)
-            wrong("orphaned", e.job + " is " + e.word + " long after " + id + " was cancelled",
+            wrong("orphaned", e.job + " is " + e.text + " long after " + id + " was cancelled",
                   {*job.cancelled, i});
         return late;
     });
@@ -195,7 +195,7 @@
                   [](const std::string&, const Known& job) { return job.withdrew && !job.done; });
 }
 
-void Check::off(const Fact& e) {
+void Check::off(const HistoryEvent& e) {
     const auto job = jobs_.find(e.job);
     if (job == jobs_.end()) return;
     for (auto [p, end] = job->second.on.equal_range(e.task); p != end; ++p) {
@@ -225,7 +225,7 @@
     }
 }
 
-bool Check::after(const Fact& answer, std::size_t told) {
+bool Check::after(const HistoryEvent& answer, std::size_t told) {
     if (!answer.asked || *answer.asked > told) return true;
     ++out_.overtaken;
     out_.longestOvertakenS =
@@ -234,13 +234,13 @@
 }
 
 void Check::unfit(std::size_t i) {
-    const Fact& e = h_.facts[i];
+    const HistoryEvent& e = h_.facts[i];
     if (isAnswer(e))
         wrong("accepted_unfit", e.job + " is accepted though " + h_.unfit.at(e.job), {i});
 }
 
 void Check::told(std::size_t i) {
-    const Fact& e = h_.facts[i];
+    const HistoryEvent& e = h_.facts[i];
     if (h_.unfit.contains(e.job)) return unfit(i);
     const bool submitted = h_.jobs.contains(e.job);
     if (!submitted) {
@@ -248,11 +248,11 @@
         return;
     }
     Known& job = jobs_[e.job];
-    if (e.question == Fact::Question::poll && (e.status == 200 || e.status == 404))
+    if (e.question == HistoryEvent::Question::poll && (e.status == 200 || e.status == 404))
         job.silentSince.reset();
     if (job.accepted) {
-        const bool repeats =
-            e.question == Fact::Question::submission || e.question == Fact::Question::repetition;
+        const bool repeats = e.question == HistoryEvent::Question::submission ||
+                             e.question == HistoryEvent::Question::repetition;
         if ((e.status == 404 || (repeats && (e.status == 400 || e.status == 422))) &&
             after(e, *job.accepted))
             wrong("forgotten", e.job + " was accepted", {*job.accepted, i});
@@ -262,7 +262,7 @@
     }
     if (!isAnswer(e)) return;
     if (!job.accepted) job.accepted = i;
-    const std::string& word = e.word;
+    const std::string& word = e.text;
     if (word == "done") {
         if (job.cancelled) wrong("went_back", e.job + " was cancelled", {*job.cancelled, i});
         const JobSpec& spec = h_.jobs.at(e.job);
@@ -288,15 +288,15 @@
 }
 
 void Check::asked(std::size_t i) {
-    const Fact& e = h_.facts[i];
+    const HistoryEvent& e = h_.facts[i];
     if (!h_.jobs.contains(e.job)) return;
     Known& job = jobs_[e.job];
-    if (e.question == Fact::Question::withdrawal) {
+    if (e.question == HistoryEvent::Question::cancellation) {
         if (!job.withdrawnInVainSince) job.withdrawnInVainSince = e.at;
         if (e.at - std::max(*job.withdrawnInVainSince, terms_.calmS) > terms_.knownS)
             wrong("stuck", e.job + " is withdrawn in vain, though all troubles are over", {i});
     }
-    if (e.question != Fact::Question::poll) return;
+    if (e.question != HistoryEvent::Question::poll) return;
     if (!job.silentSince) job.silentSince = e.at;
     recent_.emplace_back(e.at, false);
     while (!recent_.empty() && recent_.front().first < e.at - silentS) recent_.pop_front();
@@ -314,7 +314,7 @@
     if (!job.accepted || job.withdrew || job.cancelled || job.done) return false;
     const std::size_t over = spec.shape == Shape::service ? 0 : job.completed.size();
     if (over + job.on.size() >= spec.tasks || withdrawnBefore(spec.id)) return false;
-    for (const auto& need : spec.needs) {
+    for (const auto& need : spec.dependencies) {
         const auto other = jobs_.find(need);
         if (other == jobs_.end() || other->second.completed.size() < h_.jobs.at(need).tasks)
             return false;
@@ -337,7 +337,7 @@
         const auto here = zones.find(m.zone);
         if (spec.spread && here != zones.end() && here->second >= (spec.tasks + 1) / 2)
             return false;
-        if (spec.oneZone && !zones.empty() && here == zones.end()) return false;
+        if (spec.sameZone && !zones.empty() && here == zones.end()) return false;
         Demand free = m.capacity;
         if (const auto used = onMachine_.find(name); used != onMachine_.end()) free -= used->second;
         return spec.demand.cores <= free.cores + tiny && spec.demand.ramGb <= free.ramGb + tiny &&
@@ -356,7 +356,7 @@
             continue;
         }
         if (!job.besideSince) job.besideSince = now;
-        if (now - *job.besideSince > terms_.besideRoomS)
+        if (now - *job.besideSince > terms_.idleCapacityWaitS)
             wrong("left_waiting", id + " waits beside a machine that fits and has room",
                   {*job.accepted});
     }
@@ -373,7 +373,7 @@
         const auto spec = h_.jobs.find(id);
         if (spec == h_.jobs.end() || !job.submitted || !job.accepted) continue;
         if (!job.started && (job.withdrew || withdrawnBefore(id))) continue;
-        if (!spec->second.needs.empty()) continue;  // their time begins when others are done
+        if (!spec->second.dependencies.empty()) continue;  // their time begins when others are done
         if (h_.facts[*job.submitted].at + terms_.beginS > end) continue;
         classes[spec->second.jobClass].emplace_back(spec->second.tasks, id);
     }
@@ -423,30 +423,30 @@
     }
 }
 
-Verdict Check::run() {
+CheckResult Check::run() {
     for (std::size_t i = 0; i < h_.facts.size(); ++i) {
-        const Fact& e = h_.facts[i];
+        const HistoryEvent& e = h_.facts[i];
         overdue(e.at);
         beside(e.at);
         switch (e.kind) {
             case Kind::submitted:
                 jobs_[e.job].submitted = i;
                 break;
-            case Kind::withdrew:
+            case Kind::cancelRequested:
                 jobs_[e.job].withdrew = i;
                 break;
-            case Kind::on:
+            case Kind::taskStarted:
                 on(i);
                 break;
-            case Kind::off:
+            case Kind::taskStopped:
                 off(e);
                 break;
             case Kind::completed:
                 jobs_[e.job].completed.insert(e.task);
                 break;
-            case Kind::told:
+            case Kind::answered:
                 told(i);
-                if (e.question == Fact::Question::poll && e.status == 200)
+                if (e.question == HistoryEvent::Question::poll && e.status == 200)
                     recent_.emplace_back(e.at, true);
                 break;
             case Kind::asked:
@@ -471,8 +471,8 @@
 
 }  // namespace
 
-Verdict check(const History& history, const RuleTerms& terms) {
+CheckResult check(const History& history, const RuleTerms& terms) {
     return Check(history, terms).run();
 }
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/checker.h
+++ b/src/simulator/checker.h
@@ -3,10 +3,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/history.h"
 #include "settings/settings.h"
+#include "simulator/history.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 /// What the rules need to know of a deployment, beside what happened.
 struct RuleTerms {
@@ -22,18 +22,18 @@
     double beginS = 0;
     /// From `calmS` on no job waits for so long while a machine that fits has room and its team is
     /// under its limit.
-    double besideRoomS = 90;
+    double idleCapacityWaitS = 90;
 };
 
 struct Violation {
     std::string rule, what;
-    std::vector<Fact> proof;  // the shortest part of the history that shows it
+    std::vector<HistoryEvent> proof;  // the shortest part of the history that shows it
 };
 
 struct Share {
     std::uint64_t jobs = 0, accepted = 0, started = 0, ended = 0;
 };
-struct Verdict {
+struct CheckResult {
     std::vector<Violation> violations;
     std::map<std::string, Share> classes, teams, largest;
     /// Answers older than what was told while their question was on its way: by linearizability the
@@ -46,6 +46,6 @@
 
 /// Decides from outside: it knows what users, workers and the cloud saw, and no code of the
 /// service.
-Verdict check(const History& history, const RuleTerms& terms);
+CheckResult check(const History& history, const RuleTerms& terms);
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/checker_test.cpp
+++ b/src/simulator/checker_test.cpp
@@ -1,4 +1,4 @@
-#include "lab/checker.h"
+#include "simulator/checker.h"
 
 #include <gtest/gtest.h>
 
@@ -6,11 +6,11 @@
 
 // One history for each rule that breaks it, and the same one mended.
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 namespace {
 
-using Kind = Fact::Kind;
-using Question = Fact::Question;
+using Kind = HistoryEvent::Kind;
+using Question = HistoryEvent::Question;
 
 class CheckerTest : public ::testing::Test {
   protected:
@@ -37,8 +37,8 @@
         s.spotAllowed = false;
         return s;
     }
-    Fact& add(double at, Kind kind, const std::string& id) {
-        Fact f;
+    HistoryEvent& add(double at, Kind kind, const std::string& id) {
+        HistoryEvent f;
         f.at = at;
         f.kind = kind;
         f.job = id;
@@ -47,21 +47,21 @@
         return history.facts.back();
     }
     void on(double at, const std::string& id, std::uint32_t task, const std::string& machine) {
-        Fact& f = add(at, Kind::on, id);
+        HistoryEvent& f = add(at, Kind::taskStarted, id);
         f.task = task;
         f.machine = machine;
         f.site = history.machines.at(machine).site;
     }
     void off(double at, const std::string& id, std::uint32_t task, const std::string& machine) {
-        Fact& f = add(at, Kind::off, id);
+        HistoryEvent& f = add(at, Kind::taskStopped, id);
         f.task = task;
         f.machine = machine;
     }
     void told(double at, const std::string& id, int status, const std::string& word,
               Question question = Question::poll) {
-        Fact& f = add(at, Kind::told, id);
+        HistoryEvent& f = add(at, Kind::answered, id);
         f.status = status;
-        f.word = word;
+        f.text = word;
         f.question = question;
     }
     void asked(double at, const std::string& id) { add(at, Kind::asked, id); }
@@ -79,10 +79,10 @@
     EXPECT_EQ(broken(), Rules{});
     on(3, "run-1", 0, "a-ordinary");
     EXPECT_EQ(broken(), Rules{"ran_twice"});
-    const auto verdict = check(history, terms);
-    ASSERT_EQ(verdict.violations.size(), 1U);
-    ASSERT_EQ(verdict.violations[0].proof.size(), 2U) << "the two starts, and nothing else";
-    EXPECT_EQ(verdict.violations[0].proof[0].machine, "b-ordinary");
+    const auto result = check(history, terms);
+    ASSERT_EQ(result.violations.size(), 1U);
+    ASSERT_EQ(result.violations[0].proof.size(), 2U) << "the two starts, and nothing else";
+    EXPECT_EQ(result.violations[0].proof[0].machine, "b-ordinary");
     on(4, "run-1", 0, "far");
     EXPECT_TRUE(broken().contains("two_sites"));
 }
@@ -119,8 +119,8 @@
 }
 
 TEST_F(CheckerTest, ACancelledJobIsGoneInTime) {
-    add(2, Kind::withdrew, "run-1");
-    told(3, "run-1", 200, "cancelled", Question::withdrawal);
+    add(2, Kind::cancelRequested, "run-1");
+    told(3, "run-1", 200, "cancelled", Question::cancellation);
     off(12.9, "run-1", 0, "a-ordinary");
     add(60, Kind::up, "");
     EXPECT_EQ(broken(), Rules{});
@@ -162,7 +162,7 @@
 }
 
 TEST_F(CheckerTest, DoneIsSaidOnceEveryTaskIs) {
-    Fact& one = add(2, Kind::completed, "run-1");
+    HistoryEvent& one = add(2, Kind::completed, "run-1");
     one.task = 0;
     told(3, "run-1", 200, "done");
     EXPECT_EQ(broken(), Rules{"not_done"});
@@ -182,23 +182,23 @@
 
 TEST_F(CheckerTest, NothingStartsBeforeAllThatItNeedsIsDone) {
     history.jobs["run-1"].demand.cores = 1;
-    job("run-2").needs = {"run-1"};
+    job("run-2").dependencies = {"run-1"};
     add(2, Kind::completed, "run-1").task = 0;
     add(3, Kind::completed, "run-1").task = 1;
     on(4, "run-2", 0, "b-ordinary");
     EXPECT_EQ(broken(), Rules{});
-    job("run-3").needs = {"run-2", "run-1"};
+    job("run-3").dependencies = {"run-2", "run-1"};
     history.jobs["run-3"].demand.cores = 1;
     on(5, "run-3", 0, "rack");
     EXPECT_EQ(broken(), Rules{"too_early"});
 }
 
 TEST_F(CheckerTest, WhatComesAfterACancelledJobIsCalledCancelledInTime) {
-    job("run-2").needs = {"run-1"};
-    job("run-3").needs = {"run-2"};
+    job("run-2").dependencies = {"run-1"};
+    job("run-3").dependencies = {"run-2"};
     told(2, "run-3", 201, "pending", Question::submission);
-    add(2, Kind::withdrew, "run-1");
-    told(3, "run-1", 200, "cancelled", Question::withdrawal);
+    add(2, Kind::cancelRequested, "run-1");
+    told(3, "run-1", 200, "cancelled", Question::cancellation);
     off(4, "run-1", 0, "a-ordinary");
     told(12, "run-3", 200, "pending");
     EXPECT_EQ(broken(), Rules{}) << "cancel_s is 10";
@@ -210,13 +210,13 @@
 }
 
 TEST_F(CheckerTest, CancelledWithANeedOnlyIfThatOneIs) {
-    job("run-2").needs = {"run-1"};
+    job("run-2").dependencies = {"run-1"};
     add(1, Kind::submitted, "run-2");
-    add(2, Kind::withdrew, "run-1");
+    add(2, Kind::cancelRequested, "run-1");
     told(3, "run-2", 200, "cancelled");
     EXPECT_EQ(broken(), Rules{}) << "run-1 may be cancelled by now";
     for (std::uint32_t t = 0; t < 2; ++t) add(4, Kind::completed, "run-1").task = t;
-    told(5, "run-1", 200, "done", Question::withdrawal);
+    told(5, "run-1", 200, "done", Question::cancellation);
     EXPECT_EQ(broken(), Rules{"went_back"}) << "done won";
 }
 
@@ -244,7 +244,7 @@
     EXPECT_EQ(broken(), Rules{});
     // And so is a withdrawal.
     for (int s = 0; s < 90; s += 5)
-        add(176 + s, Kind::asked, "run-1").question = Question::withdrawal;
+        add(176 + s, Kind::asked, "run-1").question = Question::cancellation;
     EXPECT_EQ(broken(), Rules{"stuck"});
 }
 
@@ -264,14 +264,17 @@
     add(200, Kind::up, "");
     EXPECT_EQ(broken(), Rules{}) << "run-1 began, and half of the others";
     auto facts = history.facts;
-    std::erase_if(history.facts,
-                  [](const Fact& f) { return f.kind == Kind::on && f.job == "run-5"; });
-    std::erase_if(history.facts,
-                  [](const Fact& f) { return f.kind == Kind::on && f.job == "run-4"; });
+    std::erase_if(history.facts, [](const HistoryEvent& f) {
+        return f.kind == Kind::taskStarted && f.job == "run-5";
+    });
+    std::erase_if(history.facts, [](const HistoryEvent& f) {
+        return f.kind == Kind::taskStarted && f.job == "run-4";
+    });
     EXPECT_EQ(broken(), Rules{"not_served"});
     history.facts = facts;
-    std::erase_if(history.facts,
-                  [](const Fact& f) { return f.kind == Kind::on && f.job == "run-1"; });
+    std::erase_if(history.facts, [](const HistoryEvent& f) {
+        return f.kind == Kind::taskStarted && f.job == "run-1";
+    });
     EXPECT_TRUE(broken().contains("begins_late"));
     terms.beginS = 0;
     EXPECT_EQ(broken(), Rules{}) << "only where a scenario asks for it";
@@ -296,7 +299,7 @@
     history.facts.back().asked = since;
     EXPECT_EQ(broken(), Rules{"went_back"});
     history.facts.back().status = 404;
-    history.facts.back().word = "";
+    history.facts.back().text = "";
     EXPECT_EQ(broken(), Rules{"forgotten"});
 }
 
@@ -311,8 +314,8 @@
 
 TEST_F(CheckerTest, AStartOfACancelledJobIsCountedAndOneTooLateIsWrong) {
     off(1.5, "run-1", 0, "a-ordinary");
-    add(2, Kind::withdrew, "run-1");
-    told(3, "run-1", 200, "cancelled", Question::withdrawal);
+    add(2, Kind::cancelRequested, "run-1");
+    told(3, "run-1", 200, "cancelled", Question::cancellation);
     on(4, "run-1", 1, "b-ordinary");
     off(5, "run-1", 1, "b-ordinary");
     EXPECT_EQ(broken(), Rules{}) << "its launch was on its way";
@@ -351,7 +354,8 @@
     EXPECT_EQ(without([&] { terms.teams["red"].coresMax = 5; }), Rules{}) << "at its limit";
     EXPECT_EQ(without([&] { history.jobs["run-2"].demand.cores = 9; }), Rules{}) << "too large";
     EXPECT_EQ(without([&] { history.jobs["run-2"].zone = "a"; }), Rules{}) << "elsewhere";
-    EXPECT_EQ(without([&] { history.jobs["run-2"].needs = {"run-1"}; }), Rules{}) << "it waits";
+    EXPECT_EQ(without([&] { history.jobs["run-2"].dependencies = {"run-1"}; }), Rules{})
+        << "it waits";
 }
 
 TEST_F(CheckerTest, SomethingRunsAndWhatComesAfterTheTroublesIsAccepted) {
@@ -368,4 +372,4 @@
 }
 
 }  // namespace
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/cloud.cpp
+++ b/src/simulator/cloud.cpp
@@ -1,11 +1,11 @@
-#include "lab/cloud.h"
+#include "simulator/cloud.h"
 
 #include <algorithm>
 
 #include "json/json.h"
-#include "lab/query.h"
+#include "simulator/query.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 using namespace std::chrono_literals;
 
@@ -13,7 +13,7 @@
 constexpr Duration shownDead = 30s;  // a machine that dies goes on being listed as running
 }  // namespace
 
-Cloud::Cloud(Timeline& time, Loop& loop, Scope& scope, const std::string& address, Terms terms,
+Cloud::Cloud(Timeline& time, EventLoop& loop, Scope& scope, const std::string& address, Terms terms,
              Hooks hooks)
     : time_(time),
       loop_(loop),
@@ -140,7 +140,7 @@
 
 http::Response Cloud::serve(const http::Request& r) {
     if (down) return {503, R"({"error":"trouble"})"};
-    if (!requests_.take(loop_.now())) return {429, "{}"};
+    if (!requests_.tryTake(loop_.now())) return {429, "{}"};
     if (r.target == "/catalog") {
         json::Out out;
         out.open().key("rigs").openArray();
@@ -174,4 +174,4 @@
     return {404, "{}"};
 }
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/cloud.h
+++ b/src/simulator/cloud.h
@@ -4,10 +4,10 @@
 #include <string>
 
 #include "http/server.h"
-#include "lab/network.h"
 #include "runtime/budget.h"
+#include "simulator/network.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 struct TypeTerms {
     std::string name;
@@ -35,7 +35,7 @@
         std::function<std::string()> name, address;  // of the next machine
         std::function<void(const Host&)> boot, remove;
     };
-    Cloud(Timeline& time, Loop& loop, Scope& scope, const std::string& address, Terms terms,
+    Cloud(Timeline& time, EventLoop& loop, Scope& scope, const std::string& address, Terms terms,
           Hooks hooks);
     bool down = false;
     double bootFactor = 1, bootFails = 0;  // troubles, on top of the terms
@@ -54,10 +54,10 @@
     [[nodiscard]] const TypeTerms* typeOf(const std::string& name) const;
 
     Timeline& time_;
-    Loop& loop_;
+    EventLoop& loop_;
     Terms terms_;
     Hooks hooks_;
-    Budget requests_;
+    RateLimiter requests_;
     http::Server server_;
     std::map<std::string, Host> hosts_;
     std::map<std::string, std::string> rented_;  // answers by the name of the request
@@ -65,4 +65,4 @@
     std::map<TimePoint, std::map<std::string, Host>> past_;
 };
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/meetings_test.cpp
+++ b/src/simulator/fault_interactions_test.cpp
@@ -1,33 +1,34 @@
-#include "lab/lab_fixture.h"
+#include "simulator/simulation_fixture.h"
 
 // Two and more troubles that meet, brought about among real controllers: docs/meetings.md. Each
 // test says how often its meeting came about; without that it would show nothing.
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 namespace {
 
-using Kind = Fact::Kind;
-using Question = Fact::Question;
+using Kind = HistoryEvent::Kind;
+using Question = HistoryEvent::Question;
 
-class MeetingTest : public LabTest {
+class MeetingTest : public SimulationTest {
   protected:
-    Scenario s = scenario("more-meetings");
-    std::unique_ptr<World> world;
+    Scenario s = scenario("more-fault-interactions");
+    std::unique_ptr<Simulation> world;
 
     MeetingTest() { s.swarm.toS = 0; }
     /// Plays it; whatever breaks a rule fails the test.
     const History& play(std::uint64_t seed) {
-        world = std::make_unique<World>(s, seed);
+        world = std::make_unique<Simulation>(s, seed);
         world->run();
-        for (const auto& v : world->verdict().violations)
+        for (const auto& v : world->checkResult().violations)
             ADD_FAILURE() << "seed " << seed << ": " << v.rule << ": " << v.what;
         return world->history();
     }
-    static std::size_t count(const History& h, const std::function<bool(const Fact&)>& which) {
+    static std::size_t count(const History& h,
+                             const std::function<bool(const HistoryEvent&)>& which) {
         return static_cast<std::size_t>(std::count_if(h.facts.begin(), h.facts.end(), which));
     }
     static std::size_t elections(const History& h, double fromS, double toS) {
-        return count(h, [=](const Fact& f) {
+        return count(h, [=](const HistoryEvent& f) {
             return f.kind == Kind::elected && f.at >= fromS && f.at <= toS;
         });
     }
@@ -57,7 +58,8 @@
         std::map<std::string, double> ended;
         std::size_t n = 0;
         for (const auto& f : h.facts) {
-            const bool ends = f.kind == Kind::told && (f.word == "done" || f.word == "cancelled");
+            const bool ends =
+                f.kind == Kind::answered && (f.text == "done" || f.text == "cancelled");
             if (ends) ended.try_emplace(f.job, f.at);
             const auto at = ended.find(f.job);
             n += f.kind == Kind::asked && at != ended.end() && f.at - at->second < within ? 1 : 0;
@@ -71,9 +73,9 @@
         std::size_t n = 0;
         for (const auto& f : h.facts) {
             if (f.at > toS) break;
-            if (f.kind == Kind::on) ++on[f.job];
-            if (f.kind == Kind::off) --on[f.job];
-            if (f.kind == Kind::withdrew && f.at >= fromS) withdrawn.insert(f.job);
+            if (f.kind == Kind::taskStarted) ++on[f.job];
+            if (f.kind == Kind::taskStopped) --on[f.job];
+            if (f.kind == Kind::cancelRequested && f.at >= fromS) withdrawn.insert(f.job);
             if (f.kind == Kind::elected)
                 n += static_cast<std::size_t>(std::count_if(
                     withdrawn.begin(), withdrawn.end(), [&](const auto& j) { return on[j] > 0; }));
@@ -85,9 +87,9 @@
         std::map<std::string, double> out;
         for (const auto& f : h.facts) {
             if (f.at > atS) break;
-            if (f.kind != Kind::on && f.kind != Kind::off) continue;
+            if (f.kind != Kind::taskStarted && f.kind != Kind::taskStopped) continue;
             const JobSpec& spec = h.jobs.at(f.job);
-            out[spec.team] += f.kind == Kind::on ? spec.demand.cores : -spec.demand.cores;
+            out[spec.team] += f.kind == Kind::taskStarted ? spec.demand.cores : -spec.demand.cores;
         }
         return out;
     }
@@ -106,7 +108,7 @@
         looks += looksAfterTheEnd(h, 0.2);
         EXPECT_GE(elections(h, 35, 90), 2U);
         // Of two that overlap the older may be told last, by as much as an answer may be old.
-        EXPECT_LE(world->verdict().longestOvertakenS, 1.2);
+        EXPECT_LE(world->checkResult().longestOvertakenS, 1.2);
     }
     EXPECT_GT(looks, 500U);
 }
@@ -119,9 +121,9 @@
         const History& h = play(seed);
         std::set<std::string> withdrawn;
         for (const auto& f : h.facts) {
-            if (f.kind == Kind::withdrew) withdrawn.insert(f.job);
-            if (f.kind == Kind::told && f.question == Question::withdrawal && f.status == 200)
-                words[std::to_string(seed) + f.job] = f.word;
+            if (f.kind == Kind::cancelRequested) withdrawn.insert(f.job);
+            if (f.kind == Kind::answered && f.question == Question::cancellation && f.status == 200)
+                words[std::to_string(seed) + f.job] = f.text;
         }
         EXPECT_GT(looksAfterTheEnd(h, 0.2), 200U);
     }
@@ -143,8 +145,8 @@
                     fault("state_outage", 50, 4),       fault("node_crash", 54, 0.2)};
         const History& h = play(seed);
         EXPECT_GE(elections(h, 25, 80), 3U);
-        accepted += count(h, [](const Fact& f) {
-            return f.kind == Kind::told && f.status == 201 && f.at > 12 && f.at < 72;
+        accepted += count(h, [](const HistoryEvent& f) {
+            return f.kind == Kind::answered && f.status == 201 && f.at > 12 && f.at < 72;
         });
     }
     EXPECT_GT(accepted, 45U);
@@ -214,7 +216,8 @@
         for (const auto& f : h.facts) {
             if (f.kind == Kind::up) up[f.machine] = f.at;
             // A list is as old as 6 s, and at times twice that.
-            if (f.kind == Kind::on && f.at > 20 && f.at - up[f.machine] < 6) with.insert(f.machine);
+            if (f.kind == Kind::taskStarted && f.at > 20 && f.at - up[f.machine] < 6)
+                with.insert(f.machine);
         }
         early += with.size();
         EXPECT_GE(elections(h, 27, 60), 3U);
@@ -232,7 +235,8 @@
                     fault("node_crash", 34, 0.3),          fault("node_crash", 55, 0.2),
                     many("node_crash", 75, 0.2, 5)};
         const History& h = play(seed);
-        meetings += count(h, [](const Fact& f) { return f.word.starts_with("old reports"); });
+        meetings +=
+            count(h, [](const HistoryEvent& f) { return f.text.starts_with("old reports"); });
     }
     EXPECT_GE(meetings, 9U);
 }
@@ -247,7 +251,7 @@
     ping.runS = {3, 9};
     ping.apart = 0;
     ping.perMinute = 240;
-    ping.withdrawn = 0.25;
+    ping.cancelledShare = 0.25;
     s.sites[0].pipelines.clear();
     s.sites[0].state.writeRps = 25;
     s.sites[0].state.rps = 100;
@@ -259,7 +263,7 @@
         if (f.job.empty() || !h.jobs.contains(f.job) || h.jobs.at(f.job).jobClass != "pair")
             continue;
         if (f.kind == Kind::submitted) submitted[f.job] = f.at;
-        if (f.kind == Kind::told && f.status / 100 == 2) answered.try_emplace(f.job, f.at);
+        if (f.kind == Kind::answered && f.status / 100 == 2) answered.try_emplace(f.job, f.at);
     }
     std::size_t quick = 0;
     for (const auto& [job, at] : answered) quick += at - submitted[job] < 1 ? 1 : 0;
@@ -286,7 +290,10 @@
         const History& h = play(seed);
         EXPECT_EQ(elections(h, 40, 40 + away), 0U);
         EXPECT_GE(elections(h, 40 + away, 48 + away), 1U);
-        EXPECT_GT(count(h, [&](const Fact& f) { return f.kind == Kind::on && f.at > 40 + away; }),
+        EXPECT_GT(count(h,
+                        [&](const HistoryEvent& f) {
+                            return f.kind == Kind::taskStarted && f.at > 40 + away;
+                        }),
                   50U);
     }
 }
@@ -304,14 +311,14 @@
         std::set<std::string> mute;
         std::map<std::string, int> on;
         for (const auto& f : h.facts) {
-            if (f.word == "is mute") mute.insert(f.machine);
-            if (f.kind == Kind::on) ++on[f.machine];
-            if (f.kind == Kind::off) --on[f.machine];
-            if (f.word == "is mute") held += static_cast<std::size_t>(on[f.machine]);
+            if (f.text == "is mute") mute.insert(f.machine);
+            if (f.kind == Kind::taskStarted) ++on[f.machine];
+            if (f.kind == Kind::taskStopped) --on[f.machine];
+            if (f.text == "is mute") held += static_cast<std::size_t>(on[f.machine]);
             // A new leader needs as long again to see it.
             const bool known =
                 (f.at > 40 + overdueS && f.at < 60) || (f.at > 62 + overdueS && f.at < 40 + muteS);
-            if (f.kind == Kind::on && mute.contains(f.machine) && known)
+            if (f.kind == Kind::taskStarted && mute.contains(f.machine) && known)
                 ADD_FAILURE() << seed << ": " << History::text(f);
         }
     }
@@ -340,7 +347,7 @@
         std::set<std::string> begun;
         for (const auto& f : h.facts) {
             if (f.at > 45) break;
-            if (f.kind == Kind::on) begun.insert(f.job);
+            if (f.kind == Kind::taskStarted) begun.insert(f.job);
             waiting += f.kind == Kind::submitted ? 1 : 0;
         }
         waiting -= begun.size();
@@ -358,8 +365,8 @@
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         std::set<std::string> had;
         for (const auto& f : play(seed).facts)
-            if (f.kind == Kind::on && !had.insert(f.job + '/' + std::to_string(f.task)).second &&
-                f.at > 40)
+            if (f.kind == Kind::taskStarted &&
+                !had.insert(f.job + '/' + std::to_string(f.task)).second && f.at > 40)
                 ++again;
     }
     EXPECT_GT(again, 15U) << "tasks that started once more";
@@ -386,7 +393,7 @@
         const History& h = play(seed);
         std::set<std::string> answered;
         for (const auto& f : h.facts) {
-            if (f.kind != Kind::told) continue;
+            if (f.kind != Kind::answered) continue;
             if (h.unfit.contains(f.job) && (f.status == 400 || f.status == 422))
                 answered.insert(f.job);
             repeated += f.question == Question::repetition && f.status == 200 ? 1 : 0;
@@ -399,4 +406,4 @@
 }
 
 }  // namespace
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/history.cpp
+++ b/src/simulator/history.cpp
@@ -1,26 +1,27 @@
-#include "lab/history.h"
+#include "simulator/history.h"
 
 #include <fmt/format.h>
 
 #include <array>
 #include <functional>
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
-std::string History::text(const Fact& e) {
+std::string History::text(const HistoryEvent& e) {
     static constexpr std::array kinds{"submitted", "asked", "told", "withdrew", "on",     "off",
                                       "completed", "up",    "gone", "elected",  "trouble"};
     static constexpr std::array questions{"submission", "repetition", "poll", "withdrawal"};
     std::string out =
         fmt::format("{:10.4f} {} {}", e.at, e.site, kinds.at(static_cast<std::size_t>(e.kind)));
-    if (e.kind == Fact::Kind::asked || e.kind == Fact::Kind::told)
+    if (e.kind == HistoryEvent::Kind::asked || e.kind == HistoryEvent::Kind::answered)
         out += fmt::format(" {}", questions.at(static_cast<std::size_t>(e.question)));
     if (!e.job.empty()) out += ' ' + e.job;
-    if (e.kind == Fact::Kind::on || e.kind == Fact::Kind::off || e.kind == Fact::Kind::completed)
+    if (e.kind == HistoryEvent::Kind::taskStarted || e.kind == HistoryEvent::Kind::taskStopped ||
+        e.kind == HistoryEvent::Kind::completed)
         out += fmt::format("/{}", e.task);
     if (!e.machine.empty()) out += " on " + e.machine;
     if (e.status != 0) out += fmt::format(" {}", e.status);
-    if (!e.word.empty()) out += ' ' + e.word;
+    if (!e.text.empty()) out += ' ' + e.text;
     if (e.number != 0) out += fmt::format(" {}", e.number);
     return out;
 }
@@ -32,4 +33,4 @@
     return sum;
 }
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/main.cpp
+++ b/src/simulator/main.cpp
@@ -9,31 +9,31 @@
 #include <iostream>
 
 #include "json/json.h"
-#include "lab/measures.h"
-#include "lab/world.h"
+#include "simulator/measures.h"
+#include "simulator/simulation.h"
 
 // Plays scenarios from seeds: real controllers, simulated machines, network, users and services.
 
-namespace lab = basaltchute::lab;
+namespace simulator = basaltchute::simulator;
 
 namespace {
 
 struct Played {
-    lab::Verdict verdict;
+    simulator::CheckResult result;
     std::string failure;  // a crash or a hang of a controller
-    std::vector<lab::Fault> faults;
-    lab::History history;
+    std::vector<simulator::Fault> faults;
+    simulator::History history;
 };
 
-Played play(const lab::Scenario& scenario, std::uint64_t seed,
+Played play(const simulator::Scenario& scenario, std::uint64_t seed,
             const std::optional<std::set<std::size_t>>& kept = {}) {
     Played out;
     try {
-        lab::World world(scenario, seed);
+        simulator::Simulation world(scenario, seed);
         if (kept) world.keep(*kept);
         out.faults = world.faults();
         world.run();
-        out.verdict = world.verdict();
+        out.result = world.checkResult();
         out.history = world.history();
     } catch (const std::exception& e) {
         out.failure = e.what();
@@ -43,17 +43,17 @@
 
 std::string firstRule(const Played& p) {
     if (!p.failure.empty()) return "controller: " + p.failure;
-    return p.verdict.violations.empty() ? "" : p.verdict.violations.front().rule;
+    return p.result.violations.empty() ? "" : p.result.violations.front().rule;
 }
 
-void print(const lab::Verdict& v) {
+void print(const simulator::CheckResult& v) {
     for (const auto& x : v.violations) {
         std::cout << "  " << x.rule << ": " << x.what << '\n';
-        for (const auto& e : x.proof) std::cout << "    " << lab::History::text(e) << '\n';
+        for (const auto& e : x.proof) std::cout << "    " << simulator::History::text(e) << '\n';
     }
 }
 
-void printShares(const lab::Verdict& v) {
+void printShares(const simulator::CheckResult& v) {
     for (const auto& [kind, rows] : {std::pair("", &v.classes), std::pair("team ", &v.teams),
                                      std::pair("largest of ", &v.largest)})
         for (const auto& [name, s] : *rows)
@@ -73,24 +73,26 @@
 };
 
 /// One seed; 0 if nothing was wrong.
-int one(const lab::Scenario& scenario, std::uint64_t seed, Show show) {
+int one(const simulator::Scenario& scenario, std::uint64_t seed, Show show) {
     const Played p = play(scenario, seed);
     if (show.log)
-        for (const auto& e : p.history.facts) std::cout << lab::History::text(e) << '\n';
+        for (const auto& e : p.history.facts) std::cout << simulator::History::text(e) << '\n';
     const std::string rule = firstRule(p);
     std::cout << fmt::format("seed {}: {} {} events {:016x}\n", seed,
                              rule.empty() ? "kept" : "BROKEN " + rule, p.history.facts.size(),
                              p.history.digest());
-    print(p.verdict);
-    if (show.shares) printShares(p.verdict);
-    if (show.json) std::cout << lab::measuresText(seed, lab::measure(p.history, p.verdict)) << '\n';
+    print(p.result);
+    if (show.shares) printShares(p.result);
+    if (show.json)
+        std::cout << simulator::measuresText(seed, simulator::measure(p.history, p.result))
+                  << '\n';
     std::cout.flush();
     return rule.empty() ? 0 : 1;
 }
 
 /// Seeds in processes of their own, so that a crash is a finding with its seed.
-int simulate(const lab::Scenario& scenario, std::uint64_t from, std::uint64_t to, unsigned jobs,
-             Show show) {
+int simulate(const simulator::Scenario& scenario, std::uint64_t from, std::uint64_t to,
+             unsigned jobs, Show show) {
     std::map<pid_t, std::uint64_t> running;
     std::uint64_t broken = 0;
     const auto reap = [&] {
@@ -114,7 +116,7 @@
 }
 
 /// The fewest faults with which the same rule breaks.
-int shrink(const lab::Scenario& scenario, std::uint64_t seed) {
+int shrink(const simulator::Scenario& scenario, std::uint64_t seed) {
     const Played all = play(scenario, seed);
     const std::string rule = firstRule(all);
     if (rule.empty()) {
@@ -130,7 +132,7 @@
     }
     std::cout << rule << " with " << kept.size() << " of " << all.faults.size() << " faults:\n";
     for (const std::size_t i : kept) std::cout << "  " << all.faults[i].text() << '\n';
-    print(play(scenario, seed, kept).verdict);
+    print(play(scenario, seed, kept).result);
     return 0;
 }
 
@@ -161,16 +163,16 @@
 }
 
 int experiment(const Side& a, const Side& b, const std::string& seeds, unsigned jobs, bool json) {
-    std::array<std::map<std::uint64_t, lab::Measures>, 2> runs;
+    std::array<std::map<std::uint64_t, simulator::Measures>, 2> runs;
     for (unsigned i = 0; i < 2; ++i) {
         const auto text = output(i == 0 ? a : b, seeds, jobs);
         if (!text) {
             std::cerr << (i == 0 ? a : b).program << ": could not be run\n";
             return 2;
         }
-        runs.at(i) = lab::parseMeasures(*text);
+        runs.at(i) = simulator::parseMeasures(*text);
     }
-    const auto found = lab::compare(runs[0], runs[1]);
+    const auto found = simulator::compare(runs[0], runs[1]);
     if (json) {
         basaltchute::json::Out o;
         o.open().field("seeds", seeds).key("measures").openArray();
@@ -239,12 +241,12 @@
                           asJson);
     }
     const auto text = basaltchute::settings::readFile(path);
-    const auto parsed = lab::parseScenario(text.value_or(""));
+    const auto parsed = simulator::parseScenario(text.value_or(""));
     if (const auto* wrong = std::get_if<std::string>(&parsed)) {
         std::cerr << path << ": " << *wrong << '\n';
         return 2;
     }
-    const auto& scenario = std::get<lab::Scenario>(parsed);
+    const auto& scenario = std::get<simulator::Scenario>(parsed);
     if (*small) return shrink(scenario, seed);
     const auto dash = seeds.find('-');
     std::uint64_t from = 0, to = 0;
--- a/src/lab/measures.cpp
+++ b/src/simulator/measures.cpp
@@ -1,4 +1,4 @@
-#include "lab/measures.h"
+#include "simulator/measures.h"
 
 #include <boost/histogram.hpp>
 #include <boost/math/distributions/students_t.hpp>
@@ -9,7 +9,7 @@
 
 #include "json/json.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 namespace {
 
@@ -34,10 +34,10 @@
 
 }  // namespace
 
-Measures measure(const History& history, const Verdict& verdict) {
+Measures measure(const History& history, const CheckResult& result) {
     Measures out;
-    out["violations"] = static_cast<double>(verdict.violations.size());
-    for (const auto& [name, s] : verdict.classes) {
+    out["violations"] = static_cast<double>(result.violations.size());
+    for (const auto& [name, s] : result.classes) {
         const auto jobs = static_cast<double>(s.jobs);
         out[name + " accepted"] = static_cast<double>(s.accepted) / jobs;
         out[name + " started"] = static_cast<double>(s.started) / jobs;
@@ -46,17 +46,19 @@
     std::map<std::string, double> submitted;
     std::set<std::string> accepted, started;
     std::map<std::string, Times> times;
-    const auto count = [&](const Fact& f, const char* what) {
+    const auto count = [&](const HistoryEvent& f, const char* what) {
         const std::string name = history.jobs.at(f.job).jobClass + ' ' + what;
         times.try_emplace(name, noTimes())
             .first->second(std::max(f.at - submitted.at(f.job), 1e-3));
     };
     for (const auto& f : history.facts) {
-        if (f.kind == Fact::Kind::submitted) submitted[f.job] = f.at;
+        if (f.kind == HistoryEvent::Kind::submitted) submitted[f.job] = f.at;
         if (!submitted.contains(f.job)) continue;
-        const bool yes = f.kind == Fact::Kind::told && (f.status == 200 || f.status == 201);
+        const bool yes =
+            f.kind == HistoryEvent::Kind::answered && (f.status == 200 || f.status == 201);
         if (yes && accepted.insert(f.job).second) count(f, "acceptance");
-        if (f.kind == Fact::Kind::on && started.insert(f.job).second) count(f, "first start");
+        if (f.kind == HistoryEvent::Kind::taskStarted && started.insert(f.job).second)
+            count(f, "first start");
     }
     for (const auto& [name, h] : times) {
         out[name + " p50 s"] = quantile(h, 0.5);
@@ -123,4 +125,4 @@
     return out;
 }
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/measures.h
+++ b/src/simulator/measures.h
@@ -3,13 +3,13 @@
 #include <string>
 #include <vector>
 
-#include "lab/checker.h"
+#include "simulator/checker.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 /// Named numbers of one run: shares served, and how long acceptance and the first start took.
 using Measures = std::map<std::string, double>;
-Measures measure(const History& history, const Verdict& verdict);
+Measures measure(const History& history, const CheckResult& verdict);
 /// One line of JSON for one seed.
 std::string measuresText(std::uint64_t seed, const Measures& measures);
 /// By seed, from such lines; other lines are passed over.
@@ -26,4 +26,4 @@
 std::vector<Difference> compare(const std::map<std::uint64_t, Measures>& a,
                                 const std::map<std::uint64_t, Measures>& b);
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/measures_test.cpp
+++ b/src/simulator/measures_test.cpp
@@ -1,4 +1,4 @@
-#include "lab/measures.h"
+#include "simulator/measures.h"
 
 #include <gtest/gtest.h>
 
@@ -6,7 +6,7 @@
 
 #include "testing/world.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 namespace {
 
 TEST(Measures, TellHowLongAcceptanceAndTheFirstStartTook) {
@@ -14,12 +14,12 @@
     for (int i = 0; i < 20; ++i) {
         const std::string id = "run-" + std::to_string(i);
         h.jobs[id] = testing::spec(id, 1);
-        Fact f;
+        HistoryEvent f;
         f.job = id;
-        f.kind = Fact::Kind::submitted;
+        f.kind = HistoryEvent::Kind::submitted;
         f.at = i;
         h.facts.push_back(f);
-        f.kind = Fact::Kind::told;
+        f.kind = HistoryEvent::Kind::answered;
         f.status = i == 19 ? 503 : 201;
         f.at = i + (i < 17 ? 0.1 : 5.0);
         h.facts.push_back(f);
@@ -50,4 +50,4 @@
 }
 
 }  // namespace
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/network.cpp
+++ b/src/simulator/network.cpp
@@ -1,4 +1,4 @@
-#include "lab/network.h"
+#include "simulator/network.h"
 
 #include <arpa/inet.h>
 
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <system_error>
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 using namespace std::chrono_literals;
 
@@ -228,10 +228,10 @@
     network_.machines_.erase(at.s_addr);
     std::erase(network_.runnable_, this);
 }
-Loop& Machine::boot(std::size_t descriptors) {
+EventLoop& Machine::boot(std::size_t descriptors) {
     auto host = std::make_unique<SimulatedHost>(network_, *this, descriptors);
     host_ = host.get();
-    loop_ = std::make_unique<Loop>(clock_, std::move(host));
+    loop_ = std::make_unique<EventLoop>(clock_, std::move(host));
     ++boots_;
     wakesAt_ = TimePoint::max();
     frozenUntil_ = TimePoint{};
@@ -246,7 +246,7 @@
 void Machine::unwind(Scope& scope) {
     bool ended = false;
     loop_->spawn([](Scope& s, bool& flag) -> Task<void> {
-        co_await s.end();
+        co_await s.cancelAndWait();
         flag = true;
     }(scope, ended));
     for (int rounds = 0; !ended; ++rounds) {
@@ -413,4 +413,4 @@
     }
 }
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/network.h
+++ b/src/simulator/network.h
@@ -12,7 +12,7 @@
 
 // A world of machines that a seed decides: its clock moves from one thing that happens to the next.
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 class Network;
 class Machine;
@@ -125,7 +125,7 @@
     Machine(const Machine&) = delete;
     Machine& operator=(const Machine&) = delete;
     /// Starts a process: a loop of its own on this machine.
-    Loop& boot(std::size_t descriptors = 100'000);
+    EventLoop& boot(std::size_t descriptors = 100'000);
     /// The process is about to end: nothing of what it still does is seen. Its connections are
     /// reset, unless the machine loses its power: then they are silent.
     void cutOff(bool power = true);
@@ -134,7 +134,7 @@
     /// Ends the process.
     void halt();
     [[nodiscard]] bool on() const { return loop_ != nullptr; }
-    [[nodiscard]] Loop& loop() { return *loop_; }
+    [[nodiscard]] EventLoop& loop() { return *loop_; }
     /// Stands still until then, while its clocks run on.
     void freeze(Duration span);
     /// Lets its routines run as long as they have something to do.
@@ -150,7 +150,7 @@
     void sleepUntilNextTimer();
     Network& network_;
     DriftingClock clock_;
-    std::unique_ptr<Loop> loop_;
+    std::unique_ptr<EventLoop> loop_;
     SimulatedHost* host_ = nullptr;  // the loop's
     std::uint64_t boots_ = 0;
     TimePoint frozenUntil_{}, wakesAt_ = TimePoint::max();
@@ -199,4 +199,4 @@
     std::deque<Machine*> runnable_;
 };
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/query.h
+++ b/src/simulator/query.h
@@ -1,7 +1,7 @@
 #pragma once
 #include <string>
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 /// The value of a parameter in a request's target; empty if it is not there.
 inline std::string param(const std::string& target, const std::string& name) {
@@ -11,4 +11,4 @@
     return target.substr(from, target.find('&', from) - from);
 }
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/scenario.cpp
+++ b/src/simulator/scenario.cpp
@@ -1,4 +1,4 @@
-#include "lab/scenario.h"
+#include "simulator/scenario.h"
 
 #include <fmt/format.h>
 
@@ -8,7 +8,7 @@
 #include "json/schema.h"
 #include "scenario_schema.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 namespace {
 
@@ -75,7 +75,7 @@
     c.checkpointS = numberOr(v, "checkpointS", 0);
     c.saveS = numberOr(v, "saveS", 0);
     c.deadlineFactor = numberOr(v, "deadlineFactor", 0);
-    c.withdrawn = numberOr(v, "withdrawn", 0);
+    c.cancelledShare = numberOr(v, "withdrawn", 0);
     c.apart = numberOr(v, "apart", 0);
     for (unsigned i = 0; i < 2; ++i) {
         c.tasks.at(i) = v["tasks"][i].GetUint();
@@ -99,7 +99,7 @@
     p.deadlinePlusS = numberOr(v, "deadlinePlusS", p.deadlinePlusS);
     p.onEarlier = numberOr(v, "onEarlier", 0);
     p.late = numberOr(v, "late", 0);
-    p.withdrawn = numberOr(v, "withdrawn", 0);
+    p.cancelledShare = numberOr(v, "withdrawn", 0);
     for (const auto& s : v["stages"].GetArray()) {
         PipelineTerms::Stage stage;
         stage.jobClass = textOr(s, "class");
@@ -311,4 +311,4 @@
     return s;
 }
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/scenario.h
+++ b/src/simulator/scenario.h
@@ -6,18 +6,18 @@
 #include <vector>
 
 #include "jobs/job.h"
-#include "lab/cloud.h"
-#include "lab/state_service.h"
 #include "settings/settings.h"
+#include "simulator/cloud.h"
+#include "simulator/state_service.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 struct ClassTerms {
     std::string name;
     bool standing = false;
     Priority priority = Priority::normal;
     double cores = 1, ramGb = 1, perMinute = 0, imageGb = 0, checkpointS = 0, saveS = 0;
-    double deadlineFactor = 0, withdrawn = 0;  // 0: none
+    double deadlineFactor = 0, cancelledShare = 0;  // 0: none
     double apart = 0;  // its last task takes so many run times longer than its first
     std::array<std::uint32_t, 2> tasks{1, 1};
     std::array<double, 2> runS{1, 1};
@@ -39,7 +39,7 @@
     double perMinute = 0, fromS = 0, deadlinePlusS = 60;
     /// Shares of them: the first job needs one of another class that was accepted before; the last
     /// is submitted once the others are over; one of its jobs is withdrawn.
-    double onEarlier = 0, late = 0, withdrawn = 0;
+    double onEarlier = 0, late = 0, cancelledShare = 0;
 };
 
 /// Limits of the state service that come with a trouble; 0: as they are.
@@ -108,4 +108,4 @@
 /// One line: which field is wrong and what was expected there.
 std::variant<Scenario, std::string> parseScenario(const std::string& text);
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/world.cpp
+++ b/src/simulator/simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/world.h"
+#include "simulator/simulation.h"
 
 #include <fmt/format.h>
 
@@ -7,7 +7,7 @@
 
 #include "json/json.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 using namespace std::chrono_literals;
 
@@ -18,7 +18,7 @@
 constexpr std::size_t hangWithThem = 8;  // machines of jobs that are called off
 }  // namespace
 
-World::World(const Scenario& scenario, std::uint64_t seed)
+Simulation::Simulation(const Scenario& scenario, std::uint64_t seed)
     : scenario_(scenario), time_(seed), network_(time_) {
     for (const auto& terms : scenario_.sites) {
         sites_.push_back(std::make_unique<Site>());
@@ -46,7 +46,7 @@
     for (auto& s : sites_) build(*s);
 }
 
-World::~World() {
+Simulation::~Simulation() {
     for (auto& s : sites_) {
         for (auto& n : s->nodes) stop(*n);
         for (auto& [name, w] : s->workers) w->kill(true);
@@ -56,19 +56,19 @@
     }
 }
 
-std::unique_ptr<Machine> World::machine(const std::string& name, const std::string& address,
-                                        const std::string& zone, const Site& site) {
+std::unique_ptr<Machine> Simulation::machine(const std::string& name, const std::string& address,
+                                             const std::string& zone, const Site& site) {
     // Clocks of two machines drift apart by 0.05% at most.
     return std::make_unique<Machine>(network_, name, address, zone, site.terms.name,
                                      time_.between(0, 0.0005),
                                      fromSeconds(time_.between(0, site.terms.clockOffMs) / 1000));
 }
 
-void World::build(Site& s) {
+void Simulation::build(Site& s) {
     const std::string net = fmt::format("10.{}.", s.number);
     const std::string state = net + "1.1:2379", cloud = net + "1.1:8443";
     s.services = machine("services", net + "1.1", "", s);
-    Loop& loop = s.services->boot();
+    EventLoop& loop = s.services->boot();
     s.scope = std::make_unique<Scope>(loop);
     s.state = std::make_unique<StateService>(loop, *s.scope, state, s.terms.state);
     s.state->onPut = [this, &s](const std::string& key, const std::string& data) {
@@ -76,11 +76,11 @@
         if (key != "lead/holder") return;
         deliverKept(s);
         const auto doc = json::parse(data);
-        Fact e;
+        HistoryEvent e;
         e.at = time_.seconds();
-        e.kind = Fact::Kind::elected;
+        e.kind = HistoryEvent::Kind::elected;
         e.site = s.terms.name;
-        e.word = json::string(*doc, "node").value_or("?");
+        e.text = json::string(*doc, "node").value_or("?");
         e.number = json::count(*doc, "token").value_or(0);
         history_.facts.push_back(std::move(e));
     };
@@ -88,7 +88,7 @@
     s.workerTerms.ended = [this, &s](const std::string& job) {
         if (s.cancelAtEnd > 0 && time_.chance(s.endShare))
             time_.after(fromSeconds(time_.between(0, 0.1)),
-                        [&s, job] { s.people->withdrawNow(job); });
+                        [&s, job] { s.people->cancelNow(job); });
     };
     s.workerTerms.reported = [this, &s](const std::string& report) {
         if (s.copiesForNext > 0 && s.kept.size() < mostKept && time_.chance(s.copyShare))
@@ -161,8 +161,8 @@
                                                [&](const auto& t) { return t.name == h.type; });
                 s.machines.push_back(
                     machine(h.name, h.address.substr(0, h.address.rfind(':')), h.zone, s));
-                s.workers[h.name] = std::make_unique<Worker>(time_, *s.machines.back(), h, *type,
-                                                             s.workerTerms, history_);
+                s.workers[h.name] = std::make_unique<Agent>(time_, *s.machines.back(), h, *type,
+                                                            s.workerTerms, history_);
             },
             [&s](const Cloud::Host& h) {
                 if (const auto w = s.workers.find(h.name); w != s.workers.end())
@@ -178,19 +178,19 @@
     arrive(s);
 }
 
-void World::start(Node& n) {
-    Loop& loop = n.machine->boot(n.settings.sockets);
-    n.controller = std::make_unique<app::Controller>(loop, n.settings, n.operatorSettings,
-                                                     std::to_string(time_.random()()));
+void Simulation::start(Node& n) {
+    EventLoop& loop = n.machine->boot(n.settings.sockets);
+    n.controller = std::make_unique<controller::Controller>(loop, n.settings, n.operatorSettings,
+                                                            std::to_string(time_.random()()));
     n.controller->start();
 }
 
-void World::stop(Node& n) {
+void Simulation::stop(Node& n) {
     if (!n.controller) return;
     n.machine->cutOff();
-    Loop& loop = n.machine->loop();
+    EventLoop& loop = n.machine->loop();
     bool ended = false;
-    loop.spawn([](app::Controller& c, bool& flag) -> Task<void> {
+    loop.spawn([](controller::Controller& c, bool& flag) -> Task<void> {
         co_await c.abandon();
         flag = true;
     }(*n.controller, ended));
@@ -202,7 +202,7 @@
     n.machine->halt();
 }
 
-void World::crash(Node& n, double backS) {
+void Simulation::crash(Node& n, double backS) {
     if (!n.controller) return;
     stop(n);
     time_.after(fromSeconds(backS), [this, &n] {
@@ -210,7 +210,7 @@
     });
 }
 
-void World::upgrade(Site& s, Node& n) {
+void Simulation::upgrade(Site& s, Node& n) {
     settings::Settings& x = n.settings;
     const NextLimits& next = s.terms.next;
     if (next.valueBytes > 0) x.valueBytes = std::min(x.valueBytes, next.valueBytes);
@@ -219,7 +219,7 @@
     n.operatorSettings.storedFormat = 2;
 }
 
-void World::roll(Site& s, std::size_t next, double everyS, double backS) {
+void Simulation::roll(Site& s, std::size_t next, double everyS, double backS) {
     if (next >= s.nodes.size()) return;
     upgrade(s, *s.nodes[next]);
     crash(*s.nodes[next], backS);
@@ -229,7 +229,7 @@
 
 // Load
 
-void World::arrive(Site& s) {
+void Simulation::arrive(Site& s) {
     for (const auto& c : s.terms.classes) {
         const auto times = s.load.find(c.name);
         const double rate =
@@ -248,11 +248,11 @@
     time_.after(fromSeconds(arrivalStep), [this, &s] { arrive(s); });
 }
 
-void World::submit(Site& s, const ClassTerms& c) {
-    s.people->submit(wish(s, c));
+void Simulation::submit(Site& s, const ClassTerms& c) {
+    s.people->submit(plannedJob(s, c));
 }
 
-void World::submit(Site& s, const PipelineTerms& p) {
+void Simulation::submit(Site& s, const PipelineTerms& p) {
     Users::Pipeline out;
     std::vector<std::vector<std::size_t>> ofStage;
     double together = 0;
@@ -263,32 +263,32 @@
         const std::uint32_t many = stage.jobs[0] + static_cast<std::uint32_t>(time_.between(
                                                        0, stage.jobs[1] - stage.jobs[0] + 0.999));
         for (std::uint32_t i = 0; i < many; ++i) {
-            ofStage.back().push_back(out.wishes.size());
-            out.wishes.push_back(wish(s, *c));
-            Users::Wish& w = out.wishes.back();
-            w.withdrawAfterS.reset();
+            ofStage.back().push_back(out.jobs.size());
+            out.jobs.push_back(plannedJob(s, *c));
+            Users::PlannedJob& w = out.jobs.back();
+            w.cancelAfterS.reset();
             w.spec.deadlineS.reset();
             if (i == 0) together += w.spec.estimateS;
             for (const std::size_t need : stage.needs)
                 for (const std::size_t job : ofStage[need])
-                    w.spec.needs.push_back(out.wishes[job].spec.id);
+                    w.spec.dependencies.push_back(out.jobs[job].spec.id);
         }
     }
-    out.wishes.back().spec.deadlineS = together + p.deadlinePlusS;
+    out.jobs.back().spec.deadlineS = together + p.deadlinePlusS;
     if (time_.chance(p.onEarlier))
         if (auto earlier = s.people->someAccepted(); !earlier.empty())
-            out.wishes.front().spec.needs.push_back(std::move(earlier));
+            out.jobs.front().spec.dependencies.push_back(std::move(earlier));
     out.lastLate = time_.chance(p.late);
-    if (time_.chance(p.withdrawn)) {
+    if (time_.chance(p.cancelledShare)) {
         const auto which =
-            static_cast<std::size_t>(time_.between(0, static_cast<double>(out.wishes.size())));
-        out.wishes[which].withdrawAfterS = time_.between(0, together + 10);
+            static_cast<std::size_t>(time_.between(0, static_cast<double>(out.jobs.size())));
+        out.jobs[which].cancelAfterS = time_.between(0, together + 10);
     }
     s.people->submit(std::move(out));
 }
 
-Users::Wish World::wish(Site& s, const ClassTerms& c) {
-    Users::Wish wish;
+Users::PlannedJob Simulation::plannedJob(Site& s, const ClassTerms& c) {
+    Users::PlannedJob wish;
     JobSpec& j = wish.spec;
     j.id = fmt::format("run-{:06}", ++jobs_);
     j.jobClass = c.name;
@@ -304,20 +304,20 @@
     j.image = fmt::format("{}-{}", c.name, image);
     j.imageGb = c.imageGb;
     j.spread = c.spread;
-    j.oneZone = c.together;
+    j.sameZone = c.together;
     if (c.bound > 0 && time_.chance(c.bound)) j.zone = s.terms.zones[pick(s.terms.zones.size())];
     j.spotAllowed = c.spot;
     const double run = time_.between(c.runS[0], c.runS[1]);
     s.workerTerms.runS[j.id] = run;
     s.workerTerms.apart[j.id] = c.apart;
     if (c.standing) {
-        wish.withdrawAfterS = run;
+        wish.cancelAfterS = run;
     } else {
         j.estimateS = run * time_.between(0.6, 1.6);
         j.checkpointS = c.checkpointS;
         j.saveS = c.saveS;
         if (c.deadlineFactor > 0) j.deadlineS = j.estimateS * c.deadlineFactor + 10;
-        if (time_.chance(c.withdrawn)) wish.withdrawAfterS = time_.between(0, run * 2);
+        if (time_.chance(c.cancelledShare)) wish.cancelAfterS = time_.between(0, run * 2);
     }
     if (time_.chance(0.1)) wish.repeatAfterS = time_.between(1, run * 2);
     return wish;
@@ -325,7 +325,7 @@
 
 // Troubles
 
-void World::restart(Site& s, Worker& w, double backS) {
+void Simulation::restart(Site& s, Agent& w, double backS) {
     // Its process is another one under the old name and address, with nothing of the former's work.
     const Cloud::Host host = w.host();
     w.kill(true);
@@ -337,12 +337,12 @@
                                       [&](const auto& m) { return m->name == host.name; });
         auto& here = s.workers[host.name];
         s.former.push_back(std::move(here));
-        here = std::make_unique<Worker>(time_, **old, host, *type, s.workerTerms, history_,
-                                        s.former.back().get());
+        here = std::make_unique<Agent>(time_, **old, host, *type, s.workerTerms, history_,
+                                       s.former.back().get());
     });
 }
 
-void World::draw(const Swarm& swarm) {
+void Simulation::draw(const Swarm& swarm) {
     // Which kinds this seed has at all: rare combinations come up that way.
     std::vector<std::string> on;
     for (const auto& k : swarm.kinds)
@@ -381,7 +381,7 @@
     }
 }
 
-Fault World::drawn(const std::string& kind) {
+Fault Simulation::drawn(const std::string& kind) {
     Fault f;
     f.kind = kind;
     const bool ends = kind == "node_crash" || kind == "node_roll";
@@ -403,7 +403,7 @@
     return f;
 }
 
-void World::run() {
+void Simulation::run() {
     for (std::size_t i = 0; i < faults_.size(); ++i) {
         if (kept_ && !kept_->contains(i)) continue;
         time_.at(Timeline::start() + fromSeconds(faults_[i].atS),
@@ -412,11 +412,11 @@
     network_.run(Timeline::start() + fromSeconds(scenario_.seconds));
 }
 
-void World::apply(const Fault& f) {
-    Fact e;
+void Simulation::apply(const Fault& f) {
+    HistoryEvent e;
     e.at = time_.seconds();
     e.site = f.site;
-    e.word = f.text();
+    e.text = f.text();
     history_.facts.push_back(std::move(e));
     if (f.kind == "site_apart")
         return cutFor(f, [](const Machine& a, const Machine& b) { return a.site != b.site; });
@@ -424,12 +424,12 @@
         if (f.site.empty() || s->terms.name == f.site) applyTo(*s, f);
 }
 
-void World::cutFor(const Fault& f, Network::Between between) {
+void Simulation::cutFor(const Fault& f, Network::Between between) {
     const std::uint64_t cut = network_.cut(std::move(between));
     time_.after(fromSeconds(f.forS), [this, cut, reset = f.reset] { network_.heal(cut, reset); });
 }
 
-std::vector<World::Node*> World::some(Site& s, const Fault& f) {
+std::vector<Simulation::Node*> Simulation::some(Site& s, const Fault& f) {
     std::vector<Node*> up;
     for (auto& n : s.nodes)
         if (n->controller) up.push_back(n.get());
@@ -443,8 +443,8 @@
     return up;
 }
 
-std::vector<Worker*> World::someWorkers(Site& s, std::uint32_t count, bool spotOnly) {
-    std::vector<Worker*> up;
+std::vector<Agent*> Simulation::someWorkers(Site& s, std::uint32_t count, bool spotOnly) {
+    std::vector<Agent*> up;
     for (auto& [name, w] : s.workers)
         if (!w->gone() && (!spotOnly || w->host().spot)) up.push_back(w.get());
     std::shuffle(up.begin(), up.end(), time_.random());
@@ -452,12 +452,12 @@
     return up;
 }
 
-void World::lasts(int& count, double forS) {
+void Simulation::lasts(int& count, double forS) {
     ++count;
     time_.after(fromSeconds(forS), [&count] { --count; });
 }
 
-StateService::Fault World::stateFault(const Site& s, const http::Request& r) {
+StateService::Fault Simulation::stateFault(const Site& s, const http::Request& r) {
     using Kind = StateService::Fault::Kind;
     if (r.target.starts_with("/watch")) return {};
     if (s.lateWrites > 0 && r.target == "/multi" && time_.chance(s.lateShare))
@@ -473,13 +473,13 @@
     return {};
 }
 
-void World::stutter(Node& n, TimePoint until) {
+void Simulation::stutter(Node& n, TimePoint until) {
     if (time_.now() >= until) return;
     if (n.controller) n.machine->freeze(fromSeconds(std::exp(time_.between(-6, 1))));
     time_.after(fromSeconds(time_.between(0.01, 2)), [this, &n, until] { stutter(n, until); });
 }
 
-void World::holdUp(Site& s) {
+void Simulation::holdUp(Site& s) {
     if (s.peersSlow == 0 || s.nodes.size() < 2) return;
     const auto pick = [&] {
         return s
@@ -493,7 +493,7 @@
     time_.after(fromSeconds(time_.between(0.02, 0.2)), [this, &s] { holdUp(s); });
 }
 
-void World::cancelNow(Site& s, const Fault& f) {
+void Simulation::cancelNow(Site& s, const Fault& f) {
     std::set<std::string> running;
     for (const auto& [name, w] : s.workers)
         if (!w->gone()) running.merge(w->jobsOn());
@@ -502,7 +502,7 @@
     if (jobs.size() > f.count) jobs.resize(f.count);
     std::size_t hung = 0;
     for (const auto& job : jobs) {
-        time_.after(fromSeconds(time_.between(0, 0.2)), [&s, job] { s.people->withdrawNow(job); });
+        time_.after(fromSeconds(time_.between(0, 0.2)), [&s, job] { s.people->cancelNow(job); });
         for (const auto& [name, w] : s.workers) {
             if (f.forS <= 0 || hung >= hangWithThem || w->gone() || !w->jobsOn().contains(job))
                 continue;
@@ -512,22 +512,22 @@
     }
 }
 
-void World::askOddly(Site& s) {
+void Simulation::askOddly(Site& s) {
     if (s.oddRequests == 0) return;
-    s.people->askOddly();
+    s.people->sendOddRequest();
     time_.after(fromSeconds(time_.between(0.1, 0.6)), [this, &s] { askOddly(s); });
 }
 
-void World::happened(const Site& s, std::string what, std::string machine) {
-    Fact e;
+void Simulation::happened(const Site& s, std::string what, std::string machine) {
+    HistoryEvent e;
     e.at = time_.seconds();
     e.site = s.terms.name;
-    e.word = std::move(what);
+    e.text = std::move(what);
     e.machine = std::move(machine);
     history_.facts.push_back(std::move(e));
 }
 
-void World::deliverKept(Site& s) {
+void Simulation::deliverKept(Site& s) {
     if (!s.kept.empty()) happened(s, "old reports reach every controller", "");
     for (const auto& report : std::exchange(s.kept, {}))
         for (std::size_t node = 0; node < s.nodes.size(); ++node)
@@ -535,7 +535,7 @@
                         [&s, node, report] { s.people->deliverTo(node, "/agent/beat", report); });
 }
 
-void World::applyTo(Site& s, const Fault& f) {
+void Simulation::applyTo(Site& s, const Fault& f) {
     const TimePoint until = time_.now() + fromSeconds(f.forS);
     const auto isNode = [&s](const Machine& m) {
         return std::any_of(s.nodes.begin(), s.nodes.end(),
@@ -606,8 +606,8 @@
         cancelNow(s, f);
     } else if (f.kind == "close_looks") {
         lasts(s.closeLooks, f.forS);
-        s.people->lookClosely(true);
-        time_.at(until + 1ms, [&s] { s.people->lookClosely(s.closeLooks > 0); });
+        s.people->pollClosely(true);
+        time_.at(until + 1ms, [&s] { s.people->pollClosely(s.closeLooks > 0); });
     } else if (f.kind == "odd_requests") {
         lasts(s.oddRequests, f.forS);
         askOddly(s);
@@ -615,9 +615,9 @@
         lasts(s.peersSlow, f.forS);
         holdUp(s);
     } else if (f.kind == "machine_mute") {
-        for (Worker* w : someWorkers(s, f.count, false)) {
+        for (Agent* w : someWorkers(s, f.count, false)) {
             happened(s, "is mute", w->host().name);
-            w->mute(fromSeconds(f.forS));
+            w->blockOutbound(fromSeconds(f.forS));
         }
     } else if (f.kind == "node_refused") {
         for (Node* n : some(s, f)) lasts(n->refused, f.forS);
@@ -632,31 +632,31 @@
             s.cloud->bootFails = 0;
         });
     } else if (f.kind == "machine_die") {
-        for (Worker* w : someWorkers(s, f.count, false)) {
+        for (Agent* w : someWorkers(s, f.count, false)) {
             s.cloud->lose(w->host().name, false);
             w->kill(false);
         }
     } else if (f.kind == "machine_hang") {
-        for (Worker* w : someWorkers(s, f.count, false)) w->hang(fromSeconds(f.forS));
+        for (Agent* w : someWorkers(s, f.count, false)) w->hang(fromSeconds(f.forS));
     } else if (f.kind == "machine_deaf") {
-        for (Worker* w : someWorkers(s, f.count, false)) w->deafen(fromSeconds(f.forS));
+        for (Agent* w : someWorkers(s, f.count, false)) w->blockInbound(fromSeconds(f.forS));
     } else if (f.kind == "commands_held") {
-        for (Worker* w : someWorkers(s, f.count, false)) w->holdCommands(fromSeconds(f.forS));
+        for (Agent* w : someWorkers(s, f.count, false)) w->holdCommands(fromSeconds(f.forS));
     } else if (f.kind == "machine_restart") {
-        for (Worker* w : someWorkers(s, f.count, false))
+        for (Agent* w : someWorkers(s, f.count, false))
             restart(s, *w, std::min(f.forS, time_.between(0.1, 0.6)));
     } else if (f.kind == "late_copies") {
         s.copiesLateS = 3 * s.terms.leaseS;
         time_.at(until, [&s] { s.copiesLateS = 0; });
     } else if (f.kind == "machine_sick") {
-        for (Worker* w : someWorkers(s, f.count, false)) {
-            w->setSick(true);
-            time_.at(until, [w] { w->setSick(false); });
+        for (Agent* w : someWorkers(s, f.count, false)) {
+            w->setFailing(true);
+            time_.at(until, [w] { w->setFailing(false); });
         }
     } else if (f.kind == "spot_taken") {
-        for (Worker* w : someWorkers(s, f.count, true)) {
+        for (Agent* w : someWorkers(s, f.count, true)) {
             const double notice = time_.chance(0.5) ? time_.between(0, 20) : 0;
-            if (notice > 0) w->recall(fromSeconds(notice));
+            if (notice > 0) w->noticeInterruption(fromSeconds(notice));
             time_.after(fromSeconds(notice), [&s, w] {
                 if (w->gone()) return;
                 s.cloud->lose(w->host().name, true);
@@ -669,4 +669,4 @@
     }
 }
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/world.h
+++ b/src/simulator/simulation.h
@@ -2,28 +2,28 @@
 #include <memory>
 #include <set>
 
-#include "app/controller.h"
-#include "lab/checker.h"
-#include "lab/scenario.h"
-#include "lab/users.h"
-#include "lab/worker.h"
+#include "controller/controller.h"
+#include "simulator/agent.h"
+#include "simulator/checker.h"
+#include "simulator/scenario.h"
+#include "simulator/users.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 /// Sites with real controllers in a simulated world: what happens follows from scenario and seed.
-class World {
+class Simulation {
   public:
-    World(const Scenario& scenario, std::uint64_t seed);
-    ~World();
-    World(const World&) = delete;
-    World& operator=(const World&) = delete;
+    Simulation(const Scenario& scenario, std::uint64_t seed);
+    ~Simulation();
+    Simulation(const Simulation&) = delete;
+    Simulation& operator=(const Simulation&) = delete;
     /// Plays the scenario to its end.
     void run();
     /// Lets only these faults happen, by their place in faults(); for finding the fewest.
     void keep(const std::set<std::size_t>& which) { kept_ = which; }
     [[nodiscard]] const std::vector<Fault>& faults() const { return faults_; }
     [[nodiscard]] const History& history() const { return history_; }
-    [[nodiscard]] Verdict verdict() const { return check(history_, rules_); }
+    [[nodiscard]] CheckResult checkResult() const { return check(history_, rules_); }
     /// Changes that the state services carried out, by the first part of their keys.
     [[nodiscard]] const std::map<std::string, std::uint64_t>& changes() const { return changes_; }
 
@@ -32,7 +32,7 @@
         settings::Settings settings;
         settings::Operator operatorSettings;
         std::unique_ptr<Machine> machine;
-        std::unique_ptr<app::Controller> controller;
+        std::unique_ptr<controller::Controller> controller;
         int refused = 0;  // by the state service, alone; as often as that was begun
     };
     struct Site {
@@ -44,10 +44,10 @@
         std::unique_ptr<Cloud> cloud;
         std::unique_ptr<Users> people;
         std::vector<std::unique_ptr<Node>> nodes;
-        WorkerTerms workerTerms;
+        AgentEnvironment workerTerms;
         std::vector<std::unique_ptr<Machine>> machines;
-        std::map<std::string, std::unique_ptr<Worker>> workers;
-        std::vector<std::unique_ptr<Worker>> former;  // that were started again
+        std::map<std::string, std::unique_ptr<Agent>> workers;
+        std::vector<std::unique_ptr<Agent>> former;  // that were started again
         std::uint64_t named = 0;
         std::map<std::string, double> load;  // how many times as many of a class come
         /// Reports are copied, and the copies come so late.
@@ -66,11 +66,11 @@
     void arrive(Site& site);
     void submit(Site& site, const ClassTerms& terms);
     void submit(Site& site, const PipelineTerms& terms);
-    [[nodiscard]] Users::Wish wish(Site& site, const ClassTerms& terms);
+    [[nodiscard]] Users::PlannedJob plannedJob(Site& site, const ClassTerms& terms);
     /// Ends the nodes one after the other; each is back as a version that knows all there is.
     void roll(Site& site, std::size_t next, double everyS, double backS);
     void upgrade(Site& site, Node& node);
-    void restart(Site& site, Worker& worker, double backS);
+    void restart(Site& site, Agent& worker, double backS);
     void draw(const Swarm& swarm);
     [[nodiscard]] Fault drawn(const std::string& kind);
     [[nodiscard]] StateService::Fault stateFault(const Site& site, const http::Request& request);
@@ -81,7 +81,7 @@
     void cutFor(const Fault& fault, Network::Between between);
     /// So many nodes, the leader first if it is meant.
     std::vector<Node*> some(Site& site, const Fault& fault);
-    std::vector<Worker*> someWorkers(Site& site, std::uint32_t count, bool spotOnly);
+    std::vector<Agent*> someWorkers(Site& site, std::uint32_t count, bool spotOnly);
     void stutter(Node& node, TimePoint until);
     /// Holds up what one controller says to another for a moment, again and again.
     void holdUp(Site& site);
@@ -106,4 +106,4 @@
     std::map<std::string, std::uint64_t> changes_;
 };
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/lab_fixture.h
+++ b/src/simulator/simulation_fixture.h
@@ -3,9 +3,9 @@
 #include <gtest/gtest.h>
 #include <spdlog/spdlog.h>
 
-#include "lab/world.h"
+#include "simulator/simulation.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 inline Scenario scenario(const std::string& name) {
     const auto text = settings::readFile(std::string(SCENARIOS) + '/' + name + ".json");
@@ -25,10 +25,11 @@
     std::set<std::string> told;
     bool successor = false;
     for (const auto& f : history.facts) {
-        if (f.kind == Fact::Kind::on) ++on[f.job];
-        if (f.kind == Fact::Kind::off) --on[f.job];
-        if (f.kind == Fact::Kind::elected && f.at > fromS) successor = true;
-        if (f.kind != Fact::Kind::told || f.word != "cancelled" || f.at < fromS || f.at > toS)
+        if (f.kind == HistoryEvent::Kind::taskStarted) ++on[f.job];
+        if (f.kind == HistoryEvent::Kind::taskStopped) --on[f.job];
+        if (f.kind == HistoryEvent::Kind::elected && f.at > fromS) successor = true;
+        if (f.kind != HistoryEvent::Kind::answered || f.text != "cancelled" || f.at < fromS ||
+            f.at > toS)
             continue;
         if (!told.insert(f.job).second) continue;
         ++out.told;
@@ -37,11 +38,11 @@
     return out;
 }
 
-class LabTest : public ::testing::Test {
+class SimulationTest : public ::testing::Test {
   protected:
     spdlog::level::level_enum before = spdlog::get_level();
-    LabTest() { spdlog::set_level(spdlog::level::off); }
-    ~LabTest() override { spdlog::set_level(before); }
+    SimulationTest() { spdlog::set_level(spdlog::level::off); }
+    ~SimulationTest() override { spdlog::set_level(before); }
 };
 
 inline Fault fault(const std::string& kind, double atS, double forS) {
@@ -53,4 +54,4 @@
     return f;
 }
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/world_test.cpp
+++ b/src/simulator/simulation_test.cpp
@@ -1,8 +1,8 @@
 #include <array>
 
-#include "lab/lab_fixture.h"
+#include "simulator/simulation_fixture.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 namespace {
 
 using namespace std::chrono_literals;
@@ -13,9 +13,9 @@
     return wrong == nullptr ? "" : *wrong;
 }
 
-TEST_F(LabTest, OneSeedIsOneHistory) {
+TEST_F(SimulationTest, OneSeedIsOneHistory) {
     const Scenario s = scenario("one-site");
-    World first(s, 7), again(s, 7), other(s, 8);
+    Simulation first(s, 7), again(s, 7), other(s, 8);
     first.run();
     again.run();
     other.run();
@@ -24,20 +24,20 @@
     EXPECT_GT(first.history().facts.size(), 1000U);
 }
 
-TEST_F(LabTest, TwoSitesServeAndTheCheckerSeesBoth) {
-    World world(scenario("two-sites"), 3);
+TEST_F(SimulationTest, TwoSitesServeAndTheCheckerSeesBoth) {
+    Simulation world(scenario("two-sites"), 3);
     world.run();
     std::map<std::string, int> started;
     for (const auto& f : world.history().facts)
-        if (f.kind == Fact::Kind::on) ++started[f.site];
+        if (f.kind == HistoryEvent::Kind::taskStarted) ++started[f.site];
     EXPECT_GT(started["east"], 20);
     EXPECT_GT(started["west"], 20);
-    EXPECT_TRUE(world.verdict().violations.empty());
-    for (const auto& [name, share] : world.verdict().classes)
+    EXPECT_TRUE(world.checkResult().violations.empty());
+    for (const auto& [name, share] : world.checkResult().classes)
         EXPECT_EQ(share.accepted, share.jobs) << name;
 }
 
-TEST_F(LabTest, ALeaderThatEndsIsReplacedAtOnceWhenItIsBackAtOnce) {
+TEST_F(SimulationTest, ALeaderThatEndsIsReplacedAtOnceWhenItIsBackAtOnce) {
     Scenario s = scenario("one-site");
     s.swarm.toS = 0;
     Fault f;
@@ -46,16 +46,16 @@
     f.atS = 40;
     f.forS = 0.2;
     s.faults = {f};
-    World world(s, 1);
+    Simulation world(s, 1);
     world.run();
     std::vector<double> elected;
     for (const auto& e : world.history().facts)
-        if (e.kind == Fact::Kind::elected) elected.push_back(e.at);
+        if (e.kind == HistoryEvent::Kind::elected) elected.push_back(e.at);
     ASSERT_EQ(elected.size(), 2U);
     EXPECT_LT(elected[1], 40.4) << "not after the end of the former grant";
 }
 
-TEST_F(LabTest, ASessionKnownByAnAnswerOnlyKeepsItsWork) {
+TEST_F(SimulationTest, ASessionKnownByAnAnswerOnlyKeepsItsWork) {
     // docs/incidents/lab-393.md: two of three controllers stand still for longer than a lease.
     Scenario s = scenario("one-site");
     s.swarm.toS = 0;
@@ -66,13 +66,15 @@
     f.forS = 42;
     s.faults = {f};
     for (std::uint64_t seed = 1; seed <= 6; ++seed) {
-        World world(s, seed);
+        Simulation world(s, seed);
         world.run();
-        for (const auto& v : world.verdict().violations) ADD_FAILURE() << seed << ": " << v.what;
+        for (const auto& v : world.checkResult().violations)
+            ADD_FAILURE() << seed << ": " << v.what;
     }
 }
 
-TEST_F(LabTest, WhatAnotherControllerCancelledIsGoneInTimeThoughEverybodyLosesTheStateService) {
+TEST_F(SimulationTest,
+       WhatAnotherControllerCancelledIsGoneInTimeThoughEverybodyLosesTheStateService) {
     // The leader alone loses the state service, with or without the other controllers, or its zone
     // does together with its machines, which only the former leader reaches then; whoever
     // leads then confirms cancellations; then the service is down for all, for longer than a
@@ -82,21 +84,21 @@
     for (const char* kind : {"node_refused", "node_isolated", "zone_cut"})
         for (const double alone : {2.5, 9.0})
             for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-                Scenario s = scenario("meetings");
+                Scenario s = scenario("fault-interactions");
                 s.swarm.toS = 0;
                 s.seconds = 130;
                 const double outage = s.sites[0].cancelS + 12;
                 for (auto& c : s.sites[0].classes)
-                    if (!c.standing) c.withdrawn = 0.9;
+                    if (!c.standing) c.cancelledShare = 0.9;
                 // Direct commands come late, or their answers do: tasks stay on meanwhile.
                 Fault held = fault("commands_held", 38, alone + outage);
                 held.count = 100;
                 Fault apart = fault(kind, 40, alone + outage);
                 apart.zone = s.sites[0].zones[seed % s.sites[0].zones.size()];
                 s.faults = {held, apart, fault("state_outage", 40 + alone, outage)};
-                World world(s, seed);
+                Simulation world(s, seed);
                 world.run();
-                for (const auto& v : world.verdict().violations)
+                for (const auto& v : world.checkResult().violations)
                     ADD_FAILURE() << kind << ' ' << alone << ' ' << seed << ": " << v.what;
                 const auto seen = cancelledElsewhere(world.history(), 40, 40 + alone);
                 told += seen.told;
@@ -107,12 +109,12 @@
     EXPECT_GT(elsewhere, 3) << "of which by its successor, with tasks on machines";
 }
 
-TEST_F(LabTest, ChainsOfFourEndInOrderWhileNodesAreUpgradedAndAreCancelledAsAWhole) {
+TEST_F(SimulationTest, ChainsOfFourEndInOrderWhileNodesAreUpgradedAndAreCancelledAsAWhole) {
     // A user's way through: accepted by any node, one stage after another, one answer for all.
-    Scenario s = scenario("chains");
+    Scenario s = scenario("dependencies");
     s.swarm.toS = 0;
     s.sites[0].pipelines.push_back(s.sites[0].pipelines[0]);
-    s.sites[0].pipelines[1].withdrawn = 1;
+    s.sites[0].pipelines[1].cancelledShare = 1;
     Fault roll;
     roll.kind = "node_roll";
     roll.atS = 60;
@@ -121,24 +123,26 @@
     s.faults.push_back(roll);
     int together = 0;
     for (const std::uint64_t seed : {4, 5}) {
-        World world(s, seed);
+        Simulation world(s, seed);
         world.run();
-        for (const auto& v : world.verdict().violations) ADD_FAILURE() << v.rule << ": " << v.what;
+        for (const auto& v : world.checkResult().violations)
+            ADD_FAILURE() << v.rule << ": " << v.what;
         std::map<std::string, double> done, cancelled;
         std::set<std::string> withdrawn;
         for (const auto& f : world.history().facts) {
-            if (f.kind == Fact::Kind::withdrew) withdrawn.insert(f.job);
-            if (f.kind != Fact::Kind::told || f.status != 200) continue;
-            if (f.word == "done") done.try_emplace(f.job, f.at);
-            if (f.word == "cancelled") cancelled.try_emplace(f.job, f.at);
+            if (f.kind == HistoryEvent::Kind::cancelRequested) withdrawn.insert(f.job);
+            if (f.kind != HistoryEvent::Kind::answered || f.status != 200) continue;
+            if (f.text == "done") done.try_emplace(f.job, f.at);
+            if (f.text == "cancelled") cancelled.try_emplace(f.job, f.at);
         }
         const auto& jobs = world.history().jobs;
         int inOrder = 0;
         for (const auto& [id, spec] : jobs) {
             if (spec.jobClass != "close") continue;
             // The first stage, and what needs it on the way to this job.
-            const JobId tally = spec.needs.front(), trim = jobs.at(tally).needs.front(),
-                        gather = jobs.at(trim).needs.front();
+            const JobId tally = spec.dependencies.front(),
+                        trim = jobs.at(tally).dependencies.front(),
+                        gather = jobs.at(trim).dependencies.front();
             const std::array chain{gather, trim, tally, id};
             const auto all = [&](const std::map<std::string, double>& told) {
                 return std::all_of(chain.begin(), chain.end(),
@@ -156,7 +160,7 @@
     EXPECT_GT(together, 0);
 }
 
-TEST_F(LabTest, AScenarioIsRefusedWithItsFieldAndWhatWasExpected) {
+TEST_F(SimulationTest, AScenarioIsRefusedWithItsFieldAndWhatWasExpected) {
     EXPECT_EQ(wrongIn("{"), "not JSON");
     EXPECT_EQ(wrongIn("{}"), "#: expected \"seconds\"");
     const std::string site =
@@ -236,7 +240,7 @@
                                            co_return http::Response{200, r.body};
                                        });
     http::Client client{here.loop(), "10.9.0.2:80"};
-    http::Outcome got;
+    http::RequestOutcome got;
     bool done = false;
 
     Echo() { server->start(thereScope); }
@@ -245,13 +249,13 @@
         if (there.on()) there.unwind(thereScope);
         server.reset();
     }
-    void ask(Duration patience) {
+    void ask(Duration timeout) {
         done = false;
         hereScope.spawn([](Echo& e, Duration wait) -> Task<void> {
             http::Request r{"POST", "/", "hello"};
             e.got = co_await e.client.request(std::move(r), wait, e.hereScope);
             e.done = true;
-        }(*this, patience));
+        }(*this, timeout));
         here.wake();
     }
     void pass(Duration span) { network.run(time.now() + span); }
@@ -322,4 +326,4 @@
 }
 
 }  // namespace
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/state_service.cpp
+++ b/src/simulator/state_service.cpp
@@ -1,17 +1,17 @@
-#include "lab/state_service.h"
+#include "simulator/state_service.h"
 
 #include <algorithm>
 
 #include "json/json.h"
-#include "lab/query.h"
+#include "simulator/query.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 using namespace std::chrono_literals;
 
-StateService::StateService(Loop& loop, Scope& scope, const std::string& address)
+StateService::StateService(EventLoop& loop, Scope& scope, const std::string& address)
     : StateService(loop, scope, address, Terms{}) {}
-StateService::StateService(Loop& loop, Scope& scope, const std::string& address, Terms terms)
+StateService::StateService(EventLoop& loop, Scope& scope, const std::string& address, Terms terms)
     : loop_(loop),
       scope_(scope),
       terms_(terms),
@@ -35,7 +35,7 @@
     if (terms.txnOps > 0) terms_.txnOps = terms.txnOps;
     if (terms.writeRps > 0) {
         terms_.writeRps = terms.writeRps;
-        changes_ = Budget(terms.writeRps, terms.writeRps, loop_.now());
+        changes_ = RateLimiter(terms.writeRps, terms.writeRps, loop_.now());
     }
 }
 
@@ -80,7 +80,7 @@
             failed.push_back(key);
     }
     // Refused conditions count as well.
-    if (!changes_.take(loop_.now(), static_cast<double>((*doc)["then"].Size())))
+    if (!changes_.tryTake(loop_.now(), static_cast<double>((*doc)["then"].Size())))
         return {429, R"({"error":"too many changes"})"};
     if (!failed.empty()) {
         out.open().key("failed").openArray();
@@ -173,7 +173,7 @@
         co_return response;
     }
     if (down || refuses()) co_return http::Response{503, R"({"error":"trouble"})"};
-    if (!requests_.take(loop_.now())) co_return http::Response{429, R"({"error":"too many"})"};
+    if (!requests_.tryTake(loop_.now())) co_return http::Response{429, R"({"error":"too many"})"};
     json::Out out;
     if (r.target == "/multi") co_return multi(r.body);
     if (r.target == "/grants") {
@@ -206,4 +206,4 @@
     co_return http::Response{200, out.text()};
 }
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/state_service.h
+++ b/src/simulator/state_service.h
@@ -8,7 +8,7 @@
 #include "http/server.h"
 #include "runtime/budget.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 /// The state service by its published protocol, with its limits and with what goes wrong.
 class StateService {
@@ -19,8 +19,8 @@
         Duration latency{};
     };
     /// On any loop; routines belong to `scope`.
-    StateService(Loop& loop, Scope& scope, const std::string& address = "127.0.0.1:0");
-    StateService(Loop& loop, Scope& scope, const std::string& address, Terms terms);
+    StateService(EventLoop& loop, Scope& scope, const std::string& address = "127.0.0.1:0");
+    StateService(EventLoop& loop, Scope& scope, const std::string& address, Terms terms);
     [[nodiscard]] std::string address() const { return server_.address(); }
     /// Another address of it, for one node alone, which it refuses for as long as `refuses`: that
     /// node cannot tell this from an outage.
@@ -62,10 +62,10 @@
     void erase(const std::string& key);
     http::Response forgetGrant(std::uint64_t id);
 
-    Loop& loop_;
+    EventLoop& loop_;
     Scope& scope_;
     Terms terms_;
-    Budget requests_, changes_;
+    RateLimiter requests_, changes_;
     const Refuses nobody_ = [] { return false; };
     http::Server server_;
     struct Door {
@@ -82,4 +82,4 @@
     std::map<std::uint64_t, Grant> grants_;
 };
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/users.cpp
+++ b/src/simulator/users.cpp
@@ -1,10 +1,10 @@
-#include "lab/users.h"
+#include "simulator/users.h"
 
 #include <algorithm>
 
 #include "json/json.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 using namespace std::chrono_literals;
 
@@ -45,23 +45,23 @@
         o.value(*s.zone);
     else
         o.null();
-    o.field("together", s.oneZone).field("spread", s.spread).field("loaners", s.spotAllowed);
+    o.field("together", s.sameZone).field("spread", s.spread).field("loaners", s.spotAllowed);
     o.field("parS", s.estimateS).field("savepointS", s.checkpointS).field("flushS", s.saveS);
     o.key("cutoffS");
     if (s.deadlineS)
         o.value(*s.deadlineS);
     else
         o.null();
-    if (!s.needs.empty()) {
+    if (!s.dependencies.empty()) {
         o.key("waitsOn").openArray();
-        for (const auto& id : s.needs) o.value(id);
+        for (const auto& id : s.dependencies) o.value(id);
         o.closeArray();
     }
     o.close();
     return o.text();
 }
 
-Balancer::Balancer(Timeline& time, Loop& loop, Scope& scope, std::vector<std::string> nodes)
+Balancer::Balancer(Timeline& time, EventLoop& loop, Scope& scope, std::vector<std::string> nodes)
     : time_(time), loop_(loop), scope_(scope) {
     for (auto& a : nodes) {
         nodes_.emplace_back();
@@ -132,26 +132,27 @@
     machine_.unwind(scope_);
 }
 
-std::size_t Users::say(Fact::Kind kind, const std::string& job, Fact::Question question, int status,
-                       std::string word, std::optional<std::size_t> asked) {
-    Fact e;
+std::size_t Users::say(HistoryEvent::Kind kind, const std::string& job,
+                       HistoryEvent::Question question, int status, std::string word,
+                       std::optional<std::size_t> asked) {
+    HistoryEvent e;
     e.at = time_.seconds();
     e.kind = kind;
     e.site = machine_.site;
     e.job = job;
     e.question = question;
     e.status = status;
-    e.word = std::move(word);
+    e.text = std::move(word);
     e.asked = asked;
     history_.facts.push_back(std::move(e));
     return history_.facts.size() - 1;
 }
 
-http::Request Users::request(const std::string& job, Fact::Question question) const {
+http::Request Users::request(const std::string& job, HistoryEvent::Question question) const {
     switch (question) {
-        case Fact::Question::poll:
+        case HistoryEvent::Question::poll:
             return {"GET", "/v1/jobs/" + job, ""};
-        case Fact::Question::withdrawal:
+        case HistoryEvent::Question::cancellation:
             return {"POST", "/v1/jobs/" + job + "/withdraw", ""};
         default:
             if (const auto odd = unfitBodies_.find(job); odd != unfitBodies_.end())
@@ -161,7 +162,7 @@
 }
 
 Task<std::optional<http::Response>> Users::askAt(std::size_t node, std::string job,
-                                                 Fact::Question question, TimePoint until,
+                                                 HistoryEvent::Question question, TimePoint until,
                                                  std::size_t asked) {
     http::Client client(loop_, balancer_.address(node), 0);
     balancer_.opened(node);
@@ -172,15 +173,15 @@
     const auto doc = json::parse(o.response.body);
     const bool known = o.response.status == 200 || o.response.status == 201;
     const std::string word = known && doc ? json::string(*doc, "status").value_or("?") : "";
-    say(Fact::Kind::told, job, question, o.response.status, word, asked);
+    say(HistoryEvent::Kind::answered, job, question, o.response.status, word, asked);
     learn(job, o.response.status, word);
     co_return std::move(o.response);
 }
 
-Task<std::optional<http::Response>> Users::ask(std::string job, Fact::Question question,
-                                               Duration patience) {
-    const TimePoint until = loop_.now() + patience;
-    const std::size_t asked = say(Fact::Kind::asked, job, question);
+Task<std::optional<http::Response>> Users::ask(std::string job, HistoryEvent::Question question,
+                                               Duration timeout) {
+    const TimePoint until = loop_.now() + timeout;
+    const std::size_t asked = say(HistoryEvent::Kind::asked, job, question);
     for (const std::size_t node : balancer_.choose()) {
         const auto to = parseAddress(balancer_.address(node));
         auto socket =
@@ -198,45 +199,45 @@
 
 void Users::learn(const std::string& job, int status, const std::string& word) {
     if (status != 200 && status != 201) return;
-    std::string& known = words_[job];
+    std::string& known = newestAnswers_[job];
     const bool ends = word == "done" || word == "cancelled";
     const bool news = known.empty() || (ends && known != word);
     const bool first = known.empty() && !ends;
     if (news) known = ends ? word : "accepted";
-    if (news && closely_) scope_.spawn(look(job, first));
+    if (news && pollClosely_) scope_.spawn(pollAllNodes(job, first));
 }
 
-Task<void> Users::look(std::string job, bool mayCancel) {
-    using Question = Fact::Question;
+Task<void> Users::pollAllNodes(std::string job, bool mayCancel) {
+    using Question = HistoryEvent::Question;
     for (std::size_t round = 0; round < looks && !scope_.cancelled(); ++round) {
         for (std::size_t node = 0; node < nodes_; ++node)
             scope_.spawn(
                 peek(node, job, time_.chance(0.3) ? Question::repetition : Question::poll));
         co_await loop_.sleep(fromSeconds(time_.between(0.001, 0.05)), scope_);
     }
-    if (mayCancel && time_.chance(0.15) && !scope_.cancelled()) co_await withdraw(job);
+    if (mayCancel && time_.chance(0.15) && !scope_.cancelled()) co_await requestCancel(job);
 }
 
-Task<void> Users::peek(std::size_t node, std::string job, Fact::Question question) {
-    const std::size_t asked = say(Fact::Kind::asked, job, question);
+Task<void> Users::peek(std::size_t node, std::string job, HistoryEvent::Question question) {
+    const std::size_t asked = say(HistoryEvent::Kind::asked, job, question);
     co_await askAt(node, std::move(job), question, loop_.now() + 2s, asked);
 }
 
-void Users::withdrawNow(const std::string& job) {
-    if (words_.contains(job)) scope_.spawn(cancel(job));
+void Users::cancelNow(const std::string& job) {
+    if (newestAnswers_.contains(job)) scope_.spawn(cancel(job));
 }
 Task<void> Users::cancel(std::string job) {
-    co_await withdraw(std::move(job));
+    co_await requestCancel(std::move(job));
 }
 Task<void> Users::repeat(std::string job) {
-    co_await ask(std::move(job), Fact::Question::repetition, 5s);
+    co_await ask(std::move(job), HistoryEvent::Question::repetition, 5s);
 }
 
-void Users::askOddly() {
-    if (!words_.empty() && time_.chance(0.6)) {
-        auto job = words_.begin();
-        std::advance(
-            job, static_cast<std::ptrdiff_t>(time_.between(0, static_cast<double>(words_.size()))));
+void Users::sendOddRequest() {
+    if (!newestAnswers_.empty() && time_.chance(0.6)) {
+        auto job = newestAnswers_.begin();
+        std::advance(job, static_cast<std::ptrdiff_t>(
+                              time_.between(0, static_cast<double>(newestAnswers_.size()))));
         const bool ended = job->second != "accepted";
         scope_.spawn(ended ? cancel(job->first) : repeat(job->first));
         return;
@@ -244,7 +245,7 @@
     if (history_.jobs.empty()) return;
     JobSpec spec = history_.jobs.begin()->second;
     spec.id = "odd-" + std::to_string(++unfits_);
-    spec.needs.clear();
+    spec.dependencies.clear();
     std::string& why = history_.unfit[spec.id];
     std::string body;
     const auto without = [&](const std::string& field) {
@@ -269,7 +270,7 @@
         case 3:
             why = "its tasks may neither be in one zone nor in two";
             spec.tasks = 4;
-            spec.oneZone = spec.spread = true;
+            spec.sameZone = spec.spread = true;
             break;
         case 4:
             without("splits");
@@ -289,17 +290,17 @@
 Task<void> Users::submitUnfit(std::string id) {
     const TimePoint since = loop_.now();
     while (!scope_.cancelled() && toSeconds(loop_.now() - since) < tryingS) {
-        const auto r = co_await ask(id, Fact::Question::submission, 5s);
+        const auto r = co_await ask(id, HistoryEvent::Question::submission, 5s);
         if (r && r->status < 429) break;
         co_await loop_.sleep(1s, scope_);
     }
-    if (!scope_.cancelled()) co_await ask(std::move(id), Fact::Question::poll, 2s);
+    if (!scope_.cancelled()) co_await ask(std::move(id), HistoryEvent::Question::poll, 2s);
 }
 
-void Users::submit(Wish wish) {
+void Users::submit(PlannedJob wish) {
     const std::string id = wish.spec.id;
     history_.jobs[id] = wish.spec;
-    say(Fact::Kind::submitted, id, Fact::Question::submission);
+    say(HistoryEvent::Kind::submitted, id, HistoryEvent::Question::submission);
     reached(id, Stage::submitted);
     scope_.spawn(follow(std::move(wish)));
 }
@@ -309,14 +310,14 @@
 }
 
 Task<void> Users::follow(Pipeline p) {
-    for (std::size_t i = 0; i < p.wishes.size(); ++i) {
-        const bool last = i + 1 == p.wishes.size();
+    for (std::size_t i = 0; i < p.jobs.size(); ++i) {
+        const bool last = i + 1 == p.jobs.size();
         const bool late = p.lastLate && last && i > 0;
         const auto ready = [&](const std::string& id) {
             const Stage s = stages_.at(id);
             return s == Stage::over || (!late && s == Stage::accepted);
         };
-        for (const auto& id : p.wishes[i].spec.needs) {
+        for (const auto& id : p.jobs[i].spec.dependencies) {
             if (!stages_.contains(id)) co_return;  // not even submitted
             while (!ready(id) && !scope_.cancelled()) {
                 if (stages_.at(id) == Stage::refused) co_return;
@@ -324,7 +325,7 @@
             }
         }
         if (scope_.cancelled()) co_return;
-        submit(p.wishes[i]);
+        submit(p.jobs[i]);
     }
 }
 
@@ -347,10 +348,10 @@
     co_await client.request(std::move(request), 4s, scope_);
 }
 
-Task<bool> Users::withdraw(std::string job) {
-    say(Fact::Kind::withdrew, job, Fact::Question::withdrawal);
+Task<bool> Users::requestCancel(std::string job) {
+    say(HistoryEvent::Kind::cancelRequested, job, HistoryEvent::Question::cancellation);
     while (!scope_.cancelled()) {
-        const auto r = co_await ask(job, Fact::Question::withdrawal, 5s);
+        const auto r = co_await ask(job, HistoryEvent::Question::cancellation, 5s);
         if (r && r->status == 200) co_return true;
         if (r && r->status == 404) co_return false;
         co_await loop_.sleep(std::max<Duration>(1s, std::chrono::seconds(r ? r->retryAfterS : 0)),
@@ -359,12 +360,12 @@
     co_return false;
 }
 
-Task<void> Users::follow(Wish wish) {
+Task<void> Users::follow(PlannedJob wish) {
     const std::string id = wish.spec.id;
     const TimePoint since = loop_.now();
     bool accepted = false;
     while (!accepted && !scope_.cancelled()) {
-        const auto r = co_await ask(id, Fact::Question::submission, 5s);
+        const auto r = co_await ask(id, HistoryEvent::Question::submission, 5s);
         if (r && (r->status == 200 || r->status == 201)) accepted = true;
         const Duration later = std::max<Duration>(1s, std::chrono::seconds(r ? r->retryAfterS : 0));
         const bool refused = r && (r->status == 400 || r->status == 422);
@@ -376,21 +377,22 @@
         co_await loop_.sleep(later, scope_);
     }
     reached(id, Stage::accepted);
-    if (wish.spec.needs.empty() && wish.spec.shape != Shape::service) accepted_.push_back(id);
+    if (wish.spec.dependencies.empty() && wish.spec.shape != Shape::service)
+        accepted_.push_back(id);
     const TimePoint at = loop_.now();
     bool final = false, repeated = false;
-    while (!final && !scope_.cancelled() && toSeconds(loop_.now() - at) < wish.patienceS) {
+    while (!final && !scope_.cancelled() && toSeconds(loop_.now() - at) < wish.pollTimeoutS) {
         co_await loop_.sleep(fromSeconds(time_.between(4.5, 5.5)), scope_);
         if (scope_.cancelled()) co_return;
-        if (wish.withdrawAfterS && toSeconds(loop_.now() - at) > *wish.withdrawAfterS) {
-            wish.withdrawAfterS.reset();
-            co_await withdraw(id);
+        if (wish.cancelAfterS && toSeconds(loop_.now() - at) > *wish.cancelAfterS) {
+            wish.cancelAfterS.reset();
+            co_await requestCancel(id);
         }
         if (wish.repeatAfterS && !repeated && toSeconds(loop_.now() - at) > *wish.repeatAfterS) {
             repeated = true;
-            co_await ask(id, Fact::Question::repetition, 5s);
+            co_await ask(id, HistoryEvent::Question::repetition, 5s);
         }
-        const auto r = co_await ask(id, Fact::Question::poll, 2s);
+        const auto r = co_await ask(id, HistoryEvent::Question::poll, 2s);
         const auto doc = r && r->status == 200 ? json::parse(r->body) : std::nullopt;
         const auto status = doc ? json::string(*doc, "status") : std::nullopt;
         final = status && (*status == "done" || *status == "cancelled");
@@ -398,14 +400,14 @@
     if (final) reached(id, Stage::over);
     // And once more at some later time: what was final stays so.
     co_await loop_.sleep(fromSeconds(time_.between(5, 40)), scope_);
-    if (!scope_.cancelled() && final) co_await ask(id, Fact::Question::poll, 2s);
+    if (!scope_.cancelled() && final) co_await ask(id, HistoryEvent::Question::poll, 2s);
 }
 
 void Users::askForNothing() {
     scope_.spawn(strayPoll("stray-" + std::to_string(++strays_)));
 }
 Task<void> Users::strayPoll(std::string id) {
-    co_await ask(std::move(id), Fact::Question::poll, 2s);
+    co_await ask(std::move(id), HistoryEvent::Question::poll, 2s);
 }
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/lab/users.h
+++ b/src/simulator/users.h
@@ -5,15 +5,15 @@
 #include <memory>
 
 #include "http/client.h"
-#include "lab/history.h"
-#include "lab/network.h"
+#include "simulator/history.h"
+#include "simulator/network.h"
 
-namespace basaltchute::lab {
+namespace basaltchute::simulator {
 
 /// The load balancer of a site: which node a new connection goes to, by probes of `/up`.
 class Balancer {
   public:
-    Balancer(Timeline& time, Loop& loop, Scope& scope, std::vector<std::string> nodes);
+    Balancer(Timeline& time, EventLoop& loop, Scope& scope, std::vector<std::string> nodes);
     /// Up to three healthy nodes to try, the first to be preferred.
     std::vector<std::size_t> choose();
     void failed(std::size_t node);
@@ -35,7 +35,7 @@
     Task<void> probe(std::size_t node);
     void took(Node& node, bool well);
     Timeline& time_;
-    Loop& loop_;
+    EventLoop& loop_;
     Scope& scope_;
     std::vector<Node> nodes_;
 };
@@ -45,18 +45,18 @@
 class Users {
   public:
     Users(Timeline& time, Machine& machine, std::vector<std::string> nodes, History& history);
-    struct Wish {
+    struct PlannedJob {
         JobSpec spec;
-        std::optional<double> withdrawAfterS;  // once it is accepted
-        std::optional<double> repeatAfterS;    // submits it once more, long after
-        double patienceS = 1e9;                // stops polling
+        std::optional<double> cancelAfterS;  // once it is accepted
+        std::optional<double> repeatAfterS;  // submits it once more, long after
+        double pollTimeoutS = 1e9;           // stops polling
     };
-    void submit(Wish wish);
+    void submit(PlannedJob wish);
     /// Jobs that need others of the same pipeline: submitted one after another, each as soon as
     /// those that it needs are accepted; `lastLate`: the last only when the others are over.
     struct Pipeline {
-        std::vector<Wish> wishes;
-        std::vector<std::vector<std::size_t>> needs;  // for each, which of them
+        std::vector<PlannedJob> jobs;
+        std::vector<std::vector<std::size_t>> dependencies;  // for each, which of them
         bool lastLate = false;
     };
     void submit(Pipeline pipeline);
@@ -64,12 +64,12 @@
     [[nodiscard]] std::string someAccepted();
     /// From now on somebody asks every node, again and again within milliseconds, and repeats the
     /// submission, whenever a job was said to be accepted, done or cancelled; some cancel at once.
-    void lookClosely(bool on) { closely_ = on; }
+    void pollClosely(bool on) { pollClosely_ = on; }
     /// Its user calls off a job that was accepted.
-    void withdrawNow(const std::string& job);
+    void cancelNow(const std::string& job);
     /// Somebody repeats the submission of a job, cancels one that is done, or sends what can never
     /// run or lacks a field.
-    void askOddly();
+    void sendOddRequest();
     /// A message that the network had kept: it arrives at some node, and nobody waits for the
     /// answer.
     void deliver(std::string target, std::string body);
@@ -81,15 +81,15 @@
   private:
     /// How far a job is, for those who wait to submit what needs it.
     enum class Stage { submitted, accepted, refused, over };
-    Task<void> follow(Wish wish);
+    Task<void> follow(PlannedJob wish);
     Task<void> follow(Pipeline pipeline);
     Task<void> post(std::size_t node, std::string target, std::string body);
-    Task<void> look(std::string job, bool mayCancel);
+    Task<void> pollAllNodes(std::string job, bool mayCancel);
     /// One node is asked, whatever the load balancer thinks of it.
     Task<std::optional<http::Response>> askAt(std::size_t node, std::string job,
-                                              Fact::Question question, TimePoint until,
+                                              HistoryEvent::Question question, TimePoint until,
                                               std::size_t asked);
-    Task<void> peek(std::size_t node, std::string job, Fact::Question question);
+    Task<void> peek(std::size_t node, std::string job, HistoryEvent::Question question);
     Task<void> submitUnfit(std::string id);
     Task<void> cancel(std::string job);
     Task<void> repeat(std::string job);
@@ -100,25 +100,27 @@
     }
     Task<void> strayPoll(std::string id);
     /// Nothing if no node answered in time.
-    Task<std::optional<http::Response>> ask(std::string job, Fact::Question question,
-                                            Duration patience);
-    Task<bool> withdraw(std::string job);
+    Task<std::optional<http::Response>> ask(std::string job, HistoryEvent::Question question,
+                                            Duration timeout);
+    Task<bool> requestCancel(std::string job);
     /// Where in the history it stands.
-    std::size_t say(Fact::Kind kind, const std::string& job, Fact::Question question,
-                    int status = 0, std::string word = "", std::optional<std::size_t> asked = {});
-    [[nodiscard]] http::Request request(const std::string& job, Fact::Question question) const;
+    std::size_t say(HistoryEvent::Kind kind, const std::string& job,
+                    HistoryEvent::Question question, int status = 0, std::string word = "",
+                    std::optional<std::size_t> asked = {});
+    [[nodiscard]] http::Request request(const std::string& job,
+                                        HistoryEvent::Question question) const;
 
     Timeline& time_;
     Machine& machine_;
-    Loop& loop_;
+    EventLoop& loop_;
     Scope scope_;
     Balancer balancer_;
     History& history_;
     std::uint64_t strays_ = 0;
     std::map<std::string, Stage> stages_;
     std::vector<std::string> accepted_;
-    bool closely_ = false;
-    std::map<std::string, std::string> words_;  // the newest that was told of each job
+    bool pollClosely_ = false;
+    std::map<std::string, std::string> newestAnswers_;  // the newest that was told of each job
     std::map<std::string, std::string> unfitBodies_;
     std::uint64_t unfits_ = 0;
     basaltchute::Event moved_;
@@ -128,4 +130,4 @@
 /// A submission as users send it.
 std::string submissionOf(const JobSpec& spec);
 
-}  // namespace basaltchute::lab
+}  // namespace basaltchute::simulator
--- a/src/testing/world.h
+++ b/src/testing/world.h
@@ -10,11 +10,11 @@
 #include "http/server.h"
 #include "jobs/codec.h"
 #include "json/json.h"
-#include "lab/state_service.h"
 #include "runtime/loop.h"
 #include "scheduler/cluster.h"
 #include "settings/settings.h"
-#include "workers/report.h"
+#include "simulator/state_service.h"
+#include "worker_api/status_report.h"
 
 namespace basaltchute::testing {
 
@@ -22,7 +22,7 @@
 class World {
   public:
     FakeClock clock;
-    Loop loop{clock};
+    EventLoop loop{clock};
     Scope scope{loop};
     bool until(const std::function<bool()>& done, Duration most = std::chrono::seconds(30));
     void run(Duration span);
@@ -31,10 +31,10 @@
 };
 
 /// The lab's, on a test's loop.
-class StateService : public lab::StateService {
+class StateService : public simulator::StateService {
   public:
-    explicit StateService(World& world) : lab::StateService(world.loop, world.scope) {}
-    using lab::StateService::StateService;
+    explicit StateService(World& world) : simulator::StateService(world.loop, world.scope) {}
+    using simulator::StateService::StateService;
 };
 
 class CloudService {
@@ -57,26 +57,26 @@
 void commitAll(scheduler::Cluster& cluster, std::map<std::string, std::string>& records);
 
 settings::Settings someSettings();
-fleet::Catalogue someCatalogue();
+autoscaler::Catalogue someCatalogue();
 std::string submission(const std::string& id, const std::string& extra = "");
 JobSpec spec(const std::string& id, std::uint32_t tasks = 1);
 
 /// A worker's side of the protocol, moved by hand.
 struct Worker {
-    workers::Report report;
+    worker_api::StatusReport report;
     explicit Worker(const std::string& name, const std::string& zone = "a", bool spot = false);
     /// The next report, with the tasks it now has.
-    const workers::Report& next() {
+    const worker_api::StatusReport& next() {
         ++report.sequence;
         return report;
     }
     void newSession() {
-        ++report.session;
+        ++report.incarnation;
         report.tasks.clear();
     }
-    void execute(const std::vector<workers::Order>& orders);
-    void set(std::size_t task, workers::TaskStatus status,
-             workers::ExitCause cause = workers::ExitCause::other) {
+    void execute(const std::vector<worker_api::Command>& orders);
+    void set(std::size_t task, worker_api::TaskStatus status,
+             worker_api::ExitCause cause = worker_api::ExitCause::other) {
         report.tasks[task].status = status;
         report.tasks[task].cause = cause;
     }
--- a/src/testing/world_test.cpp
+++ b/src/testing/world_test.cpp
@@ -31,7 +31,7 @@
 void World::end(Scope& ending) {
     bool done = false;
     loop.spawn([](Scope& s, bool& flag) -> Task<void> {
-        co_await s.end();
+        co_await s.cancelAndWait();
         flag = true;
     }(ending, done));
     until([&] { return done; });
@@ -39,7 +39,7 @@
 
 std::string freeAddress() {
     const FakeClock clock;
-    Loop loop(clock);
+    EventLoop loop(clock);
     const auto id = static_cast<unsigned>(::getpid());
     const auto part = [&](unsigned shift) { return std::to_string(id >> shift & 0xffU); };
     const std::string net = "127." + std::to_string(1 + (id >> 16 & 0x7fU)) + '.';
@@ -52,8 +52,8 @@
 }
 
 void commitAll(scheduler::Cluster& cluster, std::map<std::string, std::string>& records) {
-    for (auto e = cluster.take(); !e.dirty.empty(); e = cluster.take())
-        for (const auto& d : e.dirty) {
+    for (auto e = cluster.takeEffects(); !e.dirtyRecords.empty(); e = cluster.takeEffects())
+        for (const auto& d : e.dirtyRecords) {
             const auto encoded = cluster.encode(d.first);
             if (!encoded) continue;
             records[d.first] = encoded->data;
@@ -104,8 +104,8 @@
     s.sockets = 500;
     return s;
 }
-fleet::Catalogue someCatalogue() {
-    fleet::MachineType t;
+autoscaler::Catalogue someCatalogue() {
+    autoscaler::MachineType t;
     t.name = "box";
     t.capacity = {8, 0, 32};
     t.fetchGbPerS = 1;
@@ -135,22 +135,23 @@
     report.type = "box";
     report.zone = zone;
     report.spot = spot;
-    report.session = 1;
+    report.incarnation = 1;
 }
-void Worker::execute(const std::vector<workers::Order>& orders) {
+void Worker::execute(const std::vector<worker_api::Command>& orders) {
     for (const auto& o : orders) {
         const auto it = std::find_if(report.tasks.begin(), report.tasks.end(), [&](const auto& t) {
             return t.job == o.job && t.task == o.task && t.attempt == o.attempt;
         });
         const bool known = it != report.tasks.end();
-        if (o.verb == workers::Verb::launch && !known)
-            report.tasks.push_back({o.job, o.task, o.attempt, workers::TaskStatus::running,
-                                    workers::ExitCause::other, false});
-        if (o.verb == workers::Verb::stop && known && it->status != workers::TaskStatus::exited) {
-            it->status = workers::TaskStatus::exited;
-            it->cause = workers::ExitCause::stopped;
+        if (o.kind == worker_api::CommandKind::launch && !known)
+            report.tasks.push_back({o.job, o.task, o.attempt, worker_api::TaskStatus::running,
+                                    worker_api::ExitCause::other, false});
+        if (o.kind == worker_api::CommandKind::stop && known &&
+            it->status != worker_api::TaskStatus::exited) {
+            it->status = worker_api::TaskStatus::exited;
+            it->cause = worker_api::ExitCause::stopped;
         }
-        if (o.verb == workers::Verb::forget && known) report.tasks.erase(it);
+        if (o.kind == worker_api::CommandKind::forget && known) report.tasks.erase(it);
     }
 }
 
--- a/src/workers/connections.h
+++ b/src/worker_api/agent_connections.h
@@ -7,15 +7,15 @@
 #include "http/client.h"
 #include "jobs/job.h"
 
-namespace basaltchute::workers {
+namespace basaltchute::worker_api {
 
 /// Kept connections to workers, for direct orders: at most so many, since there may be more
 /// machines than sockets. Beyond that the one unused for longest is closed, never one with an
 /// order under way: that launch would count as unanswered.
-class Connections {
+class AgentConnections {
   public:
-    Connections(Loop& loop, std::size_t most) : loop_(loop), most_(most) {}
-    std::shared_ptr<http::Client> to(MachineIndex machine, const std::string& address);
+    AgentConnections(EventLoop& loop, std::size_t most) : loop_(loop), maxConnections_(most) {}
+    std::shared_ptr<http::Client> clientFor(MachineIndex machine, const std::string& address);
     void drop(MachineIndex machine);
     [[nodiscard]] std::size_t size() const { return byMachine_.size(); }
 
@@ -24,10 +24,10 @@
         MachineIndex machine;
         std::shared_ptr<http::Client> client;
     };
-    Loop& loop_;
-    std::size_t most_;
+    EventLoop& loop_;
+    std::size_t maxConnections_;
     std::list<Kept> kept_;  // longest unused first
     std::unordered_map<MachineIndex, std::list<Kept>::iterator> byMachine_;
 };
 
-}  // namespace basaltchute::workers
+}  // namespace basaltchute::worker_api
--- a/src/workers/reach_test.cpp
+++ b/src/worker_api/command_sender_test.cpp
@@ -1,15 +1,15 @@
-#include "workers/reach.h"
+#include "worker_api/command_sender.h"
 
 #include <gtest/gtest.h>
 
 #include "testing/world.h"
 
-namespace basaltchute::workers {
+namespace basaltchute::worker_api {
 namespace {
 
 using namespace std::chrono_literals;
 
-TEST(Reach, TakesADetourWhenItsOwnWayIsCutAndComesBack) {
+TEST(CommandSender, TakesADetourWhenItsOwnWayIsCutAndComesBack) {
     // A leader that had lost the workers alone waited for each direct order, then for the worker's
     // next report: with reports every 10 s no replica started in time for 65 s.
     testing::World world;
@@ -20,19 +20,21 @@
         co_return http::Response{200, "{}"};
     });
     worker.start(world.scope);
-    Reach reach(world.loop, 10,
-                [&](Reach::Target, http::Request, Duration, Scope&) -> Task<Reach::Detoured> {
-                    ++detours;
-                    co_return Reach::Detoured{{true, true, {200, "{}"}}, true};
-                });
-    Reach::Reached last;
+    CommandSender reach(
+        world.loop, 10,
+        [&](CommandSender::Target, http::Request, Duration,
+            Scope&) -> Task<CommandSender::RelayedOutcome> {
+            ++detours;
+            co_return CommandSender::RelayedOutcome{{true, true, {200, "{}"}}, true};
+        });
+    CommandSender::SendResult last;
     const auto order = [&](MachineIndex machine, bool insist) {
         bool done = false;
         const std::string address = reachable ? worker.address() : "127.0.0.1:1";
-        world.loop.spawn([](Reach& r, Reach::Target t, bool again, Scope& scope,
-                            Reach::Reached& out, bool& flag) -> Task<void> {
+        world.loop.spawn([](CommandSender& r, CommandSender::Target t, bool again, Scope& scope,
+                            CommandSender::SendResult& out, bool& flag) -> Task<void> {
             http::Request request{"POST", "/commands", "{}"};
-            out = co_await r.request(std::move(t), std::move(request), 1s, again, scope);
+            out = co_await r.send(std::move(t), std::move(request), 1s, again, scope);
             flag = true;
         }(reach, {machine, "a", address}, insist, world.scope, last, done));
         world.until([&] { return done; });
@@ -44,8 +46,8 @@
     EXPECT_TRUE(order(1, true)) << "unless it is about to be given up";
     EXPECT_TRUE(order(2, false));
     EXPECT_EQ(detours, 2);
-    EXPECT_TRUE(reach.cut("a"));
-    EXPECT_FALSE(reach.cut("b"));
+    EXPECT_TRUE(reach.directPathFailing("a"));
+    EXPECT_FALSE(reach.directPathFailing("b"));
     reachable = true;
     EXPECT_TRUE(order(3, false));
     EXPECT_EQ(detours, 3) << "orders do not try out the way";
@@ -56,7 +58,7 @@
     world.end(world.scope);
 }
 
-TEST(Reach, MachinesThatDieTogetherAreNoCut) {
+TEST(CommandSender, MachinesThatDieTogetherAreNoCut) {
     // A wave of dead machines once looked like a cut, and all orders to their zone took a detour.
     testing::World world;
     int detours = 0;
@@ -64,54 +66,54 @@
         co_return http::Response{200, "{}"};
     });
     worker.start(world.scope);
-    Reach reach(world.loop, 10,
-                [&](Reach::Target, http::Request, Duration, Scope&) -> Task<Reach::Detoured> {
-                    ++detours;
-                    co_return Reach::Detoured{};
-                });
+    CommandSender reach(world.loop, 10,
+                        [&](CommandSender::Target, http::Request, Duration,
+                            Scope&) -> Task<CommandSender::RelayedOutcome> {
+                            ++detours;
+                            co_return CommandSender::RelayedOutcome{};
+                        });
     const auto ask = [&](MachineIndex machine, const std::string& address) {
         bool done = false, answered = false;
-        world.loop.spawn(
-            [](Reach& r, Reach::Target t, Scope& scope, bool& out, bool& flag) -> Task<void> {
-                http::Request request{"GET", "/inspect", ""};
-                const auto reached =
-                    co_await r.request(std::move(t), std::move(request), 1s, false, scope);
-                out = reached.outcome.answered;
-                flag = true;
-            }(reach, {machine, "a", address}, world.scope, answered, done));
+        world.loop.spawn([](CommandSender& r, CommandSender::Target t, Scope& scope, bool& out,
+                            bool& flag) -> Task<void> {
+            http::Request request{"GET", "/inspect", ""};
+            const auto reached =
+                co_await r.send(std::move(t), std::move(request), 1s, false, scope);
+            out = reached.outcome.answered;
+            flag = true;
+        }(reach, {machine, "a", address}, world.scope, answered, done));
         world.until([&] { return done; });
         return answered;
     };
     EXPECT_TRUE(ask(0, worker.address()));
     for (MachineIndex m = 1; m < 5; ++m) EXPECT_FALSE(ask(m, "127.0.0.1:1"));
     EXPECT_EQ(detours, 0);
-    EXPECT_FALSE(reach.cut("a"));
+    EXPECT_FALSE(reach.directPathFailing("a"));
     world.run(2s);  // nobody has answered for a while
     EXPECT_FALSE(ask(5, "127.0.0.1:1"));
     EXPECT_EQ(detours, 1);
     world.end(world.scope);
 }
 
-TEST(Reach, APeerThatSaysNothingProvesNothingAgainstAMachine) {
+TEST(CommandSender, APeerThatSaysNothingProvesNothingAgainstAMachine) {
     // A leader cut off from the workers asked for them over a node that stood still, and deleted
     // 386 sound machines.
     testing::World world;
-    Reach::Detoured told{{}, true};  // no answer at all
-    Reach reach(world.loop, 10,
-                [&](Reach::Target, http::Request, Duration, Scope&) -> Task<Reach::Detoured> {
-                    co_return told;
-                });
+    CommandSender::RelayedOutcome told{{}, true};  // no answer at all
+    CommandSender reach(world.loop, 10,
+                        [&](CommandSender::Target, http::Request, Duration,
+                            Scope&) -> Task<CommandSender::RelayedOutcome> { co_return told; });
     const auto proof = [&](MachineIndex machine) {
         bool done = false, out = false;
-        world.loop.spawn(
-            [](Reach& r, MachineIndex m, Scope& scope, bool& flag, bool& end) -> Task<void> {
-                http::Request request{"GET", "/inspect", ""};
-                Reach::Target target{m, "a", "127.0.0.1:1"};
-                const auto reached =
-                    co_await r.request(std::move(target), std::move(request), 1s, true, scope);
-                flag = reached.proof;
-                end = true;
-            }(reach, machine, world.scope, out, done));
+        world.loop.spawn([](CommandSender& r, MachineIndex m, Scope& scope, bool& flag,
+                            bool& end) -> Task<void> {
+            http::Request request{"GET", "/inspect", ""};
+            CommandSender::Target target{m, "a", "127.0.0.1:1"};
+            const auto reached =
+                co_await r.send(std::move(target), std::move(request), 1s, true, scope);
+            flag = reached.machineUnreachable;
+            end = true;
+        }(reach, machine, world.scope, out, done));
         world.until([&] { return done; });
         return out;
     };
@@ -119,12 +121,12 @@
     EXPECT_FALSE(proof(2));
     told.outcome.response.status = 502;
     EXPECT_TRUE(proof(1)) << "a peer in its zone has tried";
-    told.near = false;
+    told.sameZone = false;
     EXPECT_FALSE(proof(1)) << "a cut of the zone explains as well that one outside fails";
     world.end(world.scope);
 }
 
-TEST(Reach, AMachineIsProvenSilentInAZoneWithoutNodesOnlyWhileOthersThereAnswer) {
+TEST(CommandSender, AMachineIsProvenSilentInAZoneWithoutNodesOnlyWhileOthersThereAnswer) {
     // 106 sound machines of a zone that had been cut off were given up within 8 s.
     testing::World world;
     bool cut = false;
@@ -133,37 +135,39 @@
         co_return http::Response{200, "{}"};
     });
     sound.start(world.scope);
-    Reach reach(world.loop, 10,
-                [&](Reach::Target, http::Request, Duration, Scope&) -> Task<Reach::Detoured> {
-                    co_return Reach::Detoured{{false, false, {502, ""}}, false};
-                });
+    CommandSender reach(
+        world.loop, 10,
+        [&](CommandSender::Target, http::Request, Duration,
+            Scope&) -> Task<CommandSender::RelayedOutcome> {
+            co_return CommandSender::RelayedOutcome{{false, false, {502, ""}}, false};
+        });
     const auto ask = [&](MachineIndex machine, const std::string& address) {
         bool done = false;
-        Reach::Reached out;
-        world.loop.spawn([](Reach& r, Reach::Target t, Scope& scope, Reach::Reached& reached,
-                            bool& end) -> Task<void> {
+        CommandSender::SendResult out;
+        world.loop.spawn([](CommandSender& r, CommandSender::Target t, Scope& scope,
+                            CommandSender::SendResult& reached, bool& end) -> Task<void> {
             http::Request request{"GET", "/inspect", ""};
-            reached = co_await r.request(std::move(t), std::move(request), 1s, true, scope);
+            reached = co_await r.send(std::move(t), std::move(request), 1s, true, scope);
             end = true;
         }(reach, {machine, "a", address}, world.scope, out, done));
         world.until([&] { return done; });
         return out;
     };
     EXPECT_TRUE(ask(1, sound.address()).outcome.answered);
-    EXPECT_TRUE(ask(2, "127.0.0.1:1").proof);
+    EXPECT_TRUE(ask(2, "127.0.0.1:1").machineUnreachable);
     cut = true;
     world.run(2s);
-    EXPECT_FALSE(ask(2, "127.0.0.1:1").proof);
-    EXPECT_FALSE(ask(3, "127.0.0.1:1").proof);
+    EXPECT_FALSE(ask(2, "127.0.0.1:1").machineUnreachable);
+    EXPECT_FALSE(ask(3, "127.0.0.1:1").machineUnreachable);
     cut = false;
     world.run(30s);
     ask(1, sound.address());  // a question beside it finds that the way works again
     world.run(100ms);
-    EXPECT_TRUE(ask(2, "127.0.0.1:1").proof);
+    EXPECT_TRUE(ask(2, "127.0.0.1:1").machineUnreachable);
     world.end(world.scope);
 }
 
-TEST(Reach, ACopyThatWentUnansweredIsToldOfWhateverTheDetourBrings) {
+TEST(CommandSender, ACopyThatWentUnansweredIsToldOfWhateverTheDetourBrings) {
     // The first copy of a launch may be executed minutes later: its attempt must stay known.
     testing::World world;
     http::Server silent(world.loop, "127.0.0.1:0", {}, [&](http::Request) -> Task<http::Response> {
@@ -171,23 +175,25 @@
         co_return http::Response{200, "{}"};
     });
     silent.start(world.scope);
-    Reach reach(world.loop, 10,
-                [&](Reach::Target, http::Request, Duration, Scope&) -> Task<Reach::Detoured> {
-                    co_return Reach::Detoured{{true, true, {200, "{}"}}, true};
-                });
+    CommandSender reach(
+        world.loop, 10,
+        [&](CommandSender::Target, http::Request, Duration,
+            Scope&) -> Task<CommandSender::RelayedOutcome> {
+            co_return CommandSender::RelayedOutcome{{true, true, {200, "{}"}}, true};
+        });
     bool done = false;
-    Reach::Reached last;
-    world.loop.spawn(
-        [](Reach& r, Reach::Target t, Scope& scope, Reach::Reached& out, bool& flag) -> Task<void> {
-            http::Request request{"POST", "/commands", "{}"};
-            out = co_await r.request(std::move(t), std::move(request), 1s, true, scope);
-            flag = true;
-        }(reach, {1, "a", silent.address()}, world.scope, last, done));
+    CommandSender::SendResult last;
+    world.loop.spawn([](CommandSender& r, CommandSender::Target t, Scope& scope,
+                        CommandSender::SendResult& out, bool& flag) -> Task<void> {
+        http::Request request{"POST", "/commands", "{}"};
+        out = co_await r.send(std::move(t), std::move(request), 1s, true, scope);
+        flag = true;
+    }(reach, {1, "a", silent.address()}, world.scope, last, done));
     world.until([&] { return done; });
     EXPECT_TRUE(last.outcome.answered);
-    EXPECT_TRUE(last.stray);
+    EXPECT_TRUE(last.mayExecuteLater);
     world.end(world.scope);
 }
 
 }  // namespace
-}  // namespace basaltchute::workers
+}  // namespace basaltchute::worker_api
--- a/src/workers/report.cpp
+++ b/src/worker_api/status_report.cpp
@@ -1,17 +1,17 @@
-#include "workers/report.h"
+#include "worker_api/status_report.h"
 
 #include <charconv>
 
 #include "json/json.h"
 
-namespace basaltchute::workers {
+namespace basaltchute::worker_api {
 
 namespace {
 
 TaskStatus statusOf(const std::string& s) {
     if (s == "pulling") return TaskStatus::pulling;
     if (s == "running") return TaskStatus::running;
-    if (s == "saving") return TaskStatus::saving;
+    if (s == "saving") return TaskStatus::checkpointing;
     if (s == "exited") return TaskStatus::exited;
     return TaskStatus::other;  // still on the machine, whatever it is called
 }
@@ -25,16 +25,16 @@
     return ExitCause::other;
 }
 
-void write(json::Out& o, const std::vector<Order>& orders) {
+void write(json::Out& o, const std::vector<Command>& orders) {
     o.key("orders").openArray();
     for (const auto& order : orders) {
-        const char* verb = order.verb == Verb::launch ? "launch"
-                           : order.verb == Verb::stop ? "stop"
-                                                      : "forget";
+        const char* verb = order.kind == CommandKind::launch ? "launch"
+                           : order.kind == CommandKind::stop ? "stop"
+                                                             : "forget";
         o.open().field("verb", verb);
         o.field("split", order.job + '/' + std::to_string(order.task));
         o.field("try", order.attempt);
-        if (order.verb == Verb::stop) o.field("windDownS", toSeconds(order.grace));
+        if (order.kind == CommandKind::stop) o.field("windDownS", toSeconds(order.gracePeriod));
         o.close();
     }
     o.closeArray();
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-std::optional<Report> parseReport(const std::string& body) {
+std::optional<StatusReport> parseStatusReport(const std::string& body) {
     const auto doc = json::parse(body);
     if (!doc || !doc->IsObject()) return std::nullopt;
     auto host = json::string(*doc, "host");
@@ -55,17 +55,17 @@
     if (!host || host->empty() || !addr || !type || !zone || !session || !sequence ||
         tasks == nullptr)
         return std::nullopt;
-    Report r;
+    StatusReport r;
     r.bytes = body.size();
     r.machine = std::move(*host);
     r.address = std::move(*addr);
     r.type = std::move(*type);
     r.zone = std::move(*zone);
     r.spot = json::boolean(*doc, "loaners").value_or(false);
-    r.session = *session;
+    r.incarnation = *session;
     r.sequence = *sequence;
     r.token = json::count(*doc, "baton").value_or(0);
-    if (const auto n = json::number(*doc, "recallS")) r.notice = fromSeconds(*n);
+    if (const auto n = json::number(*doc, "recallS")) r.interruptionNotice = fromSeconds(*n);
     for (const auto& t : tasks->GetArray()) {
         const auto name = json::string(t, "split");
         const auto attempt = json::count(t, "try");
@@ -79,21 +79,21 @@
         out.attempt = *attempt;
         out.status = statusOf(json::string(t, "status").value_or(""));
         out.cause = causeOf(json::string(t, "cause").value_or(""));
-        out.saved = json::boolean(t, "stored").value_or(false);
+        out.checkpointed = json::boolean(t, "stored").value_or(false);
         r.tasks.push_back(std::move(out));
     }
     return r;
 }
 
-std::string beatAnswer(FencingToken token, const std::vector<Order>& orders) {
+std::string encodeHeartbeatResponse(FencingToken token, const std::vector<Command>& orders) {
     json::Out o;
     o.open().field("baton", token);
     write(o, orders);
     o.close();
     return o.text();
 }
-std::string directOrders(FencingToken token, std::uint64_t session,
-                         const std::vector<Order>& orders) {
+std::string encodeCommands(FencingToken token, std::uint64_t session,
+                           const std::vector<Command>& orders) {
     json::Out o;
     o.open().field("baton", token).field("stint", session);
     write(o, orders);
@@ -101,4 +101,4 @@
     return o.text();
 }
 
-}  // namespace basaltchute::workers
+}  // namespace basaltchute::worker_api
--- a/tools/gateway_load.cpp
+++ b/tools/gateway_load.cpp
@@ -96,7 +96,7 @@
 /// Sends to one queue, a window of messages at a time, wherever the queue is served.
 class Sender {
   public:
-    Sender(Loop& loop, std::string queue, unsigned window, std::string address)
+    Sender(EventLoop& loop, std::string queue, unsigned window, std::string address)
         : loop_(loop),
           queue_("queue/" + std::move(queue)),
           window_(window),
@@ -155,7 +155,7 @@
         linked_ = false;
         sent_.clear();
     }
-    Loop& loop_;
+    EventLoop& loop_;
     std::string queue_;
     unsigned window_;
     std::string to_;
@@ -193,7 +193,7 @@
     }
     const Setting& setting;
     SystemClock clock;
-    Loop loop{clock};
+    EventLoop loop{clock};
     Scope scope{loop};
     testing::StateService state;
     JobService jobs;
@@ -203,7 +203,7 @@
     ~Bench() {
         bool gone = false;
         loop.spawn([](Scope& s, bool& flag) -> Task<void> {
-            co_await s.end();
+            co_await s.cancelAndWait();
             flag = true;
         }(scope, gone));
         while (!gone) loop.turn(1ms);
@@ -290,7 +290,7 @@
 /// The stand-ins alone, with a list of jobs for whoever checks.
 void serve(const std::string& state, const std::vector<std::string>& jobs) {
     const SystemClock clock;
-    Loop loop(clock);
+    EventLoop loop(clock);
     Scope scope(loop);
     const testing::StateService stateService(loop, scope, state);
     JobService service(loop, scope, jobs.at(0));
--- a/tools/golden/write.cpp
+++ b/tools/golden/write.cpp
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "jobs/codec.h"
-#include "mesh/mesh.h"
+#include "peer_rpc/peer_rpc.h"
 
 using namespace basaltchute;
 
@@ -84,10 +84,10 @@
     write(*blocks);
     auto withdrawing = make("run-000004", 300);
     bind(*withdrawing, 0, 290, 1000);
-    withdrawing->cancelled = withdrawing->cancelNoted = true;
+    withdrawing->cancelled = withdrawing->cancelRecorded = true;
     write(*withdrawing);
     auto cancelled = make("run-000005", 3);
-    cancelled->cancelled = cancelled->cancelFinal = true;
+    cancelled->cancelled = cancelled->cancelCommitted = true;
     write(*cancelled);
     auto reserved = make("run-000006", 4);
     bind(*reserved, 0, 3, 7, true);
@@ -97,16 +97,16 @@
     done->doneCount = 5;
     write(*done);
     o.close().key("frames").open();
-    const auto frame = [&](const char* name, const mesh::Message& m) {
-        o.field(name, hex(mesh::encode(m)));
+    const auto frame = [&](const char* name, const peer_rpc::Message& m) {
+        o.field(name, hex(peer_rpc::encode(m)));
     };
-    mesh::Message m;
-    m.hello = mesh::Hello{"rig-1", true, 9, true, 9, true, true, "a-process"};
+    peer_rpc::Message m;
+    m.hello = peer_rpc::Hello{"rig-1", true, 9, true, 9, true, true, "a-process"};
     frame("hello", m);
     m = {};
     m.id = 3;
     m.request = http::Request{"POST", "/v1/jobs", "{}"};
-    m.purpose = mesh::Purpose::worker;
+    m.purpose = peer_rpc::Purpose::worker;
     m.worker = "10.1.0.7:9000";
     frame("request", m);
     m = {};
@@ -115,7 +115,7 @@
     frame("reply", m);
     m = {};
     m.id = 4;
-    m.pledge = mesh::Pledge{9, std::chrono::milliseconds(3000)};
+    m.pledge = peer_rpc::Pledge{9, std::chrono::milliseconds(3000)};
     frame("pledge", m);
     m = {};
     m.id = 5;
