--- /dev/null
+++ b/src/experience/wire_format_test.cpp
@@ -0,0 +1,28 @@
+// The exact bytes of the stored record of learnt boot times.
+#include <gtest/gtest.h>
+
+#include "experience/experience.h"
+
+namespace basaltchute::experience {
+namespace {
+
+using namespace std::chrono_literals;
+
+TEST(WireFormat, LearntBootTimesRecordBytes) {
+    Experience written;
+    written.came("box", 60s, 20s);
+    EXPECT_EQ(written.encode("box", 2000), R"({"format":1,"boots":{"box":[65,100]}})");
+    written.came("box", 20s, 20s);
+    EXPECT_EQ(written.encode("box", 2000), R"({"format":1,"boots":{"box":[48,100,65,100]}})");
+}
+
+TEST(WireFormat, LearntBootTimesRecordIsRead) {
+    Experience read;
+    ASSERT_TRUE(read.decode(R"({"format":1,"boots":{"box":[48,100,65,5000],"c8":[]}})"));
+    EXPECT_GT(read.coming("box", 20s, 0.5), 50s);
+    EXPECT_LT(read.coming("c8", 20s, 0.5), 30s);
+    EXPECT_EQ(read.encode("box", 2000), R"({"format":1,"boots":{"box":[48,100,65,5000]}})");
+}
+
+}  // namespace
+}  // namespace basaltchute::experience
