--- /dev/null
+++ b/src/leadership/wire_format_test.cpp
@@ -0,0 +1,152 @@
+// The exact records and requests of an election: the leader's key, the counter of tokens with the
+// stored format, and the absent nodes.
+#include <gtest/gtest.h>
+
+#include "leadership/leadership.h"
+#include "testing/scripted_service.h"
+
+namespace basaltchute {
+namespace {
+
+using namespace std::chrono_literals;
+using Requests = std::vector<std::string>;
+
+class LeadershipWireFormat : public ::testing::Test {
+  protected:
+    testing::World world;
+    /// What stands under "lead/", as the items of a list.
+    std::string storedItems;
+    std::uint64_t revision = 20;
+    std::set<std::string> silentNodes;
+    bool elected = false;
+    testing::ScriptedService service{
+        world, [this](const http::Request& request) { return respond(request); }};
+    std::unique_ptr<state::Client> client;
+    std::unique_ptr<Leadership> leadership;
+
+    http::Response respond(const http::Request& request) {
+        if (request.target.starts_with("/keys?"))
+            return {200, R"({"pairs":[)" + storedItems + R"(],"truncated":false,"epoch":)" +
+                             std::to_string(revision) + '}'};
+        if (request.target == "/multi")
+            return {200, R"({"epoch":)" + std::to_string(++revision) + '}'};
+        if (request.target == "/grants") return {200, R"({"hold":42})"};
+        return {200, "{}"};
+    }
+    void start() {
+        auto settings = testing::someSettings();
+        settings.state = service.address();
+        settings.peers = {{"rig-1", "a", "127.0.0.1:1"}, {"rig-2", "b", "127.0.0.1:1"}};
+        client = std::make_unique<state::Client>(world.loop, settings);
+        Leadership::Hooks hooks;
+        hooks.elected = [this](FencingToken, state::Guard guard) {
+            elected = true;
+            EXPECT_EQ(guard.key, "lead/holder");
+            EXPECT_EQ(guard.revision, 21U);
+        };
+        hooks.deposed = []() -> Task<void> { co_return; };
+        hooks.pledgeAll = [](FencingToken, Duration, const std::set<std::string>&) -> Task<bool> {
+            co_return false;
+        };
+        hooks.idle = [](const std::string&) { return true; };
+        hooks.silent = [this](Duration) { return silentNodes; };
+        leadership =
+            std::make_unique<Leadership>(world.loop, *client, settings, "process-1", hooks);
+        world.scope.spawn(leadership->run(world.scope));
+    }
+    void TearDown() override { world.end(world.scope); }
+    /// The transactions sent so far.
+    Requests transactions() {
+        Requests out;
+        for (auto& request : service.takeRequests())
+            if (request.starts_with("POST /multi")) out.push_back(std::move(request));
+        return out;
+    }
+};
+
+TEST_F(LeadershipWireFormat, FirstElectionRequests) {
+    start();
+    ASSERT_TRUE(world.until([&] { return elected; }));
+    EXPECT_EQ(
+        service.takeRequests(),
+        (Requests{"GET /keys?under=lead/&page=1000", "GET /keys?under=lead/&page=1000",
+                  R"(POST /grants {"lifeMs":1200})",
+                  R"(POST /multi {"guards":[{"key":"lead/holder","stamp":0},)"
+                  R"({"key":"lead/token","stamp":0},{"key":"lead/absent","stamp":0}],"then":[)"
+                  R"({"put":"lead/holder","data":{"node":"rig-0","incarnation":"process-1",)"
+                  R"("token":1,"grant":42},"hold":42},)"
+                  R"({"put":"lead/token","data":{"token":1,"node":"rig-0"}}]})"}));
+    EXPECT_EQ(leadership->token(), 1U);
+    EXPECT_EQ(leadership->format(), 1U);
+    world.run(300ms);
+    EXPECT_EQ(service.takeRequests().at(0), "POST /grants/42/touch");
+    leadership->retire();
+    world.run(300ms);
+    EXPECT_EQ(service.takeRequests().back(), "DELETE /grants/42");
+}
+
+TEST_F(LeadershipWireFormat, ElectionWithStoredRecordsRequest) {
+    storedItems = R"({"key":"lead/absent","data":{"nodes":[]},"stamp":5},)"
+                  R"({"key":"lead/token","data":{"last":9,"node":"rig-1","format":2},"stamp":7})";
+    silentNodes = {"rig-1"};
+    start();
+    ASSERT_TRUE(world.until([&] { return elected; }));
+    EXPECT_EQ(transactions(),
+              Requests{R"(POST /multi {"guards":[{"key":"lead/holder","stamp":0},)"
+                       R"({"key":"lead/token","stamp":7},{"key":"lead/absent","stamp":5}],"then":[)"
+                       R"({"put":"lead/holder","data":{"node":"rig-0","incarnation":"process-1",)"
+                       R"("token":10,"grant":42},"hold":42},)"
+                       R"({"put":"lead/token","data":{"last":10,"node":"rig-0","format":2}},)"
+                       R"({"put":"lead/absent","data":{"nodes":["rig-1"]}}]})"});
+    EXPECT_EQ(leadership->token(), 10U);
+    EXPECT_EQ(leadership->format(), 2U);
+}
+
+TEST_F(LeadershipWireFormat, RaiseOfStoredFormatRequest) {
+    storedItems = R"({"key":"lead/token","data":{"token":3,"node":"rig-0"},"stamp":7})";
+    start();
+    ASSERT_TRUE(world.until([&] { return elected; }));
+    transactions();
+    EXPECT_TRUE(testing::finish(world, leadership->raiseFormat(2, world.scope)));
+    EXPECT_EQ(transactions(),
+              Requests{R"(POST /multi {"guards":[{"key":"lead/holder","stamp":21},)"
+                       R"({"key":"lead/token","stamp":21}],"then":[)"
+                       R"({"put":"lead/token","data":{"last":4,"node":"rig-0","format":2}}]})"});
+}
+
+TEST_F(LeadershipWireFormat, AbsentNodesRecordRequest) {
+    start();
+    ASSERT_TRUE(world.until([&] { return elected; }));
+    transactions();
+    silentNodes = {"rig-2"};
+    world.run(400ms);
+    EXPECT_EQ(transactions(), Requests{R"(POST /multi {"guards":[{"key":"lead/holder","stamp":21},)"
+                                       R"({"key":"lead/absent","stamp":0}],"then":[)"
+                                       R"({"put":"lead/absent","data":{"nodes":["rig-2"]}}]})"});
+}
+
+TEST_F(LeadershipWireFormat, LeaderRecordIsRead) {
+    storedItems =
+        R"({"key":"lead/holder","data":{"node":"rig-1","incarnation":"process-8","token":9,)"
+        R"("grant":41},"stamp":7})";
+    start();
+    ASSERT_TRUE(world.until([&] { return leadership->known().has_value(); }));
+    EXPECT_EQ(leadership->known()->node, "rig-1");
+    EXPECT_EQ(leadership->known()->token, 9U);
+    world.run(50ms);
+    const auto requests = service.takeRequests();
+    ASSERT_GE(requests.size(), 2U);
+    EXPECT_EQ(requests[1], "GET /watch?under=lead/&after=20&waitMs=10000");
+}
+
+TEST_F(LeadershipWireFormat, OwnFormerLeaderRecordEndsItsGrant) {
+    storedItems =
+        R"({"key":"lead/holder","data":{"node":"rig-0","incarnation":"process-0","token":9,)"
+        R"("grant":41},"stamp":7})";
+    start();
+    world.run(50ms);
+    EXPECT_EQ(service.takeRequests().at(1), "DELETE /grants/41");
+}
+
+}  // namespace
+}  // namespace basaltchute
--- /dev/null
+++ b/src/state/wire_format_test.cpp
@@ -0,0 +1,123 @@
+// The exact requests to the key-value service and how its literal responses are read.
+#include <gtest/gtest.h>
+
+#include "state/client.h"
+#include "testing/scripted_service.h"
+
+namespace basaltchute::state {
+namespace {
+
+using namespace std::chrono_literals;
+using testing::finish;
+using Requests = std::vector<std::string>;
+
+class StateWireFormat : public ::testing::Test {
+  protected:
+    testing::World world;
+    testing::ScriptedService service{world};
+    settings::Settings settings = settingsFor(service.address());
+    Client client{world.loop, settings};
+
+    static settings::Settings settingsFor(const std::string& address) {
+        auto s = testing::someSettings();
+        s.state = address;
+        return s;
+    }
+    void TearDown() override { world.end(world.scope); }
+};
+
+TEST_F(StateWireFormat, TransactionRequestBytes) {
+    service.answer(200, R"({"epoch":12})");
+    Transaction transaction;
+    transaction.guards = {{"lead/holder", 7}, {"jobs/run-1", 0}};
+    transaction.puts = {{"jobs/run-1", R"({"a":[1,"x"]})", std::nullopt},
+                        {"lead/holder", R"({"b":2})", 42}};
+    transaction.deletes = {"gw/q/red/1"};
+    const auto committed = finish(world, client.commit(std::move(transaction), world.scope));
+    EXPECT_EQ(service.takeRequests(),
+              Requests{R"(POST /multi {"guards":[{"key":"lead/holder","stamp":7},)"
+                       R"({"key":"jobs/run-1","stamp":0}],"then":[)"
+                       R"({"put":"jobs/run-1","data":{"a":[1,"x"]}},)"
+                       R"({"put":"lead/holder","data":{"b":2},"hold":42},)"
+                       R"({"delete":"gw/q/red/1"}]})"});
+    EXPECT_EQ(committed.verdict, Verdict::ok);
+    EXPECT_EQ(committed.revision, 12U);
+    EXPECT_TRUE(committed.failed.empty());
+}
+
+TEST_F(StateWireFormat, TransactionConflictResponse) {
+    service.answer(409, R"({"failed":["jobs/run-1","lead/holder"],"epoch":13})");
+    const auto committed = finish(world, client.commit({}, world.scope));
+    EXPECT_EQ(service.takeRequests(), Requests{R"(POST /multi {"guards":[],"then":[]})"});
+    EXPECT_EQ(committed.verdict, Verdict::conflict);
+    EXPECT_EQ(committed.revision, 13U);
+    EXPECT_EQ(committed.failed, (std::vector<std::string>{"jobs/run-1", "lead/holder"}));
+}
+
+TEST_F(StateWireFormat, ResponseStatuses) {
+    const std::pair<int, Verdict> all[] = {{200, Verdict::ok},       {404, Verdict::notFound},
+                                           {409, Verdict::conflict}, {400, Verdict::malformed},
+                                           {429, Verdict::limited},  {503, Verdict::refused}};
+    for (const auto& [status, verdict] : all) {
+        service.answer(status, "{}");
+        EXPECT_EQ(finish(world, client.touch(1, 1s, world.scope)).verdict, verdict) << status;
+    }
+}
+
+TEST_F(StateWireFormat, GetRequestAndResponse) {
+    service.answer(200, R"({"key":"lead/token","data":{"token":9,"x":[1,2.5,null]},"stamp":4})");
+    const auto found = finish(world, client.get("lead/token", world.scope));
+    EXPECT_EQ(service.takeRequests(), Requests{"GET /keys/lead/token"});
+    EXPECT_EQ(found.verdict, Verdict::ok);
+    ASSERT_TRUE(found.item);
+    EXPECT_EQ(found.item->key, "lead/token");
+    EXPECT_EQ(found.item->data, R"({"token":9,"x":[1,2.5,null]})");
+    EXPECT_EQ(found.item->revision, 4U);
+    service.answer(404, R"({"epoch":21})");
+    const auto none = finish(world, client.get("lead/holder", world.scope));
+    EXPECT_EQ(service.takeRequests(), Requests{"GET /keys/lead/holder"});
+    EXPECT_EQ(none.verdict, Verdict::notFound);
+    EXPECT_EQ(none.at, 21U);
+}
+
+TEST_F(StateWireFormat, ListRequestsAndResponses) {
+    service.setScript([](const http::Request& request) {
+        if (request.target.find("&after=") == std::string::npos)
+            return http::Response{
+                200, R"({"pairs":[{"key":"jobs/a","data":{"n":1},"stamp":3},)"
+                     R"({"key":"jobs/b","data":{"n":2},"stamp":5}],"truncated":true,"epoch":20})"};
+        return http::Response{200, R"({"pairs":[{"key":"jobs/c","data":{"n":3},"stamp":21}],)"
+                                   R"("truncated":false,"epoch":22})"};
+    });
+    const auto listing = finish(world, client.list("jobs/", world.scope));
+    EXPECT_EQ(service.takeRequests(), (Requests{"GET /keys?under=jobs/&page=1000",
+                                                "GET /keys?under=jobs/&page=1000&after=jobs/b"}));
+    EXPECT_EQ(listing.verdict, Verdict::ok);
+    EXPECT_EQ(listing.at, 22U);
+    ASSERT_EQ(listing.items.size(), 3U);
+    EXPECT_EQ(listing.items[2].key, "jobs/c");
+    EXPECT_EQ(listing.items[2].data, R"({"n":3})");
+    EXPECT_EQ(listing.items[2].revision, 21U);
+}
+
+TEST_F(StateWireFormat, GrantTouchAndEndRequests) {
+    service.answer(200, R"({"hold":42})");
+    const auto granted = finish(world, client.grant(1200ms, world.scope));
+    EXPECT_EQ(service.takeRequests(), Requests{R"(POST /grants {"lifeMs":1200})"});
+    EXPECT_EQ(granted.verdict, Verdict::ok);
+    EXPECT_EQ(granted.id, 42U);
+    service.answer(200, "{}");
+    EXPECT_EQ(finish(world, client.touch(42, 1s, world.scope)).verdict, Verdict::ok);
+    EXPECT_EQ(service.takeRequests(), Requests{"POST /grants/42/touch"});
+    finish(world, client.drop(42, world.scope));
+    EXPECT_EQ(service.takeRequests(), Requests{"DELETE /grants/42"});
+}
+
+TEST_F(StateWireFormat, WatchRequest) {
+    service.answer(200, R"({"epoch":22})");
+    EXPECT_EQ(finish(world, client.watch("lead/", 12, 10s, world.scope)), Verdict::ok);
+    EXPECT_EQ(service.takeRequests(), Requests{"GET /watch?under=lead/&after=12&waitMs=10000"});
+}
+
+}  // namespace
+}  // namespace basaltchute::state
