--- /dev/null
+++ b/src/app/wire_format_test.cpp
@@ -0,0 +1,213 @@
+// The exact responses of a whole controller to users, workers and operators.
+#include <gtest/gtest.h>
+
+#include "app/controller.h"
+#include "testing/scripted_service.h"
+
+namespace basaltchute::app {
+namespace {
+
+using namespace std::chrono_literals;
+
+class ControllerWireFormat : public ::testing::Test {
+  protected:
+    testing::World world;
+    testing::StateService state{world};
+    testing::CloudService cloud{world};
+    testing::ScriptedService worker{world};
+    settings::Settings settings = testing::someSettings();
+    std::unique_ptr<Controller> controller;
+    std::unique_ptr<http::Client> client;
+    Scope users{world.loop};
+
+    void start() {
+        settings.listen = testing::freeAddress();
+        settings.meshListen = testing::freeAddress();
+        settings.state = state.address();
+        settings.cloud = cloud.address();
+        client = std::make_unique<http::Client>(world.loop, settings.listen);
+        controller =
+            std::make_unique<Controller>(world.loop, settings, settings::Operator{}, "process-1");
+        controller->start();
+        world.run(4s);
+    }
+    /// The status and the body of the response, with the seconds of Retry-After if there are any.
+    std::string ask(const std::string& method, const std::string& target,
+                    const std::string& body = "") {
+        http::Outcome outcome;
+        bool done = false;
+        users.spawn(send({method, target, body}, outcome, done));
+        world.until([&] { return done; });
+        const auto& response = outcome.response;
+        const std::string retry =
+            response.retryAfterS == 0 ? "" : " Retry-After " + std::to_string(response.retryAfterS);
+        return std::to_string(response.status) + retry + ' ' + response.body;
+    }
+    Task<void> send(http::Request request, http::Outcome& out, bool& done) {
+        out = co_await client->request(std::move(request), 5s, users);
+        done = true;
+    }
+    void TearDown() override {
+        bool done = false;
+        world.scope.spawn([](Controller& c, bool& flag) -> Task<void> {
+            co_await c.shutDown();
+            flag = true;
+        }(*controller, done));
+        world.until([&] { return done; });
+        world.end(users);
+        world.end(world.scope);
+    }
+};
+
+const std::string beatStart =
+    R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,)";
+
+TEST_F(ControllerWireFormat, UserErrorResponses) {
+    start();
+    EXPECT_EQ(ask("GET", "/nothing"), R"(404 {"error":"no such path"})");
+    EXPECT_EQ(ask("PUT", "/v1/jobs"), R"(405 {"error":"wrong method"})");
+    EXPECT_EQ(ask("GET", "/v1/jobs/run-1/withdraw"), R"(405 {"error":"wrong method"})");
+    EXPECT_EQ(ask("GET", "/v1/jobs/run.1"), R"(404 {"error":"not a job id"})");
+    EXPECT_EQ(ask("POST", "/v1/jobs/run.1/withdraw"), R"(400 {"error":"not a job id"})");
+    EXPECT_EQ(ask("GET", "/v1/jobs/run-9"), R"(404 {"error":"no such job"})");
+    EXPECT_EQ(ask("POST", "/v1/jobs/run-9/withdraw"), R"(404 {"error":"no such job"})");
+    EXPECT_EQ(ask("POST", "/v1/jobs", "{"), R"(400 {"error":"not JSON"})");
+    EXPECT_EQ(ask("POST", "/v1/jobs", "{}"), R"(400 {"error":"missing or invalid: ref"})");
+}
+
+TEST_F(ControllerWireFormat, RefusedSubmissionResponses) {
+    start();
+    const auto submit = [&](const std::string& from, const std::string& to) {
+        std::string body = testing::submission("run-1");
+        body.replace(body.find(from), from.size(), to);
+        return ask("POST", "/v1/jobs", body);
+    };
+    EXPECT_EQ(submit(R"("crew":"red")", R"("crew":"grey")"), R"(422 {"error":"unknown team"})");
+    EXPECT_EQ(submit(R"("cores":4.0)", R"("cores":99.0)"),
+              R"(422 {"error":"a task fits no allowed machine type"})");
+    EXPECT_EQ(submit(R"("red","shape":"array","rank":"normal","splits":2)",
+                     R"("blue","shape":"standing","rank":"normal","splits":9)"),
+              R"(422 {"error":"the job needs more than its team's limit"})");
+    EXPECT_EQ(submit(R"("together":false,"spread":false)", R"("together":true,"spread":true)"),
+              R"(422 {"error":"together and spread: its tasks have no place"})");
+    EXPECT_EQ(ask("POST", "/v1/jobs", testing::submission("run-1", R"(,"waitsOn":["run-8"])")),
+              R"(422 {"error":"waitsOn: run-8 was never accepted"})");
+    EXPECT_EQ(ask("POST", "/v1/jobs", testing::submission("run-1", R"(,"waitsOn":["run-1"])")),
+              R"(422 {"error":"waitsOn: run-1 is the job itself"})");
+}
+
+TEST_F(ControllerWireFormat, JobFromSubmissionToEnd) {
+    start();
+    const std::string pending = R"({"ref":"run-1","status":"pending","done":0,"running":0})";
+    EXPECT_EQ(ask("POST", "/v1/jobs", testing::submission("run-1")), "201 " + pending);
+    EXPECT_EQ(ask("POST", "/v1/jobs", testing::submission("run-1")), "200 " + pending);
+    EXPECT_EQ(ask("GET", "/v1/jobs/run-1"), "200 " + pending);
+    EXPECT_EQ(ask("POST", "/agent/beat", beatStart + R"("tick":1,"splits":[]})"),
+              R"(200 {"baton":1,"orders":[]})");
+    world.run(1s);
+    EXPECT_EQ(ask("POST", "/agent/beat", beatStart + R"("tick":2,"splits":[]})"),
+              R"(200 {"baton":1,"orders":[{"verb":"launch","split":"run-1/0","try":1},)"
+              R"({"verb":"launch","split":"run-1/1","try":1}]})");
+    const auto beat = [&](int sequence, const std::string& first, const std::string& second) {
+        return ask("POST", "/agent/beat",
+                   beatStart + R"("tick":)" + std::to_string(sequence) +
+                       R"(,"baton":1,"splits":[{"split":"run-1/0","try":1,)" + first +
+                       R"(},{"split":"run-1/1","try":1,)" + second + "}]}");
+    };
+    const std::string running = R"("status":"running")";
+    const std::string done = R"("status":"exited","cause":"done")";
+    EXPECT_EQ(beat(3, running, running), R"(200 {"baton":1,"orders":[]})");
+    EXPECT_EQ(ask("GET", "/v1/jobs/run-1"),
+              R"(200 {"ref":"run-1","status":"running","done":0,"running":2})");
+    beat(4, done, running);
+    EXPECT_EQ(ask("GET", "/v1/jobs/run-1"),
+              R"(200 {"ref":"run-1","status":"running","done":1,"running":1})");
+    beat(5, done, done);
+    world.run(2s);
+    EXPECT_EQ(ask("GET", "/v1/jobs/run-1"),
+              R"(200 {"ref":"run-1","status":"done","done":2,"running":0})");
+    EXPECT_EQ(ask("POST", "/v1/jobs/run-1/withdraw"), R"(200 {"ref":"run-1","status":"done"})");
+}
+
+TEST_F(ControllerWireFormat, WithdrawalResponses) {
+    start();
+    ask("POST", "/v1/jobs", testing::submission("run-2"));
+    EXPECT_EQ(ask("POST", "/v1/jobs/run-2/withdraw"),
+              R"(200 {"ref":"run-2","status":"cancelled"})");
+    EXPECT_EQ(ask("GET", "/v1/jobs/run-2"),
+              R"(200 {"ref":"run-2","status":"cancelled","done":0,"running":0})");
+}
+
+TEST_F(ControllerWireFormat, WorkerErrorResponses) {
+    start();
+    EXPECT_EQ(ask("POST", "/agent/beat", "{}"), R"(400 {"error":"malformed report"})");
+    EXPECT_EQ(ask("GET", "/agent/beat"), "405 {}");
+    EXPECT_EQ(ask("GET", "/up"), "200 {}");
+    EXPECT_EQ(ask("POST", "/up"), "405 {}");
+    EXPECT_EQ(ask("POST", "/status"), "405 {}");
+}
+
+TEST_F(ControllerWireFormat, ResponsesWithoutALeader) {
+    state.down = true;
+    start();
+    EXPECT_EQ(ask("GET", "/v1/jobs/run-1"),
+              R"(503 Retry-After 1 {"error":"no leader at the moment"})");
+    EXPECT_EQ(ask("POST", "/agent/beat", beatStart + R"("tick":1,"splits":[]})"),
+              R"(503 Retry-After 1 {"error":"no leader at the moment"})");
+    EXPECT_EQ(ask("GET", "/status"), R"(200 {"node":"rig-0","leading":false,"connections":1})");
+}
+
+TEST_F(ControllerWireFormat, DirectCommandRequest) {
+    start();
+    const auto reportOf = [&](const std::string& tick, const std::string& splits) {
+        return R"({"host":"n-1","addr":")" + worker.address() +
+               R"(","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" + tick +
+               R"(,"baton":1,"splits":[)" + splits + "]}";
+    };
+    worker.answer(200, reportOf("2", R"({"split":"run-1/0","try":1,"status":"running"},)"
+                                     R"({"split":"run-1/1","try":1,"status":"running"})"));
+    ask("POST", "/agent/beat", reportOf("1", ""));
+    ask("POST", "/v1/jobs", testing::submission("run-1"));
+    world.run(500ms);
+    EXPECT_EQ(worker.takeRequests(),
+              std::vector<std::string>{R"(POST /commands {"baton":1,"stint":1,"orders":[)"
+                                       R"({"verb":"launch","split":"run-1/0","try":1},)"
+                                       R"({"verb":"launch","split":"run-1/1","try":1}]})"});
+    EXPECT_EQ(ask("GET", "/v1/jobs/run-1"),
+              R"(200 {"ref":"run-1","status":"running","done":0,"running":2})");
+}
+
+TEST_F(ControllerWireFormat, StatusPageOfTheLeader) {
+    start();
+    ask("POST", "/v1/jobs", testing::submission("run-1"));
+    ask("POST", "/v1/jobs", testing::submission("run-2", R"(,"waitsOn":["run-1"])"));
+    ask("POST", "/agent/beat", beatStart + R"("tick":1,"splits":[]})");
+    world.run(1s);
+    EXPECT_EQ(ask("GET", "/status"),
+              R"(200 {"node":"rig-0","leading":true,"leader":"rig-0","token":1,"connections":1,)"
+              R"("jobs":2,"open":1,"unwritten":0,"held":1,)"
+              R"("waiting":[{"ref":"run-2","for":["run-1"],"needs":1}],)"
+              R"("cells":{"box":{"freeZones":0,"freeMachines":1,"freeSlots":0}},)"
+              R"("machines":[{"name":"n-1","type":"box","zone":"a","spot":false,"up":true,)"
+              R"("sick":false,"tasks":2,"session":1}]})");
+}
+
+TEST_F(ControllerWireFormat, StoredRecordsOfAJob) {
+    start();
+    ask("POST", "/v1/jobs", testing::submission("run-1"));
+    std::string all;
+    for (const auto& [key, stored] : state.keys) all += key + ' ' + stored.data + '\n';
+    EXPECT_EQ(all,
+              R"(jobs/run-1 {"spec":{"ref":"run-1","category":"c","crew":"red","shape":"array",)"
+              R"("rank":"normal","splits":2,"cores":4.0,"gpus":0.0,"ramGb":4.0,"build":"img",)"
+              R"("sizeGb":1.0,"together":false,"spread":false,"loaners":true,"parS":10.0,)"
+              R"("savepointS":0.0,"flushS":0.0},"at":3600004000,"per":614,"done":[],"bound":[]})"
+              "\n"
+              R"(lead/holder {"node":"rig-0","incarnation":"process-1","token":1,"grant":1})"
+              "\n"
+              R"(lead/token {"token":1,"node":"rig-0"})"
+              "\n");
+}
+
+}  // namespace
+}  // namespace basaltchute::app
