--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -165,9 +165,11 @@
                      });
                  return term_->delegate(q, allKnow);
              }}),
-      server_(loop, settings_.listen, http::ServerLimits{settings_.servedSockets()},
-              [this](http::Request r) { return handle(std::move(r)); }),
+      server_(
+          loop, settings_.listen, http::ServerLimits{settings_.servedSockets()},
+          [this](http::Request r) { return handle(std::move(r)); }, classify),
       holder_(delegation::Bounds::of(settings_), settings_.zone, loop.now()),
+      relays_(loop, settings_.directSockets()),
       leaderSeen_(loop.now()) {
     if (settings_.peers.empty()) return;
     state_.setRelay([this](http::Request r, Duration patience, Scope& scope) {
@@ -191,6 +193,10 @@
     loop_.stop();
 }
 
+http::ConnectionClass Controller::classify(const http::Request& r) {
+    return r.target == beatPath ? http::ConnectionClass::agent : http::ConnectionClass::client;
+}
+
 Task<http::Response> Controller::handle(http::Request r) {
     if (r.target == "/up") {
         if (r.method != "GET") co_return plain(405, "{}");
@@ -280,6 +286,9 @@
 
 Task<http::Response> Controller::workerFor(http::Request r, std::string worker) {
     if (r.target != "/commands" && r.target != "/inspect") co_return plain(400, "{}");
+    // Not 502: that would count against the machine.
+    const auto permit = relays_.tryAcquire();
+    if (!permit) co_return plain(500, R"({"error":"no socket to spare"})");
     http::Client client(loop_, worker, 0);
     const TimePoint since = loop_.now();
     auto o = co_await client.request(std::move(r), workerPatience, scope_);
--- a/src/app/controller.h
+++ b/src/app/controller.h
@@ -7,6 +7,7 @@
 #include "http/server.h"
 #include "jobs/codec.h"
 #include "mesh/mesh.h"
+#include "runtime/semaphore.h"
 
 namespace basaltchute::app {
 
@@ -22,6 +23,8 @@
 
   private:
     Task<http::Response> handle(http::Request request);
+    /// Workers send heartbeats; whoever asks for anything else counts with the users.
+    static http::ConnectionClass classify(const http::Request& request);
     Task<http::Response> users(http::Request request);
     Task<http::Response> stateFor(http::Request request);
     Task<http::Response> workerFor(http::Request request, std::string worker);
@@ -59,6 +62,7 @@
     http::Server server_;
     std::shared_ptr<Term> term_;
     delegation::Holder holder_;
+    Semaphore relays_;                 // commands to workers that peers have this node pass on
     bool lentOut_ = false;             // answering by a delegation, as last logged
     std::set<std::string> idlePeers_;  // said since this node started that they do not lead
     /// Questions of users that other nodes are to answer, by job, and the newest word about it that
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -4,8 +4,43 @@
 
 namespace basaltchute::http {
 
+using namespace std::chrono_literals;
+
+namespace {
+/// A new connection waits so long for room before it is refused; load balancers wait for 500 ms.
+constexpr Duration admissionPatience = 250ms;
+/// Requests that have arrived are read within that: a connection without one is shed after it.
+constexpr Duration firstRequestPatience = 50ms;
+/// A first request waits so long for others of its class to be answered. Longer than a heartbeat
+/// takes, or a crowd of agents would be refused and come again all at once; no longer, since new
+/// connections are not taken while many wait.
+constexpr Duration sharePatience = 10ms;
+
+Response overShare() {
+    Response response{503, R"({"error":"no connection to spare"})"};
+    response.retryAfterS = 1;
+    response.keepAlive = false;
+    return response;
+}
+}  // namespace
+
 Server::Server(Loop& loop, const std::string& address, ServerLimits limits, Handler handler)
-    : loop_(loop), listener_(loop, address), limits_(limits), handler_(std::move(handler)) {}
+    : loop_(loop),
+      listener_(loop, address),
+      limits_(limits),
+      handler_(std::move(handler)),
+      budget_(ConnectionShares::undivided(limits.connections)),
+      changed_(loop) {}
+
+Server::Server(Loop& loop, const std::string& address, ServerLimits limits, Handler handler,
+               Classifier classifier)
+    : loop_(loop),
+      listener_(loop, address),
+      limits_(limits),
+      handler_(std::move(handler)),
+      classifier_(std::move(classifier)),
+      budget_(ConnectionShares::divided(limits.connections)),
+      changed_(loop) {}
 
 void Server::start(Scope& scope) {
     scope.spawn(acceptAll(scope));
@@ -15,17 +50,57 @@
     while (!scope.cancelled()) {
         auto socket = co_await listener_.accept(scope);
         if (!socket) break;
-        if (open_.size() >= limits_.connections) {
-            const auto idle =
-                std::find_if(open_.begin(), open_.end(), [](const auto& c) { return c->idle; });
-            if (idle == open_.end()) continue;  // everyone is being served: refuse this one
-            (*idle)->scope.cancel();
-        }
-        open_.push_back(std::make_unique<Connection>(loop_));
-        open_.back()->socket = std::move(socket);
-        scope.spawn(serve(std::prev(open_.end())));
+        const bool room = co_await makeRoom(scope);
+        if (room) open(std::move(socket), scope);
     }
-    for (auto& c : open_) c->scope.cancel();
+    for (auto& connections : open_)
+        for (auto& c : connections) c->scope.cancel();
+}
+
+Task<bool> Server::makeRoom(Scope& scope) {
+    const TimePoint since = loop_.now();
+    while (!budget_.admits()) {
+        const Duration waited = loop_.now() - since;
+        if (scope.cancelled() || waited >= admissionPatience) co_return false;
+        // A shed connection holds its socket until its routine has ended: one at a time, or a burst
+        // of new ones would be taken beyond the limit.
+        if (shedding_ == 0) shedOne(waited >= firstRequestPatience);
+        const bool early = waited < firstRequestPatience;
+        const TimePoint until = since + (early ? firstRequestPatience : admissionPatience);
+        co_await loop_.wait(changed_, until, scope);
+    }
+    co_return !scope.cancelled();
+}
+
+void Server::shedOne(bool mayShedUnclassified) {
+    using enum ConnectionClass;
+    if (budget_.awaitsRequests()) {
+        if (mayShedUnclassified) shedIdle(unclassified);
+        return;
+    }
+    if (shedIdle(agent) || shedIdle(client)) return;
+    if (mayShedUnclassified) shedIdle(unclassified);
+}
+
+bool Server::shedIdle(ConnectionClass of) {
+    auto& connections = all(of);
+    const auto found = std::find_if(connections.begin(), connections.end(),
+                                    [](const auto& c) { return c->idle && !c->shed; });
+    if (found == connections.end()) return false;
+    ++shedding_;
+    (*found)->shed = true;
+    (*found)->scope.cancel();
+    return true;
+}
+
+void Server::open(std::unique_ptr<Socket> socket, Scope& scope) {
+    auto connection = std::make_unique<Connection>(loop_);
+    connection->socket = std::move(socket);
+    if (!classifier_) connection->kind = ConnectionClass::client;
+    budget_.opened(connection->kind);
+    auto& connections = all(connection->kind);
+    connections.push_back(std::move(connection));
+    scope.spawn(serve(std::prev(connections.end())));
 }
 
 Task<void> Server::serve(Slot slot) {
@@ -47,9 +122,7 @@
         if (state == Parser::State::complete) {
             c.idle = false;
             Request request = parser.takeRequest();
-            const bool keep = request.keepAlive;
-            response = co_await handler_(std::move(request));
-            response.keepAlive = response.keepAlive && keep;
+            response = co_await respond(slot, std::move(request));
         } else {
             response.status = state == Parser::State::bodyTooLarge ? 413 : 400;
             response.body = R"({"error":"not a request this server takes"})";
@@ -59,9 +132,61 @@
         const bool sent = co_await c.socket->write(text, loop_.now() + limits_.message, c.scope);
         if (!sent || !response.keepAlive) break;
         until = loop_.now() + limits_.idle;
-        open_.splice(open_.end(), open_, slot);  // the most recently used goes last
+        auto& connections = all(c.kind);
+        connections.splice(connections.end(), connections, slot);  // the most recently used: last
+        c.idle = true;
+        changed_.notify();
+    }
+    close(slot);
+}
+
+Task<Response> Server::respond(Slot slot, Request request) {
+    Connection& c = **slot;
+    if (c.kind == ConnectionClass::unclassified) {
+        const ConnectionClass kind = classifier_(request);
+        const bool room = co_await shareAllows(kind, c.scope);
+        if (!room) co_return overShare();
+        classify(slot, kind);
+    }
+    const bool keep = request.keepAlive;
+    Response response = co_await handler_(std::move(request));
+    response.keepAlive = response.keepAlive && keep && keeps(c);
+    co_return response;
+}
+
+Task<bool> Server::shareAllows(ConnectionClass kind, Scope& scope) {
+    const TimePoint until = loop_.now() + sharePatience;
+    while (!budget_.hasRoom(kind) && !shedIdle(kind)) {
+        if (loop_.now() >= until || scope.cancelled()) co_return false;
+        co_await loop_.wait(changed_, until, scope);
     }
-    open_.erase(slot);
+    co_return true;
+}
+
+void Server::classify(Slot slot, ConnectionClass kind) {
+    auto& from = all(ConnectionClass::unclassified);
+    auto& to = all(kind);
+    to.splice(to.end(), from, slot);
+    (*slot)->kind = kind;
+    budget_.classified(kind);
+    changed_.notify();
+}
+
+bool Server::keeps(Connection& connection) {
+    if (connection.kind != ConnectionClass::agent) return true;
+    const bool keep = budget_.keepsAgent(connection.keptAgent);
+    if (keep && !std::exchange(connection.keptAgent, true)) budget_.keptAgent();
+    return keep;
+}
+
+void Server::close(Slot slot) {
+    Connection& c = **slot;
+    const ConnectionClass kind = c.kind;
+    if (c.shed) --shedding_;
+    if (c.keptAgent) budget_.droppedKeptAgent();
+    all(kind).erase(slot);
+    budget_.closed(kind);
+    changed_.notify();
 }
 
 }  // namespace basaltchute::http
--- /dev/null
+++ b/src/http/server_test.cpp
@@ -0,0 +1,186 @@
+#include "http/server.h"
+
+#include <gtest/gtest.h>
+
+#include "http/client.h"
+#include "lab/network.h"
+
+// A server with few sockets and many agents, on a simulated network: no descriptor of the system
+// is used, and the process gets no more of them than it is given.
+
+namespace basaltchute::http {
+namespace {
+
+using namespace std::chrono_literals;
+using lab::Machine;
+using lab::Network;
+using lab::Timeline;
+
+const std::string serverAddress = "10.9.0.1:80";
+const std::string heartbeatPath = "/heartbeat";
+constexpr std::size_t processSockets = 1000;
+constexpr std::size_t servedConnections = 584;
+constexpr Duration heartbeatInterval = 6s, lease = 31s, agentPatience = 4s, userPatience = 5s;
+
+/// What agents and users met.
+struct Outcomes {
+    std::size_t heartbeats = 0, missedHeartbeats = 0, lostLeases = 0;
+    std::size_t answered = 0, failed = 0, late = 0;
+};
+
+/// A server, `agents` that send heartbeats to it alone, users, and a load balancer's probe.
+class CrowdedServer {
+  public:
+    CrowdedServer(std::size_t agents, std::size_t users) {
+        server_ = std::make_unique<Server>(serverHost_.loop(), serverAddress,
+                                           ServerLimits{servedConnections}, handler(), classify);
+        server_->start(serverScope_);
+        for (std::size_t i = 0; i < clientMachines; ++i) {
+            clientHosts_.push_back(std::make_unique<Machine>(
+                network_, "clients", "10.9.1." + std::to_string(i + 1), "a", "x", 0, 0ms));
+            clientScopes_.push_back(std::make_unique<Scope>(clientHosts_.back()->boot()));
+        }
+        for (std::size_t i = 0; i < agents; ++i) spawn(i, agent(i % clientMachines));
+        for (std::size_t i = 0; i < users; ++i) spawn(i, user(i % clientMachines, i % 2 == 0));
+        spawn(0, user(0, false));
+    }
+    ~CrowdedServer() {
+        for (std::size_t i = 0; i < clientMachines; ++i) clientHosts_[i]->unwind(*clientScopes_[i]);
+        serverHost_.unwind(serverScope_);
+        server_.reset();
+    }
+    CrowdedServer(const CrowdedServer&) = delete;
+    CrowdedServer& operator=(const CrowdedServer&) = delete;
+
+    void pass(Duration span) {
+        const TimePoint until = time_.now() + span;
+        while (time_.now() < until) {
+            network_.run(std::min(until, time_.now() + 10ms));
+            mostConnections = std::max(mostConnections, server_->connections());
+        }
+    }
+    void freeze(Duration span) { serverHost_.freeze(span); }
+
+    Outcomes seen;
+    Duration heartbeatTakes = 2ms;  // until the handler answers one
+    std::size_t mostConnections = 0;
+
+  private:
+    static constexpr std::size_t clientMachines = 20;
+
+    static ConnectionClass classify(const Request& request) {
+        return request.target == heartbeatPath ? ConnectionClass::agent : ConnectionClass::client;
+    }
+
+    Server::Handler handler() {
+        return [this](Request request) -> Task<Response> {
+            const bool heartbeat = request.target == heartbeatPath;
+            co_await serverHost_.loop().sleep(heartbeat ? heartbeatTakes : Duration(1ms),
+                                              serverScope_);
+            co_return Response{200, "{}"};
+        };
+    }
+    void spawn(std::size_t i, Task<void> task) {
+        clientScopes_[i % clientMachines]->spawn(std::move(task));
+    }
+    Task<void> agent(std::size_t at) {
+        Loop& loop = clientHosts_[at]->loop();
+        Scope& scope = *clientScopes_[at];
+        co_await loop.sleep(fromSeconds(time_.between(0, toSeconds(heartbeatInterval))), scope);
+        Client client(loop, serverAddress, 1);
+        TimePoint leaseEnd = loop.now() + lease;
+        while (!scope.cancelled()) {
+            const TimePoint sentAt = loop.now();
+            Request request{"POST", heartbeatPath, "{}"};
+            const auto outcome = co_await client.request(std::move(request), agentPatience, scope);
+            if (scope.cancelled()) co_return;
+            const bool renewed = outcome.answered && outcome.response.status == 200;
+            ++(renewed ? seen.heartbeats : seen.missedHeartbeats);
+            if (loop.now() > leaseEnd) {
+                ++seen.lostLeases;
+                leaseEnd = loop.now() + lease;
+            }
+            if (renewed) leaseEnd = std::max(leaseEnd, sentAt + lease);
+            const Duration next =
+                std::chrono::duration_cast<Duration>(heartbeatInterval * time_.between(0.75, 1.25));
+            co_await loop.sleep(renewed ? next - (loop.now() - sentAt) : Duration(1s), scope);
+        }
+    }
+    /// Asks each second, over a kept connection or a new one each time.
+    Task<void> user(std::size_t at, bool keeps) {
+        Loop& loop = clientHosts_[at]->loop();
+        Scope& scope = *clientScopes_[at];
+        co_await loop.sleep(fromSeconds(time_.between(0, 1)), scope);
+        Client client(loop, serverAddress, keeps ? 1 : 0);
+        while (!scope.cancelled()) {
+            const TimePoint sentAt = loop.now();
+            Request request{"GET", "/up", ""};
+            const auto outcome = co_await client.request(std::move(request), userPatience, scope);
+            if (scope.cancelled()) co_return;
+            const bool answered = outcome.answered && outcome.response.status == 200;
+            ++(answered ? seen.answered : seen.failed);
+            if (loop.now() - sentAt > 1s) ++seen.late;
+            co_await loop.sleep(1s, scope);
+        }
+    }
+
+    Timeline time_{7};
+    Network network_{time_};
+    Machine serverHost_{network_, "server", "10.9.0.1", "a", "x", 0, 0ms};
+    Scope serverScope_{serverHost_.boot(processSockets)};
+    std::unique_ptr<Server> server_;
+    std::vector<std::unique_ptr<Machine>> clientHosts_;
+    std::vector<std::unique_ptr<Scope>> clientScopes_;
+};
+
+class ServerWithAgents : public ::testing::TestWithParam<std::size_t> {};
+INSTANTIATE_TEST_SUITE_P(Agents, ServerWithAgents, ::testing::Values(4000, 10'000));
+
+TEST_P(ServerWithAgents, OnAThousandSocketsServesUsersAndCostsNoLease) {
+    // One controller was left with the heartbeats of 4,113 machines: their kept connections took
+    // all its 3,897 sockets, and neither users nor the load balancer's probes got one.
+    CrowdedServer crowd(GetParam(), 60);
+    crowd.pass(20s);
+    crowd.seen = {};
+    crowd.pass(40s);
+    EXPECT_EQ(crowd.seen.failed, 0U);
+    EXPECT_EQ(crowd.seen.late, 0U);
+    EXPECT_GT(crowd.seen.answered, 2000U);
+    EXPECT_EQ(crowd.seen.lostLeases, 0U);
+    EXPECT_GT(crowd.seen.heartbeats, GetParam() * 6);
+    EXPECT_LT(crowd.seen.missedHeartbeats, crowd.seen.heartbeats / 1000);
+    EXPECT_LE(crowd.mostConnections, servedConnections);
+}
+
+TEST_P(ServerWithAgents, ServesUsersWhileEveryHeartbeatTakesSeconds) {
+    // As at a follower that passes them on to a leader that stands still.
+    CrowdedServer crowd(GetParam(), 60);
+    crowd.pass(10s);
+    crowd.seen = {};
+    crowd.heartbeatTakes = 3s;
+    crowd.pass(10s);
+    EXPECT_EQ(crowd.seen.failed, 0U);
+    EXPECT_EQ(crowd.seen.late, 0U);
+    EXPECT_GT(crowd.seen.answered, 400U);
+    crowd.heartbeatTakes = 2ms;
+    crowd.pass(31s);
+    EXPECT_EQ(crowd.seen.lostLeases, 0U);
+    EXPECT_LE(crowd.mostConnections, servedConnections);
+}
+
+TEST_P(ServerWithAgents, TakesInTheirCrowdOnceItRunsAgain) {
+    CrowdedServer crowd(GetParam(), 60);
+    crowd.pass(10s);
+    crowd.freeze(15s);
+    crowd.pass(18s);
+    crowd.seen = {};
+    crowd.pass(20s);
+    EXPECT_EQ(crowd.seen.failed, 0U);
+    EXPECT_EQ(crowd.seen.late, 0U);
+    EXPECT_EQ(crowd.seen.lostLeases, 0U);
+    EXPECT_GT(crowd.seen.heartbeats, GetParam() * 3);
+    EXPECT_LE(crowd.mostConnections, servedConnections);
+}
+
+}  // namespace
+}  // namespace basaltchute::http
--- /dev/null
+++ b/src/lab/crowd_test.cpp
@@ -0,0 +1,68 @@
+#include "lab/lab_fixture.h"
+
+// One controller with the heartbeats of more machines than it has sockets.
+
+namespace basaltchute::lab {
+namespace {
+
+constexpr double settledS = 45;
+
+/// 4,000 machines that each run one long task, at a single controller with 1,000 sockets.
+Scenario fourThousandMachines() {
+    Scenario s = scenario("one-site");
+    s.swarm = {};
+    s.seconds = 100;
+    SiteTerms& site = s.sites.front();
+    site.nodes = 1;
+    site.sockets = 1000;
+    site.reportS = 6;
+    site.leaseS = 31;
+    site.state.writeRps = 400;
+    site.state.rps = 800;
+    TypeTerms& type = site.types.front();
+    type.up = 2000;
+    type.ordinary = 2000;
+    type.spot = 0;
+    ClassTerms whole = site.classes.back();
+    whole.cores = type.cores;
+    whole.ramGb = type.ramGb / 2;
+    whole.perMinute = 0;
+    whole.initial = 10;
+    whole.tasks = {400, 400};
+    whole.runS = {900, 900};
+    whole.deadlineFactor = whole.withdrawn = 0;
+    whole.spot = false;
+    ClassTerms small = site.classes.front();
+    small.initial = 0;
+    small.perMinute = 120;
+    site.classes = {whole, small};
+    return s;
+}
+
+TEST_F(LabTest, ASingleControllerWithAThousandSocketsServesUsersBesideFourThousandMachines) {
+    World world(fourThousandMachines(), 21);
+    world.run();
+    std::set<std::size_t> answered;
+    std::size_t asked = 0, failed = 0, on = 0, off = 0;
+    const auto& facts = world.history().facts;
+    for (const auto& f : facts)
+        if (f.kind == Fact::Kind::told && f.asked) answered.insert(*f.asked);
+    for (std::size_t i = 0; i < facts.size(); ++i) {
+        const Fact& f = facts[i];
+        on += f.kind == Fact::Kind::on ? 1 : 0;
+        off += f.kind == Fact::Kind::off ? 1 : 0;
+        if (f.kind != Fact::Kind::asked || f.at < settledS || f.at > 90) continue;
+        ++asked;
+        if (!answered.contains(i)) ++failed;
+    }
+    EXPECT_EQ(failed, 0U) << "of " << asked;
+    EXPECT_GT(asked, 100U);
+    EXPECT_GT(on, 3000U);
+    std::cout << "asked " << asked << " failed " << failed << " on " << on << " off " << off
+              << '\n';
+    const Verdict verdict = world.verdict();
+    for (const auto& v : verdict.violations) ADD_FAILURE() << v.rule << ": " << v.what;
+}
+
+}  // namespace
+}  // namespace basaltchute::lab
--- a/src/lab/network.cpp
+++ b/src/lab/network.cpp
@@ -67,11 +67,8 @@
         errno = EMFILE;
         return -1;
     }
-    int fd = 3;  // the lowest that is free, as the kernel does
-    for (const auto& [used, e] : open_) {
-        if (used != fd) break;
-        ++fd;
-    }
+    // The lowest that is free, as the kernel does.
+    const int fd = closed_.empty() ? next_++ : closed_.extract(closed_.begin()).value();
     end->machine = &machine_;
     end->fd = fd;
     open_[fd] = std::move(end);
@@ -196,6 +193,7 @@
     end->fd = -1;
     resetBacklog(*end);
     open_.erase(fd);
+    closed_.insert(fd);
 }
 int SimulatedHost::error(int fd) const {
     return open_.at(fd)->error;
--- a/src/lab/network.h
+++ b/src/lab/network.h
@@ -113,6 +113,8 @@
     std::size_t most_;
     bool dead_ = false;
     std::map<int, std::shared_ptr<Endpoint>> open_;
+    int next_ = 3;          // the lowest descriptor that was never open
+    std::set<int> closed_;  // below it, and free again
     std::set<int> ready_;
 };
 
--- a/src/runtime/host.cpp
+++ b/src/runtime/host.cpp
@@ -13,6 +13,9 @@
 namespace basaltchute {
 
 namespace {
+/// Connections that wait to be accepted: as many as thousands of workers open within a round trip.
+constexpr int acceptBacklog = 4096;
+
 void sendAtOnce(int fd) {
     const int one = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
@@ -46,7 +49,7 @@
     const int one = 1;
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
     if (fd < 0 || ::bind(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0 ||
-        ::listen(fd, 512) != 0) {
+        ::listen(fd, acceptBacklog) != 0) {
         const int why = errno;
         if (fd >= 0) ::close(fd);
         throw std::system_error(why, std::generic_category(), "listen");
--- /dev/null
+++ b/src/runtime/semaphore_test.cpp
@@ -0,0 +1,66 @@
+#include "runtime/semaphore.h"
+
+#include <gtest/gtest.h>
+
+#include <vector>
+
+#include "testing/world.h"
+
+namespace basaltchute {
+namespace {
+
+using namespace std::chrono_literals;
+
+struct Worker {
+    testing::World& world;
+    Semaphore& semaphore;
+    std::vector<int>& done;
+    Task<void> work(int number, Duration takes, Duration patience) {
+        const auto permit = co_await semaphore.acquire(world.loop.now() + patience, world.scope);
+        if (permit) co_await world.loop.sleep(takes, world.scope);
+        done.push_back(permit ? number : -number);
+    }
+};
+
+TEST(Semaphore, LetsSoManyInAndTheOthersInTheirOrder) {
+    testing::World world;
+    Semaphore semaphore(world.loop, 2);
+    std::vector<int> done;
+    Worker worker{world, semaphore, done};
+    for (int i = 1; i <= 6; ++i) world.scope.spawn(worker.work(i, 1s, 10s));
+    EXPECT_FALSE(semaphore.tryAcquire());
+    world.run(1500ms);
+    EXPECT_EQ(done, (std::vector<int>{1, 2}));
+    world.run(5s);
+    EXPECT_EQ(done, (std::vector<int>{1, 2, 3, 4, 5, 6}));
+    EXPECT_TRUE(semaphore.tryAcquire()) << "all are given back";
+    world.end(world.scope);
+}
+
+TEST(Semaphore, WhoeverHasWaitedInVainTakesNoPermit) {
+    testing::World world;
+    Semaphore semaphore(world.loop, 1);
+    std::vector<int> done;
+    Worker worker{world, semaphore, done};
+    world.scope.spawn(worker.work(1, 3s, 1s));
+    world.scope.spawn(worker.work(2, 1s, 1s));
+    world.scope.spawn(worker.work(3, 1s, 10s));
+    world.run(6s);
+    EXPECT_EQ(done, (std::vector<int>{-2, 1, 3}));
+    EXPECT_TRUE(semaphore.tryAcquire());
+    world.end(world.scope);
+}
+
+TEST(Semaphore, ThoseThatWaitEndWithTheirScope) {
+    testing::World world;
+    Semaphore semaphore(world.loop, 1);
+    const auto held = semaphore.tryAcquire();
+    std::vector<int> done;
+    Worker worker{world, semaphore, done};
+    world.scope.spawn(worker.work(1, 1s, 1h));
+    world.end(world.scope);
+    EXPECT_EQ(done, (std::vector<int>{-1}));
+}
+
+}  // namespace
+}  // namespace basaltchute
--- a/src/workers/reach.cpp
+++ b/src/workers/reach.cpp
@@ -24,11 +24,19 @@
     return way != ways_.end() && way->second.failed.size() >= cutAfter && !works(way->second);
 }
 
-Task<http::Outcome> Reach::direct(const Target& target, http::Request request, Duration patience,
-                                  Scope& scope) {
+Task<Reach::Attempt> Reach::direct(const Target& target, http::Request request, Duration patience,
+                                   Scope& scope) {
+    Attempt out;
+    // Without a bound, a leader that has to speak to thousands of machines at once takes every
+    // socket of its process, and what then fails looks like the machines' fault.
+    const auto permit = co_await underWay_.acquire(loop_.now() + patience, scope);
+    if (!permit) co_return out;
+    out.made = true;
+    out.since = loop_.now();
     const auto client = direct_.to(target.machine, target.address);
-    auto outcome = co_await client->request(std::move(request), patience, scope);
-    if (scope.cancelled()) co_return outcome;
+    out.outcome = co_await client->request(std::move(request), patience, scope);
+    if (scope.cancelled()) co_return out;
+    const http::Outcome& outcome = out.outcome;
     Way& way = ways_[target.zone];
     if (outcome.answered) {
         way.workedAt = loop_.now();
@@ -42,7 +50,7 @@
         spdlog::info("workers in {} are reached {}", target.zone,
                      now ? "through other nodes: they do not answer this one" : "directly again");
     }
-    co_return outcome;
+    co_return out;
 }
 
 void Reach::heardOf(Way& way, const Target& target) {
@@ -58,8 +66,8 @@
     for (const Target& t : some) {
         http::Request question{"GET", "/inspect", ""};
         if (!cut(t.zone)) {
-            const auto outcome = co_await direct(t, std::move(question), probePatience, scope);
-            if (outcome.answered) co_return true;
+            const auto tried = co_await direct(t, std::move(question), probePatience, scope);
+            if (tried.outcome.answered) co_return true;
         } else {
             Target copy = t;
             const auto over =
@@ -80,12 +88,13 @@
                                     bool insist, Scope& scope) {
     Reached out;
     if (!cut(target.zone)) {
-        const TimePoint sent = loop_.now();
         http::Request copy = request;
         // A question is answered within milliseconds, and asked again if it is not.
         const Duration own = insist ? std::min(patience, questionPatience) : patience;
-        out.outcome = co_await direct(target, std::move(copy), own, scope);
-        if (out.outcome.answered || scope.cancelled()) co_return out;
+        auto tried = co_await direct(target, std::move(copy), own, scope);
+        const TimePoint sent = tried.since;
+        out.outcome = std::move(tried.outcome);
+        if (!tried.made || out.outcome.answered || scope.cancelled()) co_return out;
         out.stray = out.outcome.sent;
         // Where others answer, the fault is the machine's; a detour would only find it out later.
         const Way& way = ways_[target.zone];
--- a/src/workers/reach.h
+++ b/src/workers/reach.h
@@ -5,6 +5,7 @@
 #include <set>
 #include <string>
 
+#include "runtime/semaphore.h"
 #include "workers/connections.h"
 
 namespace basaltchute::workers {
@@ -24,8 +25,13 @@
     };
     /// Asks a peer, one in that zone if there is one, to pass the request on.
     using Detour = std::function<Task<Detoured>(Target, http::Request, Duration, Scope&)>;
+    /// `sockets`: the most that direct commands and questions hold at once, open between them or
+    /// not. Those beyond wait for one.
     Reach(Loop& loop, std::size_t sockets, Detour detour)
-        : loop_(loop), direct_(loop, sockets), detour_(std::move(detour)) {}
+        : loop_(loop),
+          direct_(loop, sockets),
+          underWay_(loop, sockets),
+          detour_(std::move(detour)) {}
 
     struct Reached {
         http::Outcome outcome;
@@ -36,7 +42,8 @@
         bool proof = false;
     };
     /// `insist`: over a peer too, even if only this machine is not reached, unless others in its
-    /// zone have just been.
+    /// zone have just been. If no socket becomes free within `patience`, nothing was sent and
+    /// nothing is said about the machine: what it is to do goes with its next heartbeat's response.
     Task<Reached> request(Target target, http::Request request, Duration patience, bool insist,
                           Scope& scope);
     /// Whether this node's own way to the zone's workers seems to be cut.
@@ -54,13 +61,20 @@
     /// Whether some other machine in the zone answers, by this node's own way or over a peer.
     Task<bool> othersAnswer(Target target, Scope& scope);
     void heardOf(Way& way, const Target& target);
-    Task<http::Outcome> direct(const Target& target, http::Request request, Duration patience,
-                               Scope& scope);
+    /// One request by this node's own way.
+    struct Attempt {
+        bool made = false;  // not for lack of a socket
+        TimePoint since{};  // when it had one
+        http::Outcome outcome;
+    };
+    Task<Attempt> direct(const Target& target, http::Request request, Duration patience,
+                         Scope& scope);
     /// Finds out whether the own way works again, with a question that no order depends on.
     Task<void> probe(Target target, Scope& scope);
 
     Loop& loop_;
     Connections direct_;
+    Semaphore underWay_;
     Detour detour_;
     std::map<std::string, Way> ways_;
 };
