--- a/src/app/controller.cpp
+++ b/src/app/controller.cpp
@@ -71,6 +71,22 @@
     o.closeArray();
 }
 
+/// A JSON array with each machine on a line of its own: no line of a response may be longer than
+/// 64 KiB, however many machines there are.
+std::string machineList(const scheduler::Cluster& c) {
+    std::string list;
+    for (const auto& m : c.machines()) {
+        if (m.presence == workers::Presence::gone) continue;
+        json::Out o;
+        o.open().field("name", m.name).field("type", m.type).field("zone", m.zone);
+        o.field("spot", m.spot).field("up", m.up()).field("sick", m.sick);
+        o.field("tasks", static_cast<std::uint64_t>(m.charges.size()));
+        o.field("session", m.session).close();
+        list += (list.empty() ? "" : ",\n") + o.text();
+    }
+    return '[' + list + ']';
+}
+
 }  // namespace
 
 Controller::Controller(Loop& loop, settings::Settings settings, settings::Operator operatorSettings,
@@ -465,15 +481,7 @@
             o.field("freeSlots", static_cast<std::uint64_t>(pool.freeCells(cells::Level::slot)));
             o.close();
         }
-        o.close().key("machines").openArray();
-        for (const auto& m : c.machines()) {
-            if (m.presence == workers::Presence::gone) continue;
-            o.open().field("name", m.name).field("type", m.type).field("zone", m.zone);
-            o.field("spot", m.spot).field("up", m.up()).field("sick", m.sick);
-            o.field("tasks", static_cast<std::uint64_t>(m.charges.size()));
-            o.field("session", m.session).close();
-        }
-        o.closeArray();
+        o.close().key("machines").raw(machineList(c));
     }
     o.close();
     return {200, o.text()};
--- a/src/app/controller_test.cpp
+++ b/src/app/controller_test.cpp
@@ -2,6 +2,8 @@
 
 #include <gtest/gtest.h>
 
+#include <sstream>
+
 #include "testing/world.h"
 
 // Whole controllers on a fake clock, with the state service, the cloud, users and workers
@@ -811,5 +813,27 @@
     world.end(scope);
 }
 
+TEST_F(ControllerTest, TheStatusOfFourThousandMachinesHasNoLineOver64KiB) {
+    start(1);
+    ASSERT_EQ(leader(), 0U);
+    constexpr int count = 4000;
+    for (int i = 0; i < count; ++i) {
+        const std::string n = std::to_string(100'000 + i);
+        const auto o = ask(0, "POST", "/agent/beat",
+                           R"({"host":"n-)" + n + R"(","addr":"127.0.0.1:1","rigKind":"box",)" +
+                               R"("hall":"a","loaners":false,"stint":1,"tick":1,"baton":0,)" +
+                               R"("recallS":null,"splits":[]})");
+        ASSERT_EQ(o.response.status, 200) << o.response.body;
+    }
+    const std::string body = ask(0, "GET", "/status").response.body;
+    const auto doc = json::parse(body);
+    ASSERT_TRUE(doc);
+    EXPECT_EQ(json::array(*doc, "machines")->Size(), static_cast<unsigned>(count));
+    std::size_t longest = 0;
+    std::istringstream lines(body);
+    for (std::string line; std::getline(lines, line);) longest = std::max(longest, line.size());
+    EXPECT_LE(longest, 64U * 1024);
+}
+
 }  // namespace
 }  // namespace basaltchute::app
--- a/src/fleet/fleet_test.cpp
+++ b/src/fleet/fleet_test.cpp
@@ -453,5 +453,47 @@
     for (const auto& r : rent) EXPECT_EQ(r.type, "box");
 }
 
+TEST_F(FleetTest, OfFourThousandMachinesThoseThatDieTogetherAreFoundWithinALease) {
+    // At most 300 were asked at once and 24 in a sample, whatever the number of machines.
+    settings.lease = 31s;
+    settings.reportEvery = 25s;  // by its late report none is found within a lease
+    constexpr std::size_t count = 4000;
+    const auto dead = [](std::size_t i) { return i % 20 == 7; };
+    std::vector<Worker> all;
+    for (std::size_t i = 0; i < count; ++i) all.emplace_back("n-" + std::to_string(10'000 + i));
+    const auto report = [&](std::size_t i) {
+        all[i].execute(cluster.beat(all[i].next(), clock.now()));
+        all[i].report.token = cluster.token();
+    };
+    for (std::size_t i = 0; i < count; ++i) report(i);
+    for (int j = 0; j < 80; ++j) submit("run-" + std::to_string(j), 100);
+    for (int i = 0; i < 100; ++i) cluster.place(clock.now(), 10'000);
+    for (std::size_t i = 0; i < count; ++i) report(i);
+    std::size_t busy = 0;
+    for (const auto& m : cluster.machines()) busy += m.charges.empty() ? 0 : 1;
+    ASSERT_EQ(busy, count);
+    std::set<std::string> removed;
+    std::size_t largestSweep = 0;
+    int seconds = 0;
+    for (; removed.size() < count / 20 && seconds < 60; ++seconds) {
+        clock.advance(1s);
+        fleet.listed({}, clock.now());
+        const auto plan = fleet.plan(clock.now());
+        largestSweep = std::max(largestSweep, plan.sweep.size());
+        auto asked = plan.ask;
+        asked.insert(asked.end(), plan.sweep.begin(), plan.sweep.end());
+        for (const MachineIndex m : asked)
+            if (dead(m))
+                cluster.unanswered(m);
+            else
+                report(m);
+        removed.insert(plan.remove.begin(), plan.remove.end());
+        fleet.removed(plan.remove, clock.now());
+    }
+    EXPECT_LT(seconds, 31 - 5) << removed.size() << " found";
+    EXPECT_EQ(largestSweep, count / 4);
+    for (const auto& name : removed) EXPECT_TRUE(dead(std::stoul(name.substr(2)) - 10'000));
+}
+
 }  // namespace
 }  // namespace basaltchute::fleet
--- a/src/fleet/losses.cpp
+++ b/src/fleet/losses.cpp
@@ -16,8 +16,16 @@
 constexpr Duration worthDeleting = 10s;  // of a silent machine's lease still to run
 constexpr Duration reportDelay = 1500ms;
 constexpr std::uint32_t askedInVain = 2;
-constexpr std::size_t fewDying = 3, sweepMost = 300, fewAsked = 5;
-constexpr std::size_t sampleLeast = 4, sampleMost = 24;
+constexpr std::size_t fewDying = 3, fewAsked = 5;
+constexpr std::size_t sampleLeast = 4;
+/// The most machines of a sweep and of a sample. Where a share of the fleet is more, it is the
+/// share: a large fleet is swept within a lease as well.
+std::size_t sweepMost(std::size_t up) {
+    return std::max<std::size_t>(300, up / 4);
+}
+std::size_t sampleMost(std::size_t up) {
+    return std::max<std::size_t>(24, up / 80);
+}
 constexpr Duration sampleEvery = 900ms;  // a plan is made each second, or when machines die
 struct ZoneCount {
     std::size_t up = 0, silent = 0;
@@ -118,10 +126,10 @@
     std::size_t asked = 0;
     if (dying >= fewDying && now - sweptAt_ >= sweepAge) {
         sweptAt_ = now;
-        asked = std::min(unheard.size(), sweepMost);
+        asked = std::min(unheard.size(), sweepMost(up));
     } else if (now - sampledAt_ >= sampleEvery) {
         sampledAt_ = now;
-        asked = std::min(unheard.size(), std::clamp(up / 20, sampleLeast, sampleMost));
+        asked = std::min(unheard.size(), std::clamp(up / 20, sampleLeast, sampleMost(up)));
     }
     for (std::size_t i = 0; i < asked; ++i) plan.sweep.push_back(unheard[i].second);
     // Most of a zone at once is rather a cut or this node's own starvation, whatever the evidence;
--- a/src/mesh/mesh_test.cpp
+++ b/src/mesh/mesh_test.cpp
@@ -169,5 +169,24 @@
     EXPECT_EQ(decode(noise, out), Decoded::broken);
 }
 
+TEST(Mesh, AFrameHoldsTheLargestPageOfTheStateServiceAndAHeartbeatOfTheLargestMachine) {
+    // Nothing in a frame grows with the number of machines: lists come in pages of 512 KiB at most,
+    // requests and their responses are of 64 KiB at most.
+    constexpr std::size_t largestPage = 512 * 1024, envelope = 64 * 1024;
+    Message reply;
+    reply.id = 1;
+    reply.reply = http::Response{200, std::string(largestPage + envelope, 'x')};
+    Message heartbeat;
+    heartbeat.id = 2;
+    heartbeat.request = http::Request{"POST", "/agent/beat", std::string(64 * 1024, 'x')};
+    std::string data = encode(reply) + encode(heartbeat);
+    Message got;
+    ASSERT_EQ(decode(data, got), Decoded::message);
+    EXPECT_EQ(got.reply->body.size(), largestPage + envelope);
+    ASSERT_EQ(decode(data, got), Decoded::message);
+    EXPECT_EQ(got.request->body.size(), 64U * 1024);
+    EXPECT_TRUE(data.empty());
+}
+
 }  // namespace
 }  // namespace basaltchute::mesh
--- a/src/state/client_test.cpp
+++ b/src/state/client_test.cpp
@@ -132,5 +132,32 @@
     world.end(world.scope);
 }
 
+TEST(StateClient, AWatchTakesInAsManyChangesAsTheServiceKeeps) {
+    // A watch's answer has no size limit: it holds all changes under the prefix. The one that is
+    // watched holds the leader's few keys, whose values do not grow with the machines.
+    constexpr int keptChanges = 10'000;
+    constexpr std::size_t largestLeaderValue = 1000;
+    std::string body = R"({"epoch":20000,"changes":[)";
+    for (int i = 0; i < keptChanges; ++i)
+        body += R"({"key":"lead/holder","data":{"node":")" + std::string(largestLeaderValue, 'x') +
+                R"("},"stamp":)" + std::to_string(i + 1) + (i + 1 < keptChanges ? "}," : "}");
+    body += "]}";
+    testing::World world;
+    http::Server way(world.loop, "127.0.0.1:0", {}, [&](http::Request) -> Task<http::Response> {
+        co_return http::Response{200, body};
+    });
+    way.start(world.scope);
+    auto settings = testing::someSettings();
+    settings.state = way.address();
+    Client client(world.loop, settings);
+    std::optional<Verdict> verdict;
+    world.loop.spawn([](Client& c, Scope& scope, std::optional<Verdict>& out) -> Task<void> {
+        out = co_await c.watch("lead/", 1, 10s, scope);
+    }(client, world.scope, verdict));
+    world.until([&] { return verdict.has_value(); });
+    EXPECT_EQ(verdict, Verdict::ok) << "of " << body.size() << " bytes";
+    world.end(world.scope);
+}
+
 }  // namespace
 }  // namespace basaltchute::state
--- a/src/workers/reach_test.cpp
+++ b/src/workers/reach_test.cpp
@@ -189,5 +189,47 @@
     world.end(world.scope);
 }
 
+TEST(Reach, HoldsNoMoreSocketsThanItsShareAndALackOfThemProvesNothing) {
+    // A leader that spoke to thousands of machines at once took all sockets of its process, and
+    // what then failed looked like a cut.
+    testing::World world;
+    std::size_t served = 0;
+    http::Server worker(world.loop, "127.0.0.1:0", {}, [&](http::Request) -> Task<http::Response> {
+        co_await world.loop.sleep(1s, world.scope);
+        ++served;
+        co_return http::Response{200, "{}"};
+    });
+    worker.start(world.scope);
+    int detours = 0;
+    Reach reach(world.loop, 20,
+                [&](Reach::Target, http::Request, Duration, Scope&) -> Task<Reach::Detoured> {
+                    ++detours;
+                    co_return Reach::Detoured{{false, false, {503, ""}}, true};
+                });
+    constexpr MachineIndex machines = 4000;
+    std::size_t ended = 0, unsent = 0, proofs = 0;
+    const auto command = [&](MachineIndex machine) -> Task<void> {
+        http::Request request{"POST", "/commands", "{}"};
+        Reach::Target target{machine, "a", worker.address()};
+        const auto reached =
+            co_await reach.request(std::move(target), std::move(request), 2s, false, world.scope);
+        ++ended;
+        unsent += !reached.outcome.sent && !reached.stray ? 1 : 0;
+        proofs += reached.proof ? 1 : 0;
+    };
+    for (MachineIndex m = 0; m < machines; ++m) world.loop.spawn(command(m));
+    std::size_t most = 0;
+    world.until([&] {
+        most = std::max(most, worker.connections());
+        return ended == machines;
+    });
+    EXPECT_LE(most, 20U);
+    EXPECT_GT(served, 0U);
+    EXPECT_GT(unsent, machines / 2) << "these go with the next heartbeat's response";
+    EXPECT_EQ(proofs, 0U);
+    EXPECT_LE(detours, static_cast<int>(machines - unsent));
+    world.end(world.scope);
+}
+
 }  // namespace
 }  // namespace basaltchute::workers
