--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -71,6 +71,22 @@
     o.closeArray();
 }
 
+/// A JSON array with each machine on a line of its own: no line of a response may be longer than
+/// 64 KiB, however many machines there are.
+std::string machineList(const scheduler::Cluster& c) {
+    std::string list;
+    for (const auto& m : c.machines()) {
+        if (m.presence == worker_api::Presence::gone) continue;
+        json::Out o;
+        o.open().field("name", m.name).field("type", m.type).field("zone", m.zone);
+        o.field("spot", m.spot).field("up", m.up()).field("sick", m.quarantined);
+        o.field("tasks", static_cast<std::uint64_t>(m.allocations.size()));
+        o.field("session", m.incarnation).close();
+        list += (list.empty() ? "" : ",\n") + o.text();
+    }
+    return '[' + list + ']';
+}
+
 }  // namespace
 
 Controller::Controller(EventLoop& loop, settings::Settings settings,
@@ -169,9 +185,11 @@
                       });
                   return term_->delegate(q, allKnow);
               }}),
-      server_(loop, settings_.listen, http::ServerLimits{settings_.servedSockets()},
-              [this](http::Request r) { return handleRequest(std::move(r)); }),
+      server_(
+          loop, settings_.listen, http::ServerLimits{settings_.servedSockets()},
+          [this](http::Request r) { return handleRequest(std::move(r)); }, classify),
       delegate_(lease_delegation::DelegationLimits::from(settings_), settings_.zone, loop.now()),
+      relays_(loop, settings_.directSockets()),
       leaderSeenAt_(loop.now()) {
     if (settings_.peers.empty()) return;
     store_.setRelay([this](http::Request r, Duration timeout, Scope& scope) {
@@ -195,6 +213,10 @@
     loop_.stop();
 }
 
+http::ConnectionClass Controller::classify(const http::Request& r) {
+    return r.target == beatPath ? http::ConnectionClass::agent : http::ConnectionClass::client;
+}
+
 Task<http::Response> Controller::handleRequest(http::Request r) {
     if (r.target == "/up") {
         if (r.method != "GET") co_return plain(405, "{}");
@@ -284,6 +306,9 @@
 
 Task<http::Response> Controller::relayToAgentFor(http::Request r, std::string worker) {
     if (r.target != "/commands" && r.target != "/inspect") co_return plain(400, "{}");
+    // Not 502: that would count against the machine.
+    const auto permit = relays_.tryAcquire();
+    if (!permit) co_return plain(500, R"({"error":"no socket to spare"})");
     http::Client client(loop_, worker, 0);
     const TimePoint since = loop_.now();
     auto o = co_await client.request(std::move(r), workerTimeout, scope_);
@@ -461,15 +486,7 @@
             o.field("freeSlots", static_cast<std::uint64_t>(pool.freeCells(cells::Level::slot)));
             o.close();
         }
-        o.close().key("machines").openArray();
-        for (const auto& m : c.machines()) {
-            if (m.presence == worker_api::Presence::gone) continue;
-            o.open().field("name", m.name).field("type", m.type).field("zone", m.zone);
-            o.field("spot", m.spot).field("up", m.up()).field("sick", m.quarantined);
-            o.field("tasks", static_cast<std::uint64_t>(m.allocations.size()));
-            o.field("session", m.incarnation).close();
-        }
-        o.closeArray();
+        o.close().key("machines").raw(machineList(c));
     }
     o.close();
     return {200, o.text()};
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -7,6 +7,7 @@
 #include "http/server.h"
 #include "jobs/codec.h"
 #include "peer_rpc/peer_rpc.h"
+#include "runtime/semaphore.h"
 
 namespace basaltchute::controller {
 
@@ -22,6 +23,8 @@
 
   private:
     Task<http::Response> handleRequest(http::Request request);
+    /// Agents send heartbeats; whoever asks for anything else counts with the users.
+    static http::ConnectionClass classify(const http::Request& request);
     Task<http::Response> handleUserRequest(http::Request request);
     Task<http::Response> relayToStoreFor(http::Request request);
     Task<http::Response> relayToAgentFor(http::Request request, std::string worker);
@@ -61,6 +64,7 @@
     http::Server server_;
     std::shared_ptr<LeaderTerm> term_;
     lease_delegation::Delegate delegate_;
+    Semaphore relays_;                     // commands to workers that peers have this node pass on
     bool answeringAsDelegate_ = false;     // answering by a delegation, as last logged
     std::set<std::string> followerPeers_;  // said since this node started that they do not lead
     /// Questions of users that other nodes are to answer, by job, and the newest word about it that
--- a/src/gateway/app/gateway_test.cpp
+++ b/src/gateway/app/gateway_test.cpp
@@ -174,7 +174,8 @@
         }
     };
     for (int i = 0; i < 6; ++i)
-        s.broker.publish(atBroker, GatewayFixture::message("m" + std::to_string(i), std::to_string(i), "a"));
+        s.broker.publish(atBroker,
+                         GatewayFixture::message("m" + std::to_string(i), std::to_string(i), "a"));
     ASSERT_TRUE(s.until([&] { return s.broker.received["a"].size() >= 6; }, 120s));
     s.state.fault = nullptr;
     s.world.run(10s);
@@ -229,7 +230,8 @@
 
 TEST_F(GatewayTest, TenThousandMessagesWithOneIdAreOneJob) {
     s.start("gw-1");
-    for (int i = 0; i < 10'000; ++i) s.broker.publish(atBroker, GatewayFixture::message("m", "1", "a"));
+    for (int i = 0; i < 10'000; ++i)
+        s.broker.publish(atBroker, GatewayFixture::message("m", "1", "a"));
     ASSERT_TRUE(taken(10'000));
     EXPECT_EQ(jobsOf("m"), 1U);
     ASSERT_TRUE(s.until([&] { return !s.broker.received["a"].empty(); }));
@@ -430,7 +432,8 @@
     s.start("gw-1");
     s.jobs.fault = [](const http::Request&) { return JobService::Fault::refused; };
     for (int i = 0; i < 50; ++i)
-        s.broker.publish(atBroker, GatewayFixture::message("m" + std::to_string(i), std::to_string(i)));
+        s.broker.publish(atBroker,
+                         GatewayFixture::message("m" + std::to_string(i), std::to_string(i)));
     s.world.run(3s);
     const std::size_t untaken = s.holder(checks)->tenure(checks)->untaken();
     EXPECT_GT(untaken, 0U);
@@ -451,8 +454,8 @@
     const auto ask = [&](Gateway& g, const std::string& method, const std::string& target) {
         http::Response answer;
         bool done = false;
-        s.world.scope.spawn([](GatewayFixture& fixture, std::string to, http::Request r, http::Response& out,
-                               bool& flag) -> Task<void> {
+        s.world.scope.spawn([](GatewayFixture& fixture, std::string to, http::Request r,
+                               http::Response& out, bool& flag) -> Task<void> {
             http::Client client(fixture.world.loop, std::move(to), 0);
             auto o = co_await client.request(std::move(r), 5s, fixture.world.scope);
             out = std::move(o.response);
@@ -483,9 +486,9 @@
     auto c = client(g);
     const std::string answers = "reply/" + checks + "/me";
     for (int i = 0; i < 30; ++i)
-        ASSERT_TRUE(c->send(toQueue,
-                            GatewayFixture::message("m" + std::to_string(i), std::to_string(i), answers),
-                            std::to_string(i)));
+        ASSERT_TRUE(c->send(
+            toQueue, GatewayFixture::message("m" + std::to_string(i), std::to_string(i), answers),
+            std::to_string(i)));
     ASSERT_TRUE(s.until([&] { return c->decisions.size() == 30; }));
     s.world.run(5s);
     // Nobody reads yet; whoever comes gets them in the order in which they became final.
@@ -545,7 +548,8 @@
     s.jobs.runTime = [] { return 8s; };
     s.start("gw-1");
     for (int i = 0; i < 50; ++i)
-        s.broker.publish(atBroker, GatewayFixture::message("m" + std::to_string(i), std::to_string(i)));
+        s.broker.publish(atBroker,
+                         GatewayFixture::message("m" + std::to_string(i), std::to_string(i)));
     s.world.run(6s);
     EXPECT_EQ(s.jobs.jobs.size(), 10U);
     EXPECT_EQ(queue().waiting.size(), 40U);
--- a/src/leader_election/wire_format_test.cpp
+++ b/src/leader_election/wire_format_test.cpp
@@ -120,10 +120,9 @@
     transactions();
     silentNodes = {"rig-2"};
     world.run(400ms);
-    EXPECT_EQ(transactions(),
-              Requests{R"(POST /multi {"guards":[{"key":"lead/holder","stamp":21},)"
-                       R"({"key":"lead/absent","stamp":0}],"then":[)"
-                       R"({"put":"lead/absent","data":{"nodes":["rig-2"]}}]})"});
+    EXPECT_EQ(transactions(), Requests{R"(POST /multi {"guards":[{"key":"lead/holder","stamp":21},)"
+                                       R"({"key":"lead/absent","stamp":0}],"then":[)"
+                                       R"({"put":"lead/absent","data":{"nodes":["rig-2"]}}]})"});
 }
 
 TEST_F(LeaderElectionWireFormat, LeaderRecordIsRead) {
--- a/src/scheduler/dependency_tracking.cpp
+++ b/src/scheduler/dependency_tracking.cpp
@@ -106,8 +106,8 @@
 void Cluster::addToDependencyGraph(const Job& job) {
     using dependencies::JobOutcome;
     const JobOutcome fate = job.cancelDurable()                   ? JobOutcome::cancelled
-                      : !job.cancelled && job.doneDurable() ? JobOutcome::done
-                                                            : JobOutcome::open;
+                            : !job.cancelled && job.doneDurable() ? JobOutcome::done
+                                                                  : JobOutcome::open;
     dependencies_.addJob(job.spec.id,
                          {job.spec.priority, deadlinesOf(job), estimatedDuration(job.spec)}, fate);
 }
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -73,8 +73,9 @@
 double Cluster::startDelay(const JobSpec& s, const Machine& m) const {
     if (m.images.contains(s.image)) return 0;
     // Joining a fetch that is under way costs only what is left of it.
-    const bool joins = std::any_of(m.allocations.begin(), m.allocations.end(),
-                                   [&](const Allocation& c) { return c.job->spec.image == s.image; });
+    const bool joins =
+        std::any_of(m.allocations.begin(), m.allocations.end(),
+                    [&](const Allocation& c) { return c.job->spec.image == s.image; });
     return imageFetchTime(s, m.type) / (joins ? 2 : 1);
 }
 
--- a/src/scheduler/reconciliation.cpp
+++ b/src/scheduler/reconciliation.cpp
@@ -285,8 +285,9 @@
     }
     scheduleTimer(machine, now);
     // What has to stop there has not heard it by an answer to a report.
-    if (std::any_of(m.allocations.begin(), m.allocations.end(),
-                    [&](const Allocation& c) { return mustStop(c) && c.launchSent && !c.stopSent; }))
+    if (std::any_of(m.allocations.begin(), m.allocations.end(), [&](const Allocation& c) {
+            return mustStop(c) && c.launchSent && !c.stopSent;
+        }))
         effects_.sendCommands.insert(machine);
 }
 
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -84,8 +84,7 @@
     print(p.result);
     if (show.shares) printShares(p.result);
     if (show.json)
-        std::cout << simulator::measuresText(seed, simulator::measure(p.history, p.result))
-                  << '\n';
+        std::cout << simulator::measuresText(seed, simulator::measure(p.history, p.result)) << '\n';
     std::cout.flush();
     return rule.empty() ? 0 : 1;
 }
--- a/src/worker_api/command_sender.cpp
+++ b/src/worker_api/command_sender.cpp
@@ -25,11 +25,20 @@
            !recentlyWorked(way->second);
 }
 
-Task<http::RequestOutcome> CommandSender::direct(const Target& target, http::Request request,
-                                                 Duration timeout, Scope& scope) {
-    const auto client = direct_.clientFor(target.machine, target.address);
-    auto outcome = co_await client->request(std::move(request), timeout, scope);
-    if (scope.cancelled()) co_return outcome;
+Task<CommandSender::DirectAttempt> CommandSender::sendDirect(const Target& target,
+                                                             http::Request request,
+                                                             Duration timeout, Scope& scope) {
+    DirectAttempt attempt;
+    // Without a bound, a leader that has to speak to thousands of machines at once takes every
+    // socket of its process, and what then fails looks like the machines' fault.
+    const auto permit = co_await requestsInFlight_.acquire(loop_.now() + timeout, scope);
+    if (!permit) co_return attempt;
+    attempt.made = true;
+    attempt.startedAt = loop_.now();
+    const auto client = connections_.clientFor(target.machine, target.address);
+    attempt.outcome = co_await client->request(std::move(request), timeout, scope);
+    if (scope.cancelled()) co_return attempt;
+    const http::RequestOutcome& outcome = attempt.outcome;
     ZonePath& way = paths_[target.zone];
     if (outcome.answered) {
         way.lastAnswerAt = loop_.now();
@@ -43,7 +52,7 @@
         spdlog::info("workers in {} are reached {}", target.zone,
                      now ? "through other nodes: they do not answer this one" : "directly again");
     }
-    co_return outcome;
+    co_return attempt;
 }
 
 void CommandSender::rememberAnswer(ZonePath& way, const Target& target) {
@@ -60,8 +69,8 @@
     for (const Target& t : some) {
         http::Request question{"GET", "/inspect", ""};
         if (!directPathFailing(t.zone)) {
-            const auto outcome = co_await direct(t, std::move(question), probeTimeout, scope);
-            if (outcome.answered) co_return true;
+            const auto attempt = co_await sendDirect(t, std::move(question), probeTimeout, scope);
+            if (attempt.outcome.answered) co_return true;
         } else {
             Target copy = t;
             const auto over =
@@ -75,19 +84,20 @@
 
 Task<void> CommandSender::probe(Target target, Scope& scope) {
     http::Request question{"GET", "/inspect", ""};
-    co_await direct(target, std::move(question), probeTimeout, scope);
+    co_await sendDirect(target, std::move(question), probeTimeout, scope);
 }
 
 Task<CommandSender::SendResult> CommandSender::send(Target target, http::Request request,
                                                     Duration timeout, bool insist, Scope& scope) {
     SendResult out;
     if (!directPathFailing(target.zone)) {
-        const TimePoint sent = loop_.now();
         http::Request copy = request;
         // A question is answered within milliseconds, and asked again if it is not.
         const Duration own = insist ? std::min(timeout, questionTimeout) : timeout;
-        out.outcome = co_await direct(target, std::move(copy), own, scope);
-        if (out.outcome.answered || scope.cancelled()) co_return out;
+        auto attempt = co_await sendDirect(target, std::move(copy), own, scope);
+        const TimePoint sent = attempt.startedAt;
+        out.outcome = std::move(attempt.outcome);
+        if (!attempt.made || out.outcome.answered || scope.cancelled()) co_return out;
         out.mayExecuteLater = out.outcome.sent;
         // Where others answer, the fault is the machine's; a detour would only find it out later.
         const ZonePath& way = paths_[target.zone];
--- a/src/worker_api/command_sender.h
+++ b/src/worker_api/command_sender.h
@@ -5,6 +5,7 @@
 #include <set>
 #include <string>
 
+#include "runtime/semaphore.h"
 #include "worker_api/agent_connections.h"
 
 namespace basaltchute::worker_api {
@@ -24,8 +25,13 @@
     };
     /// Asks a peer, one in that zone if there is one, to pass the request on.
     using Relay = std::function<Task<RelayedOutcome>(Target, http::Request, Duration, Scope&)>;
-    CommandSender(EventLoop& loop, std::size_t sockets, Relay detour)
-        : loop_(loop), direct_(loop, sockets), relay_(std::move(detour)) {}
+    /// `sockets`: the most that direct commands and probes hold at once, whether or not they stay
+    /// open. A request beyond that waits for a free one.
+    CommandSender(EventLoop& loop, std::size_t sockets, Relay relay)
+        : loop_(loop),
+          connections_(loop, sockets),
+          requestsInFlight_(loop, sockets),
+          relay_(std::move(relay)) {}
 
     struct SendResult {
         http::RequestOutcome outcome;
@@ -36,7 +42,8 @@
         bool machineUnreachable = false;
     };
     /// `insist`: over a peer too, even if only this machine is not reached, unless others in its
-    /// zone have just been.
+    /// zone have just been. If no socket becomes free within `timeout`, nothing was sent and
+    /// nothing is said about the machine: its commands go with the response to its next heartbeat.
     Task<SendResult> send(Target target, http::Request request, Duration timeout, bool insist,
                           Scope& scope);
     /// Whether this node's own way to the zone's workers seems to be cut.
@@ -54,13 +61,20 @@
     /// Whether some other machine in the zone answers, by this node's own way or over a peer.
     Task<bool> otherMachinesAnswer(Target target, Scope& scope);
     void rememberAnswer(ZonePath& way, const Target& target);
-    Task<http::RequestOutcome> direct(const Target& target, http::Request request, Duration timeout,
-                                      Scope& scope);
+    /// One request over this node's own path.
+    struct DirectAttempt {
+        bool made = false;  // false: no socket became free in time
+        TimePoint startedAt{};
+        http::RequestOutcome outcome;
+    };
+    Task<DirectAttempt> sendDirect(const Target& target, http::Request request, Duration timeout,
+                                   Scope& scope);
     /// Finds out whether the own way works again, with a question that no order depends on.
     Task<void> probe(Target target, Scope& scope);
 
     EventLoop& loop_;
-    AgentConnections direct_;
+    AgentConnections connections_;
+    Semaphore requestsInFlight_;
     Relay relay_;
     std::map<std::string, ZonePath> paths_;
 };
--- a/src/worker_api/command_sender_test.cpp
+++ b/src/worker_api/command_sender_test.cpp
@@ -14,17 +14,17 @@
     // next report: with reports every 10 s no replica started in time for 65 s.
     testing::World world;
     bool reachable = false;
-    int direct = 0, detours = 0;
+    int direct = 0, relayed = 0;
     http::Server worker(world.loop, "127.0.0.1:0", {}, [&](http::Request) -> Task<http::Response> {
         ++direct;
         co_return http::Response{200, "{}"};
     });
     worker.start(world.scope);
-    CommandSender reach(
+    CommandSender sender(
         world.loop, 10,
         [&](CommandSender::Target, http::Request, Duration,
             Scope&) -> Task<CommandSender::RelayedOutcome> {
-            ++detours;
+            ++relayed;
             co_return CommandSender::RelayedOutcome{{true, true, {200, "{}"}}, true};
         });
     CommandSender::SendResult last;
@@ -36,62 +36,61 @@
             http::Request request{"POST", "/commands", "{}"};
             out = co_await r.send(std::move(t), std::move(request), 1s, again, scope);
             flag = true;
-        }(reach, {machine, "a", address}, insist, world.scope, last, done));
+        }(sender, {machine, "a", address}, insist, world.scope, last, done));
         world.until([&] { return done; });
         return last.outcome.answered;
     };
     EXPECT_FALSE(order(1, false)) << "one machine alone is its own fault";
     EXPECT_FALSE(order(1, false));
-    EXPECT_EQ(detours, 0);
+    EXPECT_EQ(relayed, 0);
     EXPECT_TRUE(order(1, true)) << "unless it is about to be given up";
     EXPECT_TRUE(order(2, false));
-    EXPECT_EQ(detours, 2);
-    EXPECT_TRUE(reach.directPathFailing("a"));
-    EXPECT_FALSE(reach.directPathFailing("b"));
+    EXPECT_EQ(relayed, 2);
+    EXPECT_TRUE(sender.directPathFailing("a"));
+    EXPECT_FALSE(sender.directPathFailing("b"));
     reachable = true;
     EXPECT_TRUE(order(3, false));
-    EXPECT_EQ(detours, 3) << "orders do not try out the way";
+    EXPECT_EQ(relayed, 3) << "orders do not try out the way";
     world.run(3s);
     EXPECT_EQ(direct, 1) << "but a question beside them does";
     EXPECT_TRUE(order(4, false));
-    EXPECT_EQ(detours, 3);
+    EXPECT_EQ(relayed, 3);
     world.end(world.scope);
 }
 
 TEST(CommandSender, MachinesThatDieTogetherAreNoCut) {
     // A wave of dead machines once looked like a cut, and all orders to their zone took a detour.
     testing::World world;
-    int detours = 0;
+    int relayed = 0;
     http::Server worker(world.loop, "127.0.0.1:0", {}, [&](http::Request) -> Task<http::Response> {
         co_return http::Response{200, "{}"};
     });
     worker.start(world.scope);
-    CommandSender reach(world.loop, 10,
-                        [&](CommandSender::Target, http::Request, Duration,
-                            Scope&) -> Task<CommandSender::RelayedOutcome> {
-                            ++detours;
-                            co_return CommandSender::RelayedOutcome{};
-                        });
+    CommandSender sender(world.loop, 10,
+                         [&](CommandSender::Target, http::Request, Duration,
+                             Scope&) -> Task<CommandSender::RelayedOutcome> {
+                             ++relayed;
+                             co_return CommandSender::RelayedOutcome{};
+                         });
     const auto ask = [&](MachineIndex machine, const std::string& address) {
         bool done = false, answered = false;
         world.loop.spawn([](CommandSender& r, CommandSender::Target t, Scope& scope, bool& out,
                             bool& flag) -> Task<void> {
             http::Request request{"GET", "/inspect", ""};
-            const auto reached =
-                co_await r.send(std::move(t), std::move(request), 1s, false, scope);
-            out = reached.outcome.answered;
+            const auto result = co_await r.send(std::move(t), std::move(request), 1s, false, scope);
+            out = result.outcome.answered;
             flag = true;
-        }(reach, {machine, "a", address}, world.scope, answered, done));
+        }(sender, {machine, "a", address}, world.scope, answered, done));
         world.until([&] { return done; });
         return answered;
     };
     EXPECT_TRUE(ask(0, worker.address()));
     for (MachineIndex m = 1; m < 5; ++m) EXPECT_FALSE(ask(m, "127.0.0.1:1"));
-    EXPECT_EQ(detours, 0);
-    EXPECT_FALSE(reach.directPathFailing("a"));
+    EXPECT_EQ(relayed, 0);
+    EXPECT_FALSE(sender.directPathFailing("a"));
     world.run(2s);  // nobody has answered for a while
     EXPECT_FALSE(ask(5, "127.0.0.1:1"));
-    EXPECT_EQ(detours, 1);
+    EXPECT_EQ(relayed, 1);
     world.end(world.scope);
 }
 
@@ -100,20 +99,20 @@
     // 386 sound machines.
     testing::World world;
     CommandSender::RelayedOutcome told{{}, true};  // no answer at all
-    CommandSender reach(world.loop, 10,
-                        [&](CommandSender::Target, http::Request, Duration,
-                            Scope&) -> Task<CommandSender::RelayedOutcome> { co_return told; });
+    CommandSender sender(world.loop, 10,
+                         [&](CommandSender::Target, http::Request, Duration,
+                             Scope&) -> Task<CommandSender::RelayedOutcome> { co_return told; });
     const auto proof = [&](MachineIndex machine) {
         bool done = false, out = false;
         world.loop.spawn([](CommandSender& r, MachineIndex m, Scope& scope, bool& flag,
                             bool& end) -> Task<void> {
             http::Request request{"GET", "/inspect", ""};
             CommandSender::Target target{m, "a", "127.0.0.1:1"};
-            const auto reached =
+            const auto result =
                 co_await r.send(std::move(target), std::move(request), 1s, true, scope);
-            flag = reached.machineUnreachable;
+            flag = result.machineUnreachable;
             end = true;
-        }(reach, machine, world.scope, out, done));
+        }(sender, machine, world.scope, out, done));
         world.until([&] { return done; });
         return out;
     };
@@ -135,7 +134,7 @@
         co_return http::Response{200, "{}"};
     });
     sound.start(world.scope);
-    CommandSender reach(
+    CommandSender sender(
         world.loop, 10,
         [&](CommandSender::Target, http::Request, Duration,
             Scope&) -> Task<CommandSender::RelayedOutcome> {
@@ -145,11 +144,11 @@
         bool done = false;
         CommandSender::SendResult out;
         world.loop.spawn([](CommandSender& r, CommandSender::Target t, Scope& scope,
-                            CommandSender::SendResult& reached, bool& end) -> Task<void> {
+                            CommandSender::SendResult& result, bool& end) -> Task<void> {
             http::Request request{"GET", "/inspect", ""};
-            reached = co_await r.send(std::move(t), std::move(request), 1s, true, scope);
+            result = co_await r.send(std::move(t), std::move(request), 1s, true, scope);
             end = true;
-        }(reach, {machine, "a", address}, world.scope, out, done));
+        }(sender, {machine, "a", address}, world.scope, out, done));
         world.until([&] { return done; });
         return out;
     };
@@ -175,7 +174,7 @@
         co_return http::Response{200, "{}"};
     });
     silent.start(world.scope);
-    CommandSender reach(
+    CommandSender sender(
         world.loop, 10,
         [&](CommandSender::Target, http::Request, Duration,
             Scope&) -> Task<CommandSender::RelayedOutcome> {
@@ -188,12 +187,56 @@
         http::Request request{"POST", "/commands", "{}"};
         out = co_await r.send(std::move(t), std::move(request), 1s, true, scope);
         flag = true;
-    }(reach, {1, "a", silent.address()}, world.scope, last, done));
+    }(sender, {1, "a", silent.address()}, world.scope, last, done));
     world.until([&] { return done; });
     EXPECT_TRUE(last.outcome.answered);
     EXPECT_TRUE(last.mayExecuteLater);
     world.end(world.scope);
 }
 
+TEST(CommandSender, HoldsNoMoreSocketsThanItsShareAndALackOfThemProvesNothing) {
+    // A leader that spoke to thousands of machines at once took all sockets of its process, and
+    // what then failed looked like a cut.
+    testing::World world;
+    std::size_t served = 0;
+    http::Server worker(world.loop, "127.0.0.1:0", {}, [&](http::Request) -> Task<http::Response> {
+        co_await world.loop.sleep(1s, world.scope);
+        ++served;
+        co_return http::Response{200, "{}"};
+    });
+    worker.start(world.scope);
+    int relayed = 0;
+    CommandSender sender(
+        world.loop, 20,
+        [&](CommandSender::Target, http::Request, Duration,
+            Scope&) -> Task<CommandSender::RelayedOutcome> {
+            ++relayed;
+            co_return CommandSender::RelayedOutcome{{false, false, {503, ""}}, true};
+        });
+    constexpr MachineIndex machines = 4000;
+    std::size_t ended = 0, unsent = 0, proofs = 0;
+    const auto command = [&](MachineIndex machine) -> Task<void> {
+        http::Request request{"POST", "/commands", "{}"};
+        CommandSender::Target target{machine, "a", worker.address()};
+        const auto result =
+            co_await sender.send(std::move(target), std::move(request), 2s, false, world.scope);
+        ++ended;
+        unsent += !result.outcome.sent && !result.mayExecuteLater ? 1 : 0;
+        proofs += result.machineUnreachable ? 1 : 0;
+    };
+    for (MachineIndex m = 0; m < machines; ++m) world.loop.spawn(command(m));
+    std::size_t most = 0;
+    world.until([&] {
+        most = std::max(most, worker.connections());
+        return ended == machines;
+    });
+    EXPECT_LE(most, 20U);
+    EXPECT_GT(served, 0U);
+    EXPECT_GT(unsent, machines / 2) << "these go with the next heartbeat's response";
+    EXPECT_EQ(proofs, 0U);
+    EXPECT_LE(relayed, static_cast<int>(machines - unsent));
+    world.end(world.scope);
+}
+
 }  // namespace
 }  // namespace basaltchute::worker_api
