--- a/src/scheduler/cluster.cpp
+++ b/src/scheduler/cluster.cpp
@@ -68,7 +68,7 @@
                   static_cast<int>(spec.priority), spec.checkpointS);
     markHeadDirty(ref, WritePriority::users);
     if (spec.dependencies.empty()) {
-        recordLeadTime(ref, Duration::zero());
+        estimates_.recordLeadTime(spec, Duration::zero());
         onJobOpened(ref);
     } else {
         resolveDependencies(ref);
@@ -267,7 +267,8 @@
     listWaiting(job);
     // Low-priority work is bound by what the others leave of the write rate: a large array once
     // held up everybody's bindings.
-    markTaskDirty(job, task, job.rank == Priority::low ? WritePriority::rest : WritePriority::bindings);
+    markTaskDirty(job, task,
+                  job.rank == Priority::low ? WritePriority::rest : WritePriority::bindings);
     Allocation c;
     c.job = &job;
     c.task = task;
--- a/src/scheduler/cluster.h
+++ b/src/scheduler/cluster.h
@@ -1,5 +1,4 @@
 #pragma once
-#include <deque>
 #include <functional>
 #include <memory>
 #include <set>
@@ -13,6 +12,7 @@
 #include "kv_store/transaction_writer.h"
 #include "lease_delegation/delegator.h"
 #include "scheduler/capacity_index.h"
+#include "scheduler/runtime_estimates.h"
 #include "settings/operator.h"
 #include "settings/settings.h"
 #include "worker_api/machine.h"
@@ -87,9 +87,13 @@
     /// What is left until a job that waits could not be over in time any more, by the estimates;
     /// nothing if neither it nor what comes after it has a deadline.
     [[nodiscard]] std::optional<Duration> slack(const Job& job, TimePoint now) const;
-    /// How long before their release four of five jobs of the class are known, of late; nothing if
-    /// none of them waited for others.
-    [[nodiscard]] Duration arrivalLeadTime(const std::string& jobClass) const;
+    /// How long before their release four of five recent jobs of the class were known; zero if
+    /// none of them had dependencies.
+    [[nodiscard]] Duration arrivalLeadTime(const std::string& jobClass) const {
+        return estimates_.arrivalLeadTime(jobClass);
+    }
+    /// How long one task of the job runs, by its owner's estimate and the bias of its class.
+    [[nodiscard]] Duration runTime(const JobSpec& spec) const { return estimates_.runTime(spec); }
     /// No task of it starts any more, and all are stopped. It is final, and may be told, once
     /// whatever may still run ends within the time that users are promised.
     void cancel(Job& job, TimePoint now);
@@ -168,10 +172,6 @@
         return job.rank == Priority::low && job.spec.shape != Shape::service &&
                !withinReservation(job);
     }
-    /// How long a task of it runs, by its owner's estimate and what such estimates were worth.
-    [[nodiscard]] Duration runTime(const JobSpec& s) const {
-        return fromSeconds(s.estimateS * estimatorBias(s.jobClass));
-    }
 
     void setCatalogue(autoscaler::Catalogue catalogue);
     [[nodiscard]] const autoscaler::Catalogue& catalogue() const { return catalogue_; }
@@ -218,9 +218,9 @@
     [[nodiscard]] TimePoint expectedReleaseAfter(const Job& job, TimePoint now,
                                                  unsigned stages) const;
     [[nodiscard]] TimePoint expectedEnd(const Job& job, TimePoint now, unsigned stages) const;
-    void recordLeadTime(const Job& job, Duration lead);
     [[nodiscard]] Deadlines deadlinesOf(const Job& job) const;
-    void updateEstimates(TimePoint now);
+    /// Hands the dependency graph new durations where the estimates have moved far enough.
+    void refreshBlockedDurations(TimePoint now);
     void bind(Job& job, std::uint32_t task, MachineIndex machine,
               std::vector<cells::CellIndex> cells = {});
     void finish(Job& job, std::uint32_t task);
@@ -276,7 +276,6 @@
     [[nodiscard]] double weightOf(const std::string& team) const;
 
     // Placement
-    [[nodiscard]] double estimatorBias(const std::string& jobClass) const;
     [[nodiscard]] bool typeAllowed(const JobSpec& s, const std::string& type) const;
     struct PlannedShare {
         Demand demand;
@@ -301,8 +300,6 @@
     /// Jobs of one rank in the order in which they are to be placed.
     [[nodiscard]] std::vector<QueueEntry> queueOrder(const std::vector<Job*>& jobs,
                                                      TimePoint now) const;
-    /// Cores that tasks of a rank give back each second, by their run times.
-    void measureDrainRate(TimePoint now);
     bool placeGang(Job& job, TimePoint now);
     [[nodiscard]] bool placeable(const Job& job, MachineIndex machine, TimePoint now) const;
     /// What is free on it when all that has been told to stop has gone.
@@ -323,9 +320,7 @@
     std::vector<Job*> openJobs_;  // but for those that wait for others
     dependencies::DependencyGraph dependencies_;
     JobSet blocked_;
-    std::map<std::string, double> durationBias_;  // bias by class, as the chains reckon with it
-    TimePoint estimatesAt_{};
-    std::map<std::string, std::deque<Duration>> leadTimes_;  // by class, of the last few jobs
+    RuntimeEstimates estimates_;
     /// Records by key that were read before what they belong to; they are applied in the end.
     std::map<std::string, std::string> unappliedRecords_;
     std::set<JobId> unreadableJobs_;
@@ -355,11 +350,8 @@
     std::multimap<MachineIndex, const Job*> reclaimedFor_;
     bool hasNewWork_ = false;  // something waits that no pass has seen yet
     std::uint64_t increasesSeen_ = 0;
-    std::array<double, 4> drainRate_{};  // by rank
-    TimePoint drainRateAt_{};
     TimePoint lastPass_{};
     mutable std::uint64_t visitedMachines_ = 0;
-    std::unordered_map<std::string, double> logBias_;  // log of run time over estimate, by class
     Effects effects_;
 };
 
--- a/src/scheduler/dependency_tracking.cpp
+++ b/src/scheduler/dependency_tracking.cpp
@@ -1,7 +1,6 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <cmath>
 
 #include "scheduler/cluster.h"
 
@@ -12,11 +11,6 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration relearn = 5s;
-constexpr double worthRetiming = 0.1;   // of the logarithm of a class's run times over estimates
-constexpr double lastOfMany = 0.25;     // the last of n tasks takes longer, by this times ln n
-constexpr Duration betweenStages = 2s;  // a result is reported and written, an order given
-constexpr std::size_t leadsKept = 20;
 constexpr unsigned stagesAhead = 32;  // beyond that no machine has to be thought of yet
 constexpr Duration farOff = 24h;
 }  // namespace
@@ -39,8 +33,7 @@
     for (const auto& [name, type] : catalogue_)
         if (typeAllowed(s, name) && fits(s.demand, type.capacity))
             fetch = std::max(fetch, imageFetchTime(s, name));
-    const double last = 1 + lastOfMany * std::log(std::max(1.0, static_cast<double>(s.tasks)));
-    return fromSeconds(fetch + toSeconds(runTime(s)) * last) + betweenStages;
+    return estimates_.jobDuration(s, fetch);
 }
 
 TimePoint Cluster::expectedEnd(const Job& job, TimePoint now, unsigned stages) const {
@@ -72,22 +65,6 @@
     return end - (expectedRelease(job, now) + estimatedDuration(job.spec));
 }
 
-void Cluster::recordLeadTime(const Job& job, Duration lead) {
-    // Classes of which nothing ever waits are not kept.
-    if (job.spec.dependencies.empty() && !leadTimes_.contains(job.spec.jobClass)) return;
-    auto& leads = leadTimes_[job.spec.jobClass];
-    leads.push_back(lead);
-    if (leads.size() > leadsKept) leads.pop_front();
-}
-
-Duration Cluster::arrivalLeadTime(const std::string& jobClass) const {
-    const auto it = leadTimes_.find(jobClass);
-    if (it == leadTimes_.end()) return Duration::zero();
-    std::vector<Duration> sorted(it->second.begin(), it->second.end());
-    std::sort(sorted.begin(), sorted.end());
-    return sorted[sorted.size() / 5];
-}
-
 Deadlines Cluster::deadlinesOf(const Job& job) const {
     Deadlines ends;
     if (!job.spec.deadlineS) return ends;
@@ -106,8 +83,8 @@
 void Cluster::addToDependencyGraph(const Job& job) {
     using dependencies::JobOutcome;
     const JobOutcome fate = job.cancelDurable()                   ? JobOutcome::cancelled
-                      : !job.cancelled && job.doneDurable() ? JobOutcome::done
-                                                            : JobOutcome::open;
+                            : !job.cancelled && job.doneDurable() ? JobOutcome::done
+                                                                  : JobOutcome::open;
     dependencies_.addJob(job.spec.id,
                          {job.spec.priority, deadlinesOf(job), estimatedDuration(job.spec)}, fate);
 }
@@ -125,7 +102,7 @@
     } else {
         onJobOpened(job);
     }
-    recordLeadTime(job, expectedRelease(job, now_) - now_);
+    estimates_.recordLeadTime(job.spec, expectedRelease(job, now_) - now_);
     applyDependencyChanges(now_);
 }
 
@@ -148,7 +125,7 @@
         Job& job = *find(w.id);
         addToDependencyGraph(job);
         dependencies_.addDependencies(w.id, w.dependencies);
-        if (job.released) recordLeadTime(job, *job.released - job.submitted);
+        if (job.released) estimates_.recordLeadTime(job.spec, *job.released - job.submitted);
         if (const JobId* with = dependencies_.cancelledWith(w.id)) {
             if (!job.cancelled) cancelWithDependency(job, *with);
         } else if (dependencies_.isBlocked(w.id)) {
@@ -214,22 +191,15 @@
         if (Job& job = *find(id); job.blocked) release(job, now);
     for (const auto& id : follows.urgency)
         if (Job* job = find(id); job != nullptr && job->open()) applyInheritedUrgency(*job);
-    updateEstimates(now);
-}
-
-void Cluster::updateEstimates(TimePoint now) {
-    if (blocked_.empty() || now - estimatesAt_ < relearn) return;
-    estimatesAt_ = now;
-    std::set<std::string> moved;
-    for (const auto& [name, bias] : logBias_) {
-        double& at = durationBias_[name];
-        if (std::abs(bias - at) < worthRetiming) continue;
-        at = bias;
-        moved.insert(name);
-    }
-    if (moved.empty()) return;
+    refreshBlockedDurations(now);
+}
+
+void Cluster::refreshBlockedDurations(TimePoint now) {
+    if (blocked_.empty()) return;
+    const std::set<std::string> shifted = estimates_.takeShiftedClasses(now);
+    if (shifted.empty()) return;
     for (const Job* job : blocked_)
-        if (moved.contains(job->spec.jobClass))
+        if (shifted.contains(job->spec.jobClass))
             dependencies_.setDuration(job->spec.id, estimatedDuration(job->spec));
 }
 
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -1,7 +1,6 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <cmath>
 #include <limits>
 
 #include "scheduler/cluster.h"
@@ -73,8 +72,9 @@
 double Cluster::startDelay(const JobSpec& s, const Machine& m) const {
     if (m.images.contains(s.image)) return 0;
     // Joining a fetch that is under way costs only what is left of it.
-    const bool joins = std::any_of(m.allocations.begin(), m.allocations.end(),
-                                   [&](const Allocation& c) { return c.job->spec.image == s.image; });
+    const bool joins =
+        std::any_of(m.allocations.begin(), m.allocations.end(),
+                    [&](const Allocation& c) { return c.job->spec.image == s.image; });
     return imageFetchTime(s, m.type) / (joins ? 2 : 1);
 }
 
@@ -179,7 +179,7 @@
     hasNewWork_ = false;
     increasesSeen_ = capacityIndex_.increaseCount();
     lastPass_ = now;
-    measureDrainRate(now);
+    estimates_.measureDrainRate(openJobs_, now);
     std::map<Priority, std::vector<Job*>> ranks;
     for (Job* job : waiting_)
         if (now >= job->backOffUntil) ranks[job->rank].push_back(job);
--- a/src/scheduler/queue_order.cpp
+++ b/src/scheduler/queue_order.cpp
@@ -1,5 +1,4 @@
 #include <algorithm>
-#include <cmath>
 
 #include "scheduler/cluster.h"
 
@@ -12,13 +11,12 @@
 namespace {
 constexpr Duration overdueTurn = 240s;
 constexpr Duration patientTurn = 900s;
-constexpr Duration nextLook = 1s;  // what waits is looked at again, as its order changes
 }  // namespace
 
 Cluster::SchedulingPriority Cluster::schedulingPriority(const Job& job, TimePoint now,
                                                         std::size_t given) const {
     Duration last = overdueTurn;
-    const Duration run = runTime(job.spec);
+    const Duration run = estimates_.runTime(job.spec);
     SchedulingPriority u;
     std::vector<TimePoint> open;  // latest starts that still serve an objective
     const auto considerBy = [&](TimePoint latestStart) {
@@ -68,21 +66,6 @@
     return u;
 }
 
-void Cluster::measureDrainRate(TimePoint now) {
-    if (now - drainRateAt_ < nextLook) return;
-    drainRateAt_ = now;
-    std::array<double, 4> cores{}, seconds{};
-    for (const Job* job : openJobs_) {
-        if (job->spec.shape == Shape::service || job->boundCount == 0) continue;
-        const auto rank = static_cast<std::size_t>(job->rank);
-        const double bound = job->spec.demand.cores * job->boundCount;
-        cores[rank] += bound;
-        seconds[rank] += bound * std::max(1.0, toSeconds(runTime(job->spec)));
-    }
-    for (std::size_t rank = 0; rank < drainRate_.size(); ++rank)
-        drainRate_[rank] = cores[rank] > 0 ? cores[rank] * cores[rank] / seconds[rank] : 0;
-}
-
 std::vector<Cluster::QueueEntry> Cluster::queueOrder(const std::vector<Job*>& jobs,
                                                      TimePoint now) const {
     // By what is due first, as long as all of it can be served in time. Where it cannot, the
@@ -105,7 +88,7 @@
         std::vector<bool> put(entries.size(), false);
         for (std::size_t i = 0; i < entries.size(); ++i) {
             const QueueEntry& e = entries[i];
-            const double pace = drainRate_[static_cast<std::size_t>(e.job->rank)];
+            const double pace = estimates_.drainRate(e.job->rank);
             const double work = e.job->spec.demand.cores * e.job->waitingCount();
             ahead += work;
             if (!e.priority.canMeetAnother || e.job->spec.shape == Shape::service || pace <= 0)
@@ -135,9 +118,4 @@
     return order;
 }
 
-double Cluster::estimatorBias(const std::string& jobClass) const {
-    const auto it = logBias_.find(jobClass);
-    return it == logBias_.end() ? 1.0 : std::exp(it->second);
-}
-
 }  // namespace basaltchute::scheduler
--- a/src/scheduler/reconciliation.cpp
+++ b/src/scheduler/reconciliation.cpp
@@ -1,7 +1,6 @@
 #include <spdlog/spdlog.h>
 
 #include <algorithm>
-#include <cmath>
 
 #include "scheduler/cluster.h"
 
@@ -79,11 +78,8 @@
         const JobTask& task = job->tasks[t.task];
         const double ran = toSeconds(now - task.runningSince);
         if (task.state == TaskState::bound && task.attempt == 1 && job->spec.estimateS > 0 &&
-            ran > 0) {
-            // Owners' estimates are off in the same direction for most of a day.
-            double& bias = logBias_[job->spec.jobClass];
-            bias += 0.1 * (std::clamp(std::log(ran / job->spec.estimateS), -2.0, 2.0) - bias);
-        }
+            ran > 0)
+            estimates_.recordRun(job->spec.jobClass, job->spec.estimateS, ran);
         // A result is a result, whichever attempt brought it: but not while another attempt may
         // be on another machine. The record would say no more where, and a successor would neither
         // count it nor wait for its end. It ends by itself as soon as it has its image.
@@ -285,8 +281,9 @@
     }
     scheduleTimer(machine, now);
     // What has to stop there has not heard it by an answer to a report.
-    if (std::any_of(m.allocations.begin(), m.allocations.end(),
-                    [&](const Allocation& c) { return mustStop(c) && c.launchSent && !c.stopSent; }))
+    if (std::any_of(m.allocations.begin(), m.allocations.end(), [&](const Allocation& c) {
+            return mustStop(c) && c.launchSent && !c.stopSent;
+        }))
         effects_.sendCommands.insert(machine);
 }
 
