--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -1,4 +1,5 @@
 #pragma once
+#include <algorithm>
 #include <cstdint>
 #include <map>
 #include <memory>
@@ -55,6 +56,11 @@
     std::optional<double> deadlineS;
     std::vector<JobId>
         dependencies;  // that have to be done before any task of it starts; each once
+
+    /// Whether its tasks may run on machines of the type.
+    [[nodiscard]] bool allowsType(const std::string& type) const {
+        return !types || std::find(types->begin(), types->end(), type) != types->end();
+    }
 };
 
 /// When a job has to be over to meet the first and the last of the deadlines that count for it.
--- a/src/scheduler/cluster.cpp
+++ b/src/scheduler/cluster.cpp
@@ -34,18 +34,12 @@
     return it == jobs_.end() ? nullptr : it->second.get();
 }
 
-bool Cluster::typeAllowed(const JobSpec& s, const std::string& type) const {
-    return !s.types || std::find(s.types->begin(), s.types->end(), type) != s.types->end();
-}
-
 SubmitResult Cluster::submit(const JobSpec& spec, TimePoint now, WallMillis wall) {
     if (find(spec.id) != nullptr) return SubmitResult::alreadyKnown;
-    const auto team = std::find_if(settings_.teams.begin(), settings_.teams.end(),
-                                   [&](const auto& t) { return t.name == spec.team; });
-    if (team == settings_.teams.end()) return SubmitResult::unknownTeam;
+    if (!quota_.knowsTeam(spec.team)) return SubmitResult::unknownTeam;
     const bool fits = std::any_of(catalogue_.begin(), catalogue_.end(), [&](const auto& entry) {
         const autoscaler::MachineType& t = entry.second;
-        return typeAllowed(spec, t.name) && spec.demand.cores <= t.capacity.cores &&
+        return spec.allowsType(t.name) && spec.demand.cores <= t.capacity.cores &&
                spec.demand.gpus <= t.capacity.gpus && spec.demand.ramGb <= t.capacity.ramGb &&
                (!spec.zone ||
                 std::find(t.zones.begin(), t.zones.end(), *spec.zone) != t.zones.end());
@@ -53,10 +47,7 @@
     if (!fits) return SubmitResult::fitsNoMachine;
     // All in one zone, and no more than half of them in any.
     if (spec.sameZone && spec.spread && spec.tasks > 1) return SubmitResult::contradictoryPlacement;
-    const double n = spec.shape == Shape::array ? 1 : spec.tasks;
-    if ((team->coresMax > 0 && spec.demand.cores * n > team->coresMax) ||
-        (team->gpusMax > 0 && spec.demand.gpus * n > team->gpusMax))
-        return SubmitResult::overTeamLimit;
+    if (quota_.exceedsLimit(spec)) return SubmitResult::overTeamLimit;
     auto job = jobs::makeJob(spec, valueBytes_);
     job->submitted = wall;
     job->submittedAt = job->releasedAt = now;
@@ -241,9 +232,9 @@
 void Cluster::release(MachineIndex machine, std::size_t charge) {
     Machine& m = machines_[machine];
     const Allocation c = m.allocations[charge];
-    freeCells(c, machine);
+    markCapacityDirty(quota_.vacateCells(c, machine, m));
     m.allocations.erase(m.allocations.begin() + static_cast<std::ptrdiff_t>(charge));
-    teamUse_[c.job->spec.team] -= c.job->spec.demand;
+    quota_.removeUse(c.job->spec);
     const auto zone = c.job->perZone.find(m.zone);
     if (--zone->second == 0) c.job->perZone.erase(zone);
     markCapacityDirty(machine);
@@ -281,8 +272,8 @@
 
 Allocation& Cluster::allocate(MachineIndex machine, Allocation c) {
     Machine& m = machines_[machine];
-    allocateCells(c, machine);
-    teamUse_[c.job->spec.team] += c.job->spec.demand;
+    markCapacityDirty(quota_.occupyCells(c, machine, m));
+    quota_.addUse(c.job->spec);
     ++c.job->perZone[m.zone];
     // Found on a machine after its job was told to be cancelled: its zone may not be lent for
     // longer than that leaves.
@@ -321,7 +312,7 @@
     m.presence = Presence::gone;
     m.lastHeardAt = now;
     releaseAll(machine);
-    if (cells::Pool* pool = poolOf(m)) pool->removeMachine(machine);
+    quota_.removeMachine(machine, m);
     // The name must stay known, so that a late report does not bring the machine back; what was
     // on it need not.
     m.images.clear();
--- a/src/scheduler/cluster.h
+++ b/src/scheduler/cluster.h
@@ -12,6 +12,7 @@
 #include "kv_store/transaction_writer.h"
 #include "lease_delegation/delegator.h"
 #include "scheduler/capacity_index.h"
+#include "scheduler/quota.h"
 #include "scheduler/runtime_estimates.h"
 #include "settings/operator.h"
 #include "settings/settings.h"
@@ -40,9 +41,12 @@
 class Cluster {
   public:
     Cluster(const settings::Settings& settings, FencingToken token);
+    Cluster(const Cluster&) = delete;  // its parts refer to each other
+    Cluster& operator=(const Cluster&) = delete;
+    ~Cluster() = default;
     void setOperator(const settings::Operator& settings) { operator_ = settings; }
     [[nodiscard]] const settings::Operator& operatorSettings() const { return operator_; }
-    [[nodiscard]] const std::map<std::string, cells::Pool>& pools() const { return pools_; }
+    [[nodiscard]] const std::map<std::string, cells::Pool>& pools() const { return quota_.pools(); }
 
     // Records
     /// All records under both prefixes of jobs, in any order; false if this one is malformed.
@@ -170,7 +174,7 @@
     /// Runs on what others leave idle: low priority, beyond its team's guarantee, and it ends.
     [[nodiscard]] bool isOpportunistic(const Job& job) const {
         return job.rank == Priority::low && job.spec.shape != Shape::service &&
-               !withinReservation(job);
+               !quota_.withinReservation(job.spec);
     }
 
     void setCatalogue(autoscaler::Catalogue catalogue);
@@ -263,20 +267,12 @@
     std::vector<worker_api::Command> commandsFor(MachineIndex machine, bool direct);
 
     // Cells
-    cells::Pool* poolOf(const worker_api::Machine& m);
-    [[nodiscard]] std::uint32_t slotsFor(const JobSpec& s, const std::string& type) const;
+    /// Lists a machine that has come up in the cells of its type, with what is bound on it.
     void enterPool(MachineIndex machine);
-    void allocateCells(worker_api::Allocation& c, MachineIndex machine);
-    void freeCells(const worker_api::Allocation& c, MachineIndex machine);
-    std::optional<std::vector<cells::CellIndex>> cellsOn(
-        cells::Pool& pool, const std::string& team, std::uint32_t slots,
-        const std::function<bool(MachineIndex)>& usable);
-    [[nodiscard]] bool withinReservation(const Job& job) const;
+    void markCapacityDirty(const std::vector<MachineIndex>& machines);
     bool placeInReservation(Job& job, std::uint32_t task, TimePoint now);
-    [[nodiscard]] double weightOf(const std::string& team) const;
 
     // Placement
-    [[nodiscard]] bool typeAllowed(const JobSpec& s, const std::string& type) const;
     struct PlannedShare {
         Demand demand;
         std::uint32_t tasks = 0;
@@ -310,12 +306,12 @@
     /// Stops lower-ranking work until there will be room for `tasks` of the job.
     void preemptFor(const Job& job, std::uint32_t tasks, TimePoint now);
     [[nodiscard]] bool mayPreempt(Priority rank, const worker_api::Allocation& c) const;
-    [[nodiscard]] bool withinLimit(const Job& job) const;
 
     const settings::Settings& settings_;
     settings::Operator operator_;
     FencingToken token_;
     autoscaler::Catalogue catalogue_;
+    Quota quota_{settings_, operator_, catalogue_};
     std::unordered_map<JobId, std::unique_ptr<Job>> jobs_;
     std::vector<Job*> openJobs_;  // but for those that wait for others
     dependencies::DependencyGraph dependencies_;
@@ -332,16 +328,7 @@
     lease_delegation::Delegator* delegator_ = nullptr;
     std::set<std::string> awayZones_;
     worker_api::MachineRegistry machines_;
-    std::map<std::string, cells::Pool> pools_;  // by machine type
-    /// Machine cells that a team's tasks share: bound with the first, returned with the last.
-    struct SharedCell {
-        std::string team;
-        std::uint32_t used = 0, tasks = 0;
-    };
-    std::map<std::pair<std::string, cells::CellIndex>, SharedCell> sharedCells_;
-    std::unordered_map<std::string, Demand> reservedUse_;
-    std::unordered_map<std::string, Demand> teamUse_;  // of everything possibly running
-    std::vector<Job*> waiting_;                        // jobs with tasks to place
+    std::vector<Job*> waiting_;  // jobs with tasks to place
     CapacityIndex capacityIndex_;
     std::vector<MachineIndex> capacityDirty_;
     std::set<std::pair<TimePoint, MachineIndex>> timers_;  // by Machine::attendAt
--- a/src/scheduler/dependency_tracking.cpp
+++ b/src/scheduler/dependency_tracking.cpp
@@ -31,7 +31,7 @@
 Duration Cluster::estimatedDuration(const JobSpec& s) const {
     double fetch = 0;
     for (const auto& [name, type] : catalogue_)
-        if (typeAllowed(s, name) && fits(s.demand, type.capacity))
+        if (s.allowsType(name) && fits(s.demand, type.capacity))
             fetch = std::max(fetch, imageFetchTime(s, name));
     return estimates_.jobDuration(s, fetch);
 }
--- a/src/scheduler/free_capacity.cpp
+++ b/src/scheduler/free_capacity.cpp
@@ -24,6 +24,10 @@
     capacityDirty_.push_back(machine);
 }
 
+void Cluster::markCapacityDirty(const std::vector<MachineIndex>& machines) {
+    for (const MachineIndex machine : machines) markCapacityDirty(machine);
+}
+
 bool Cluster::reportFitsOneMore(const Machine& m) const {
     std::size_t bytes = m.reportBytes;
     for (const auto& c : m.allocations)
@@ -47,8 +51,7 @@
     // is in use there is no other room, and replicas start again on them at once.
     o.outboundPartitioned =
         m.outboundPartitioned || now_ - m.lastHeartbeatAt >= settings_.reportEvery * 2;
-    if (const auto pool = pools_.find(m.type); pool != pools_.end())
-        o.reservationDistance = pool->second.distance(machine);
+    o.reservationDistance = quota_.reservationDistance(machine, m);
     o.free = freeCapacityOn(m);
     o.reclaimable.fill(o.free);
     for (const auto& [image, used] : m.images) o.images.push_back(image);
@@ -95,7 +98,7 @@
             ++zones[c.job][m.zone];
         }
     }
-    for (const auto& [team, use] : teamUse_) {
+    for (const auto& [team, use] : quota_.useByTeam()) {
         Demand left = use;
         left -= used[team];
         if (std::abs(left.cores) + std::abs(left.ramGb) + std::abs(left.gpus) > 1e-3)
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -33,7 +33,7 @@
                       const Planned& planned) const {
     const JobSpec& s = job.spec;
     if (spot && !s.spotAllowed) return false;
-    if (!typeAllowed(s, type)) return false;
+    if (!s.allowsType(type)) return false;
     if (s.zone && *s.zone != zone) return false;
     if (!s.sameZone && !s.spread) return true;
     // Judged against everything of the job that may be somewhere, not only what is reported. A
@@ -54,16 +54,6 @@
     return !s.spread || here < (s.tasks + 1) / 2;
 }
 
-bool Cluster::withinLimit(const Job& job) const {
-    const auto team = std::find_if(settings_.teams.begin(), settings_.teams.end(),
-                                   [&](const auto& t) { return t.name == job.spec.team; });
-    if (team == settings_.teams.end()) return false;
-    const auto used = teamUse_.find(job.spec.team);
-    const Demand now = used == teamUse_.end() ? Demand{} : used->second;
-    return (team->coresMax <= 0 || now.cores + job.spec.demand.cores <= team->coresMax + epsilon) &&
-           (team->gpusMax <= 0 || now.gpus + job.spec.demand.gpus <= team->gpusMax + epsilon);
-}
-
 double Cluster::imageFetchTime(const JobSpec& s, const std::string& type) const {
     const auto t = catalogue_.find(type);
     return t == catalogue_.end() ? 0 : s.imageGb / std::max(t->second.fetchGbPerS, 1e-3);
@@ -189,9 +179,7 @@
         for (auto e = order.rbegin(); e != order.rend(); ++e)
             teams[e->job->spec.team].push_back(e->job);
         // Within a rank the team that uses least goes next: max-min, one task at a time.
-        const auto use = [&](const auto& team) {
-            return teamUse_[team.first].cores / weightOf(team.first);
-        };
+        const auto use = [&](const auto& team) { return quota_.weightedUse(team.first); };
         while (!teams.empty()) {
             const auto least =
                 std::min_element(teams.begin(), teams.end(),
@@ -202,7 +190,7 @@
                 continue;
             }
             Job& job = *jobs.back();
-            if (job.waitingCount() == 0 || !withinLimit(job)) {
+            if (job.waitingCount() == 0 || !quota_.withinLimit(job.spec)) {
                 jobs.pop_back();
                 continue;
             }
@@ -215,7 +203,7 @@
                 continue;
             }
             const std::uint32_t task = job.nextWaiting();
-            if (withinReservation(job) && placeInReservation(job, task, now)) {
+            if (quota_.withinReservation(job.spec) && placeInReservation(job, task, now)) {
                 refreshCapacities();
                 continue;
             }
