--- a/src/scheduler/cluster.h
+++ b/src/scheduler/cluster.h
@@ -12,6 +12,7 @@
 #include "kv_store/transaction_writer.h"
 #include "lease_delegation/delegator.h"
 #include "scheduler/capacity_index.h"
+#include "scheduler/queue_order.h"
 #include "scheduler/quota.h"
 #include "scheduler/runtime_estimates.h"
 #include "settings/operator.h"
@@ -160,17 +161,10 @@
     /// Stops borrowing work on a machine that is to be returned, if it saves what it has done.
     void stopOpportunistic(MachineIndex machine);
 
-    /// How many of its objectives a waiting job does not meet any more, and by when it must start
-    /// to meet the next one, if there is one.
-    struct SchedulingPriority {
-        std::size_t missedObjectives = 0;
-        TimePoint startBy{};
-        bool canMeetAnother = false;
-        auto operator<=>(const SchedulingPriority&) const = default;
-    };
-    /// `given`: objectives that are given up although they could be met.
-    [[nodiscard]] SchedulingPriority schedulingPriority(const Job& job, TimePoint now,
-                                                        std::size_t given = 0) const;
+    /// How urgently a waiting job has to start.
+    [[nodiscard]] SchedulingPriority schedulingPriority(const Job& job, TimePoint now) const {
+        return scheduler::schedulingPriority(job, settings_.objectives, runTime(job.spec), now);
+    }
     /// Runs on what others leave idle: low priority, beyond its team's guarantee, and it ends.
     [[nodiscard]] bool isOpportunistic(const Job& job) const {
         return job.rank == Priority::low && job.spec.shape != Shape::service &&
@@ -289,13 +283,6 @@
     /// Room is kept on machines that have such a class's images: its next tasks start at once.
     [[nodiscard]] bool wantsWarmCapacity(const JobSpec& s) const;
     MachineIndex chooseMachine(const Job& job, const Planned& planned, TimePoint now) const;
-    struct QueueEntry {
-        SchedulingPriority priority;
-        Job* job;
-    };
-    /// Jobs of one rank in the order in which they are to be placed.
-    [[nodiscard]] std::vector<QueueEntry> queueOrder(const std::vector<Job*>& jobs,
-                                                     TimePoint now) const;
     bool placeGang(Job& job, TimePoint now);
     [[nodiscard]] bool placeable(const Job& job, MachineIndex machine, TimePoint now) const;
     /// What is free on it when all that has been told to stop has gone.
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -175,7 +175,7 @@
         if (now >= job->backOffUntil) ranks[job->rank].push_back(job);
     for (const auto& [rank, waiting] : ranks) {
         std::map<std::string, std::vector<Job*>> teams;  // the next job of each last
-        const auto order = queueOrder(waiting, now);
+        const auto order = queueOrder(waiting, settings_.objectives, estimates_, now);
         for (auto e = order.rbegin(); e != order.rend(); ++e)
             teams[e->job->spec.team].push_back(e->job);
         // Within a rank the team that uses least goes next: max-min, one task at a time.
--- a/src/scheduler/queue_order.cpp
+++ b/src/scheduler/queue_order.cpp
@@ -1,121 +1,191 @@
-#include <algorithm>
-
-#include "scheduler/cluster.h"
+#include "scheduler/queue_order.h"
 
-// Whose turn it is.
+#include <algorithm>
+#include <map>
+#include <set>
+#include <tuple>
 
 namespace basaltchute::scheduler {
 
 using namespace std::chrono_literals;
+using settings::Objective;
 
 namespace {
-constexpr Duration overdueTurn = 240s;
-constexpr Duration patientTurn = 900s;
-}  // namespace
 
-Cluster::SchedulingPriority Cluster::schedulingPriority(const Job& job, TimePoint now,
-                                                        std::size_t given) const {
-    Duration last = overdueTurn;
-    const Duration run = estimates_.runTime(job.spec);
-    SchedulingPriority u;
-    std::vector<TimePoint> open;  // latest starts that still serve an objective
-    const auto considerBy = [&](TimePoint latestStart) {
-        if (latestStart < now)
-            ++u.missedObjectives;
+constexpr Duration minAgingTime = 240s;  // until age alone puts a late job first
+constexpr Duration agingTimeWithoutObjectives = 900s;
+constexpr int agingTimePerObjective = 4;  // in multiples of the time the objective allows
+
+/// What a job's objectives ask of its start.
+struct ObjectiveStarts {
+    std::size_t missed = 0;
+    std::vector<TimePoint> latestStarts;  // of those that can still be met, ascending
+    Duration agingTime = minAgingTime;
+};
+
+class ObjectiveStartsBuilder {
+  public:
+    ObjectiveStartsBuilder(Duration runTime, TimePoint now) : runTime_(runTime), now_(now) {}
+
+    void addStartWithin(TimePoint from, Duration within) { add(from, within, Duration::zero()); }
+    void addEndWithin(TimePoint from, Duration within) { add(from, within, runTime_); }
+    void addEndBy(TimePoint end) { addLatestStart(end - runTime_); }
+
+    ObjectiveStarts build() {
+        if (starts_.latestStarts.empty() && starts_.missed == 0) {
+            // Work that nobody has an objective for does not go before work that can still meet
+            // one, or whoever takes their time would fill the capacity of those in a hurry; its
+            // turn comes late, but it does.
+            starts_.missed = 1;
+            starts_.agingTime = agingTimeWithoutObjectives;
+        }
+        std::sort(starts_.latestStarts.begin(), starts_.latestStarts.end());
+        return std::move(starts_);
+    }
+
+  private:
+    void add(TimePoint from, Duration within, Duration needed) {
+        starts_.agingTime = std::max(starts_.agingTime, within * agingTimePerObjective);
+        addLatestStart(from + within - needed);
+    }
+    void addLatestStart(TimePoint latestStart) {
+        if (latestStart < now_)
+            ++starts_.missed;
         else
-            open.push_back(latestStart);
-    };
-    // What it waited for others is no wait of its own; its deadline counts from its submission.
-    const auto consider = [&](TimePoint from, Duration within, Duration needs) {
-        last = std::max(last, within * 4);
-        considerBy(from + within - needs);
-    };
-    bool deadlines = false;
-    for (const auto& o : settings_.objectives) {
+            starts_.latestStarts.push_back(latestStart);
+    }
+
+    Duration runTime_;
+    TimePoint now_;
+    ObjectiveStarts starts_;
+};
+
+ObjectiveStarts startsOf(const Job& job, const std::vector<Objective>& objectives, Duration runTime,
+                         TimePoint now) {
+    ObjectiveStartsBuilder starts(runTime, now);
+    // The time a job was blocked by others is no wait of its own; its deadline counts from its
+    // submission.
+    bool hasDeadlineObjective = false;
+    for (const Objective& o : objectives) {
         if (o.jobClass != job.spec.jobClass) continue;
-        if (o.kind == "wait") consider(job.releasedAt, o.within, Duration::zero());
-        if (o.kind == "finished") consider(job.releasedAt, o.within, run);
+        if (o.kind == "wait") starts.addStartWithin(job.releasedAt, o.within);
+        if (o.kind == "finished") starts.addEndWithin(job.releasedAt, o.within);
         if (o.kind == "deadline" && job.spec.deadlineS) {
-            deadlines = true;
-            consider(job.submittedAt, fromSeconds(*job.spec.deadlineS * o.times), run);
+            hasDeadlineObjective = true;
+            starts.addEndWithin(job.submittedAt, fromSeconds(*job.spec.deadlineS * o.times));
         }
     }
-    if (job.spec.deadlineS && !deadlines)
-        consider(job.submittedAt, fromSeconds(*job.spec.deadlineS), run);
-    // What jobs after it ask of it: a chain is late as a whole.
-    if (job.deadlines.first != Deadlines::never) considerBy(job.deadlines.first - run);
-    if (job.deadlines.last != job.deadlines.first) considerBy(job.deadlines.last - run);
-    // Work that nobody has an objective for does not go before work that can still meet one, or
-    // whoever takes its time fills the room of those in a hurry; its turn comes late, but it does.
-    if (open.empty() && u.missedObjectives == 0) {
-        u.missedObjectives = 1;
-        last = patientTurn;
-    }
-    std::sort(open.begin(), open.end());
-    u.missedObjectives += std::min(given, open.size());
-    u.canMeetAnother = given < open.size();
-    if (u.canMeetAnother) {
-        u.startBy = open[given];
-        return u;
-    }
-    // A start that meets every objective is worth more than one that meets the rest: in a burst
-    // what is late would make all that follows late as well. What has missed them all waits, but
-    // not for ever: its turn comes by age.
-    u.startBy = job.releasedAt + last;
-    if (u.startBy <= now) u.missedObjectives = 0;
-    return u;
+    if (job.spec.deadlineS && !hasDeadlineObjective)
+        starts.addEndWithin(job.submittedAt, fromSeconds(*job.spec.deadlineS));
+    // What its dependents ask of it: the jobs of a dependency graph are late together.
+    if (job.deadlines.first != Deadlines::never) starts.addEndBy(job.deadlines.first);
+    if (job.deadlines.last != job.deadlines.first) starts.addEndBy(job.deadlines.last);
+    return starts.build();
 }
 
-std::vector<Cluster::QueueEntry> Cluster::queueOrder(const std::vector<Job*>& jobs,
-                                                     TimePoint now) const {
-    // By what is due first, as long as all of it can be served in time. Where it cannot, the
-    // largest jobs are put back to their next objective until the rest can: serving in order of
-    // due times would make everybody late together (Moore and Hodgson's rule).
-    std::map<std::size_t, std::vector<QueueEntry>> tiers;
-    for (Job* job : jobs) {
-        const SchedulingPriority t = schedulingPriority(*job, now);
-        tiers[t.missedObjectives].push_back({t, job});
-    }
-    std::vector<QueueEntry> order;
-    double ahead = 0;
-    for (auto tier = tiers.begin(); tier != tiers.end(); ++tier) {
-        auto& entries = tier->second;
-        std::sort(entries.begin(), entries.end(), [](const QueueEntry& a, const QueueEntry& b) {
-            return std::tie(a.priority, a.job->submitted, a.job->spec.id) <
-                   std::tie(b.priority, b.job->submitted, b.job->spec.id);
-        });
-        std::set<std::pair<double, std::size_t>> kept;  // by cores that wait
-        std::vector<bool> put(entries.size(), false);
-        for (std::size_t i = 0; i < entries.size(); ++i) {
-            const QueueEntry& e = entries[i];
-            const double pace = estimates_.drainRate(e.job->rank);
-            const double work = e.job->spec.demand.cores * e.job->waitingCount();
-            ahead += work;
-            if (!e.priority.canMeetAnother || e.job->spec.shape == Shape::service || pace <= 0)
-                continue;
-            kept.emplace(work, i);
-            while (!kept.empty() && ahead > pace * toSeconds(e.priority.startBy - now)) {
-                const auto largest = std::prev(kept.end());
-                ahead -= largest->first;
-                put[largest->second] = true;
-                kept.erase(largest);
+/// Orders jobs tier by tier, a tier being the number of objectives that its jobs have missed.
+class QueueOrder {
+  public:
+    QueueOrder(const std::vector<Objective>& objectives, const RuntimeEstimates& estimates,
+               TimePoint now)
+        : objectives_(objectives), estimates_(estimates), now_(now) {}
+
+    std::vector<QueueEntry> order(const std::vector<Job*>& jobs) {
+        for (Job* job : jobs) {
+            const SchedulingPriority priority = priorityOf(*job, 0);
+            tiers_[priority.missedObjectives].push_back({priority, job});
+        }
+        std::vector<QueueEntry> ordered;
+        // Jobs that concede an objective join a later tier, which may come to exist by that.
+        for (auto tier = tiers_.begin(); tier != tiers_.end(); ++tier) {
+            auto& [missed, entries] = *tier;
+            std::sort(entries.begin(), entries.end(), goesBefore);
+            const std::vector<bool> concedes = largestThatMakeOthersLate(entries);
+            for (std::size_t i = 0; i < entries.size(); ++i) {
+                if (concedes[i])
+                    moveToLaterTier(*entries[i].job, missed);
+                else
+                    ordered.push_back(entries[i]);
             }
         }
+        return ordered;
+    }
+
+  private:
+    static bool goesBefore(const QueueEntry& a, const QueueEntry& b) {
+        return std::tie(a.priority, a.job->submitted, a.job->spec.id) <
+               std::tie(b.priority, b.job->submitted, b.job->spec.id);
+    }
+
+    SchedulingPriority priorityOf(const Job& job, std::size_t conceded) const {
+        return schedulingPriority(job, objectives_, estimates_.runTime(job.spec), now_, conceded);
+    }
+
+    /// Which entries of a tier concede their next objective. In order of the latest starts alone
+    /// everybody would be late together where not everything can be served in time.
+    std::vector<bool> largestThatMakeOthersLate(const std::vector<QueueEntry>& entries) {
+        std::vector<bool> concedes(entries.size(), false);
+        std::set<std::pair<double, std::size_t>> keeping;  // by cores that wait
         for (std::size_t i = 0; i < entries.size(); ++i) {
-            if (!put[i]) {
-                order.push_back(entries[i]);
+            const auto& [priority, job] = entries[i];
+            const double drainRate = estimates_.drainRate(job->rank);
+            const double work = job->spec.demand.cores * job->waitingCount();
+            coresAhead_ += work;
+            if (!priority.canMeetAnother || job->spec.shape == Shape::service || drainRate <= 0)
                 continue;
+            keeping.emplace(work, i);
+            const double servedInTime = drainRate * toSeconds(priority.startBy - now_);
+            while (!keeping.empty() && coresAhead_ > servedInTime) {
+                const auto largest = std::prev(keeping.end());
+                coresAhead_ -= largest->first;
+                concedes[largest->second] = true;
+                keeping.erase(largest);
             }
-            // What it could meet and gives up counts as missed; what it has missed does already.
-            std::size_t given = 1;
-            SchedulingPriority later = schedulingPriority(*entries[i].job, now, given);
-            while (later.missedObjectives <= tier->first && later.canMeetAnother)
-                later = schedulingPriority(*entries[i].job, now, ++given);
-            later.missedObjectives = std::max(later.missedObjectives, tier->first + 1);
-            tiers[later.missedObjectives].push_back({later, entries[i].job});
         }
+        return concedes;
+    }
+
+    void moveToLaterTier(Job& job, std::size_t tier) {
+        // What it could meet and concedes counts as missed; what it has missed does already.
+        std::size_t conceded = 1;
+        SchedulingPriority later = priorityOf(job, conceded);
+        while (later.missedObjectives <= tier && later.canMeetAnother)
+            later = priorityOf(job, ++conceded);
+        later.missedObjectives = std::max(later.missedObjectives, tier + 1);
+        tiers_[later.missedObjectives].push_back({later, &job});
     }
-    return order;
+
+    const std::vector<Objective>& objectives_;
+    const RuntimeEstimates& estimates_;
+    TimePoint now_;
+    std::map<std::size_t, std::vector<QueueEntry>> tiers_;
+    double coresAhead_ = 0;  // of what goes before, in this tier and those before it
+};
+
+}  // namespace
+
+SchedulingPriority schedulingPriority(const Job& job, const std::vector<Objective>& objectives,
+                                      Duration runTime, TimePoint now, std::size_t conceded) {
+    const ObjectiveStarts starts = startsOf(job, objectives, runTime, now);
+    SchedulingPriority priority;
+    priority.missedObjectives = starts.missed + std::min(conceded, starts.latestStarts.size());
+    priority.canMeetAnother = conceded < starts.latestStarts.size();
+    if (priority.canMeetAnother) {
+        priority.startBy = starts.latestStarts[conceded];
+        return priority;
+    }
+    // A start that meets every objective is worth more than one that meets the rest: in a burst
+    // what is late would make all that follows late as well. What has missed them all waits, but
+    // not for ever: its turn comes by age.
+    priority.startBy = job.releasedAt + starts.agingTime;
+    if (priority.startBy <= now) priority.missedObjectives = 0;
+    return priority;
+}
+
+std::vector<QueueEntry> queueOrder(const std::vector<Job*>& jobs,
+                                   const std::vector<Objective>& objectives,
+                                   const RuntimeEstimates& estimates, TimePoint now) {
+    return QueueOrder(objectives, estimates, now).order(jobs);
 }
 
 }  // namespace basaltchute::scheduler
