--- a/src/lease_delegation/lease_delegation_test.cpp
+++ b/src/lease_delegation/lease_delegation_test.cpp
@@ -11,7 +11,6 @@
 using namespace std::chrono_literals;
 using scheduler::Cluster;
 using testing::Worker;
-using worker_api::CommandKind;
 
 class DelegationTest : public ::testing::Test {
   protected:
--- a/src/scheduler/cluster.cpp
+++ b/src/scheduler/cluster.cpp
@@ -82,7 +82,7 @@
         markCapacityDirty(at);
         auto& allocations = machines_[at].allocations;
         for (std::size_t c = allocations.size(); c-- > 0;)
-            if (allocations[c].job == &job && !allocations[c].launchSent) release(at, c);
+            if (allocations[c].job == &job && !allocations[c].state.launchSent()) release(at, c);
         if (t.state == TaskState::bound) effects_.sendCommands.insert(at);
     }
     cancellations_.insert(&job);
@@ -290,7 +290,7 @@
         if (t.state != TaskState::bound || t.stopping) return;
         Machine& m = machines_[t.machine];
         const Allocation* c = m.findAllocation(job, which, t.attempt);
-        if (c != nullptr && !c->launchSent) {
+        if (c != nullptr && !c->state.launchSent()) {
             // Its launch never left, so there is nothing to stop and nothing will be reported:
             // told to stop, such a task once kept its room for good.
             release(t.machine, static_cast<std::size_t>(c - m.allocations.data()));
--- a/src/scheduler/cluster.h
+++ b/src/scheduler/cluster.h
@@ -247,18 +247,51 @@
     void release(MachineIndex machine, std::size_t charge);
     void releaseAll(MachineIndex machine);
     void setPhase(Job& job, JobTask& task, Phase phase, TimePoint now);
+    // Reconciliation, a step each
+    void onFirstReport(MachineIndex machine, const worker_api::StatusReport& r, TimePoint now);
+    /// The agent began anew: whatever the former incarnation ran is gone.
+    void onNewIncarnation(MachineIndex machine, TimePoint now);
+    void takeLateResults(MachineIndex machine, const worker_api::StatusReport& r, TimePoint now);
+    void noteContact(MachineIndex machine, Source source, TimePoint now);
+    void noteInterruption(MachineIndex machine, Duration notice, TimePoint now);
+    void reconcileTasks(MachineIndex machine, const worker_api::StatusReport& r, TimePoint now);
+    /// Releases allocations that the report proves absent by not listing them.
+    void releaseUnreported(MachineIndex machine, const worker_api::StatusReport& r, Source source);
     void onTaskReported(MachineIndex machine, const worker_api::ReportedTask& t, TimePoint now);
+    /// Allocates a reported attempt that is not known on this machine: the task's own from now on
+    /// if it is waiting, else orphaned.
+    worker_api::Allocation& adoptReported(MachineIndex machine, Job& job,
+                                          const worker_api::ReportedTask& t);
     void onTaskExited(MachineIndex machine, const worker_api::ReportedTask& t, TimePoint now);
-    /// Whether the machine hears what it is answered, by a newer beat of its.
+    /// A task ended with its result.
+    void recordResult(Job& job, const worker_api::ReportedTask& t, TimePoint now);
+    /// What an exit says of the machine and of the job.
+    void applyExitCause(MachineIndex machine, const worker_api::Allocation& allocation,
+                        worker_api::ExitCause cause, TimePoint now);
+    /// Decides whether the job or the machine is at fault, and keeps it back.
+    void onTaskFailed(MachineIndex machine, Job& job, TimePoint now);
+    [[nodiscard]] bool hasHealthyTask(const Job& job, TimePoint now) const;
+    /// Whether the machine acts on the responses to its heartbeats, by a newer heartbeat.
     void checkResponsesArrive(MachineIndex machine, TimePoint now);
-    void markInboundPartitioned(MachineIndex machine, const char* why, TimePoint now);
-    /// Whether its reports should have come by now.
-    void checkReportsArrive(MachineIndex machine, TimePoint now);
-    void onTaskFailed(worker_api::Machine& m, MachineIndex index, Job& job, TimePoint now);
-    /// A gang starts once all of its bindings stand.
-    bool allBound(const Job& job) const;
-    bool mustStop(const worker_api::Allocation& c) const;
-    std::vector<worker_api::Command> commandsFor(MachineIndex machine, bool direct);
+    void noteLaunchesInResponse(MachineIndex machine,
+                                const std::vector<worker_api::Command>& commands);
+    void markInboundPartitioned(MachineIndex machine, const char* reason, TimePoint now);
+    /// Whether its heartbeats should have arrived by now.
+    void checkHeartbeatsArrive(MachineIndex machine, TimePoint now);
+
+    // Commands
+    enum class CommandChannel { heartbeatResponse, direct };
+    /// Whether all tasks of a gang are bound or done, on record.
+    [[nodiscard]] bool allTasksBound(const Job& job) const;
+    /// Whether what has to be on record before the launch is.
+    [[nodiscard]] bool mayLaunch(const worker_api::Allocation& allocation) const;
+    [[nodiscard]] bool mustStop(const worker_api::Allocation& allocation) const;
+    std::vector<worker_api::Command> commandsFor(MachineIndex machine, CommandChannel channel);
+    void addForgets(const worker_api::Machine& m, std::vector<worker_api::Command>& out) const;
+    void addStop(worker_api::Allocation& allocation, CommandChannel channel,
+                 std::vector<worker_api::Command>& out);
+    void addLaunch(worker_api::Allocation& allocation, CommandChannel channel,
+                   std::vector<worker_api::Command>& out);
 
     // Cells
     /// Lists a machine that has come up in the cells of its type, with what is bound on it.
--- a/src/scheduler/cluster_fixture.h
+++ b/src/scheduler/cluster_fixture.h
@@ -10,10 +10,19 @@
 using namespace std::chrono_literals;
 using testing::Worker;
 using worker_api::Command;
-using worker_api::CommandKind;
 using worker_api::ExitCause;
+using worker_api::StopTask;
 using worker_api::TaskStatus;
 
+/// The alternatives of a command, in their order, for comparisons of several at once.
+enum class CommandKind { launch, stop, forget };
+inline CommandKind kindOf(const Command& command) {
+    static_assert(
+        std::is_same_v<Command,
+                       std::variant<worker_api::LaunchTask, StopTask, worker_api::ForgetTask>>);
+    return static_cast<CommandKind>(command.index());
+}
+
 /// A leader's state on a fake clock, with the state service played by `commit`.
 class ClusterTest : public ::testing::Test {
   protected:
--- a/src/scheduler/cluster_test.cpp
+++ b/src/scheduler/cluster_test.cpp
@@ -48,8 +48,8 @@
     commit();
     const auto orders = beat(w);
     ASSERT_EQ(orders.size(), 1U);
-    EXPECT_EQ(orders[0].kind, CommandKind::launch);
-    EXPECT_EQ(orders[0].attempt, 1U);
+    EXPECT_EQ(kindOf(orders[0]), CommandKind::launch);
+    EXPECT_EQ(attemptOf(orders[0]).attempt, 1U);
 }
 
 TEST_F(ClusterTest, AcceptanceAndBindingsAreOneWrite) {
@@ -75,7 +75,7 @@
     beat(w);  // the answer is lost
     const auto again = beat(w);
     ASSERT_EQ(again.size(), 1U);
-    EXPECT_EQ(again[0].attempt, 1U);
+    EXPECT_EQ(attemptOf(again[0]).attempt, 1U);
 }
 
 TEST_F(ClusterTest, DoesNotMoveATaskWhileItMayStillRun) {
@@ -97,7 +97,7 @@
     EXPECT_EQ(job.tasks[0].attempt, 2U);
     const auto orders = beat(other);
     ASSERT_EQ(orders.size(), 1U);
-    EXPECT_EQ(orders[0].attempt, 2U);
+    EXPECT_EQ(attemptOf(orders[0]).attempt, 2U);
 }
 
 TEST_F(ClusterTest, ANewSessionProvesThatNothingRuns) {
@@ -180,7 +180,7 @@
     EXPECT_TRUE(job.doneDurable());
     const auto orders = beat(w);
     ASSERT_EQ(orders.size(), 1U);
-    EXPECT_EQ(orders[0].kind, CommandKind::forget);
+    EXPECT_EQ(kindOf(orders[0]), CommandKind::forget);
 }
 
 TEST_F(ClusterTest, AnUnansweredDirectLaunchStaysChargedAndIsNeverForgotten) {
@@ -197,8 +197,8 @@
     // Made known and ended in one go, so that the late launch is a repetition.
     auto orders = beat(w);
     ASSERT_EQ(orders.size(), 2U);
-    EXPECT_EQ(orders[0].kind, CommandKind::launch);
-    EXPECT_EQ(orders[1].kind, CommandKind::stop);
+    EXPECT_EQ(kindOf(orders[0]), CommandKind::launch);
+    EXPECT_EQ(kindOf(orders[1]), CommandKind::stop);
     EXPECT_EQ(cluster->machines()[m].allocations.size(), 1U);
     w.execute(orders);
     for (int i = 0; i < 3; ++i) EXPECT_TRUE(beat(w).empty()) << "forgotten, it could start again";
@@ -388,7 +388,7 @@
     w.report.tasks.push_back({"run-9", 0, 1, TaskStatus::running, ExitCause::other, false});
     const auto orders = beat(w);
     ASSERT_EQ(orders.size(), 1U);
-    EXPECT_EQ(orders[0].kind, CommandKind::stop);
+    EXPECT_EQ(kindOf(orders[0]), CommandKind::stop);
 }
 
 TEST_F(ClusterTest, LimitsCountWhatPossiblyRuns) {
@@ -473,8 +473,8 @@
     place();
     const auto orders = beat(w);
     ASSERT_EQ(orders.size(), 1U) << "one task is enough room";
-    EXPECT_EQ(orders[0].kind, CommandKind::stop);
-    EXPECT_GE(orders[0].gracePeriod, 5s);
+    EXPECT_EQ(kindOf(orders[0]), CommandKind::stop);
+    EXPECT_GE(std::get<StopTask>(orders[0]).gracePeriod, 5s);
     w.execute(orders);
     beat(w);
     place();
@@ -590,8 +590,8 @@
     ASSERT_LT(job.layout.head().durable, job.layout.head().version);
     const auto orders = beat(w);
     ASSERT_EQ(orders.size(), 1U) << "the second result does not stand yet";
-    EXPECT_EQ(orders[0].kind, CommandKind::forget);
-    EXPECT_EQ(orders[0].task, 0U);
+    EXPECT_EQ(kindOf(orders[0]), CommandKind::forget);
+    EXPECT_EQ(attemptOf(orders[0]).task, 0U);
 }
 
 TEST_F(ClusterTest, AMachineWhoseReportIsNearlyFullGetsNoMoreTasks) {
@@ -755,7 +755,7 @@
     cluster->advanceTo(clock.now());
     const auto orders = beat(w);
     ASSERT_EQ(orders.size(), 1U);
-    EXPECT_GE(orders[0].gracePeriod, 4s);
+    EXPECT_GE(std::get<StopTask>(orders[0]).gracePeriod, 4s);
 }
 
 TEST_F(ClusterTest, AMachineThatFailsSeveralJobsGetsNoMoreWork) {
--- /dev/null
+++ b/src/scheduler/commands.cpp
@@ -0,0 +1,125 @@
+#include <algorithm>
+
+#include "scheduler/cluster.h"
+
+// What a machine is told to do, in the response to its heartbeat or by a direct request.
+
+namespace basaltchute::scheduler {
+
+using namespace std::chrono_literals;
+using worker_api::Allocation;
+using worker_api::Command;
+using worker_api::ForgetTask;
+using worker_api::LaunchTask;
+using worker_api::Machine;
+using worker_api::StopTask;
+using worker_api::TaskAttempt;
+
+namespace {
+
+constexpr std::size_t maxCommands = 300;             // a message is one line of at most 64 KiB
+constexpr std::size_t maxForgets = maxCommands / 2;  // launches and stops go on meanwhile
+constexpr double checkpointMarginS = 0.5;            // beyond the time that the owner states
+
+TaskAttempt attemptIn(const Allocation& allocation) {
+    return {allocation.job->spec.id, allocation.task, allocation.attempt};
+}
+
+}  // namespace
+
+bool Cluster::mustStop(const Allocation& allocation) const {
+    const JobTask& task = allocation.job->tasks[allocation.task];
+    return allocation.orphaned || !allocation.job->open() || task.state != TaskState::bound ||
+           task.attempt != allocation.attempt || task.stopping;
+}
+
+bool Cluster::allTasksBound(const Job& job) const {
+    return job.boundCount + job.doneCount >= job.spec.tasks && job.layout.durable();
+}
+
+bool Cluster::mayLaunch(const Allocation& allocation) const {
+    const Job& job = *allocation.job;
+    // Launched before its binding is on record, it could be started a second time by a successor.
+    if (job.layout.of(allocation.task).durable < allocation.recordVersion || !job.accepted())
+        return false;
+    // A gang starts once all of its bindings are on record.
+    return job.spec.shape != Shape::gang || allTasksBound(job);
+}
+
+void Cluster::addForgets(const Machine& m, std::vector<Command>& out) const {
+    for (const auto& [ended, version] : m.terminalStatuses) {
+        if (out.size() >= maxForgets) break;
+        if (m.tombstones.contains(ended)) continue;
+        const auto job = jobs_.find(ended.job);
+        // What the exit proves must be on record first: a forgotten result is lost for good.
+        if (job != jobs_.end() && ended.task < job->second->spec.tasks &&
+            job->second->layout.of(ended.task).durable < version)
+            continue;
+        out.emplace_back(ForgetTask{ended});
+    }
+}
+
+void Cluster::addStop(Allocation& allocation, CommandChannel channel, std::vector<Command>& out) {
+    if (!allocation.state.launchSent()) return;
+    if (channel == CommandChannel::direct && allocation.stopSent) return;
+    const JobSpec& spec = allocation.job->spec;
+    const JobTask& task = allocation.job->tasks[allocation.task];
+    const bool checkpoints = task.stopping && allocation.job->open() && spec.checkpointS > 0;
+    if (!allocation.state.confirmed() && allocation.state.directLaunchUnresolved())
+        // The launch may arrive yet. Making the attempt known and ending it at once turns the late
+        // one into a repetition, which does nothing.
+        out.emplace_back(LaunchTask{attemptIn(allocation)});
+    out.emplace_back(
+        StopTask{attemptIn(allocation),
+                 checkpoints ? fromSeconds(spec.saveS + checkpointMarginS) : Duration::zero()});
+    allocation.stopSent = true;
+}
+
+void Cluster::addLaunch(Allocation& allocation, CommandChannel channel, std::vector<Command>& out) {
+    if (allocation.state.confirmed() || allocation.state.adopted()) return;
+    if (!mayLaunch(allocation)) return;
+    if (channel == CommandChannel::direct && allocation.state.launchSent()) return;
+    out.emplace_back(LaunchTask{attemptIn(allocation)});
+    if (channel == CommandChannel::direct)
+        allocation.state.onDirectLaunchSent();
+    else
+        allocation.state.onLaunchInResponse();
+    allocation.job->tasks[allocation.task].phase = Phase::launchSent;
+}
+
+std::vector<Command> Cluster::commandsFor(MachineIndex machine, CommandChannel channel) {
+    Machine& m = machines_[machine];
+    std::vector<Command> out;
+    if (channel == CommandChannel::heartbeatResponse) addForgets(m, out);
+    for (const auto& t : m.unknownTasks) {
+        if (out.size() >= maxCommands) break;
+        out.emplace_back(StopTask{{t.job, t.task, t.attempt}, Duration::zero()});
+    }
+    for (Allocation& allocation : m.allocations) {
+        if (out.size() >= maxCommands) break;
+        if (mustStop(allocation))
+            addStop(allocation, channel, out);
+        else
+            addLaunch(allocation, channel, out);
+    }
+    return out;
+}
+
+std::vector<Command> Cluster::takeDirectCommands(MachineIndex machine, TimePoint now) {
+    Machine& m = machines_[machine];
+    if (m.commandInFlight || !m.up() || !isResponsive(m, now)) return {};
+    auto out = commandsFor(machine, CommandChannel::direct);
+    m.commandInFlight = !out.empty();
+    return out;
+}
+
+void Cluster::onDirectCommandEnded(MachineIndex machine, bool unanswered) {
+    Machine& m = machines_[machine];
+    m.commandInFlight = false;
+    for (Allocation& allocation : m.allocations) {
+        if (unanswered) allocation.stopSent = false;  // perhaps it did not arrive
+        allocation.state.onDirectLaunchEnded(unanswered);
+    }
+}
+
+}  // namespace basaltchute::scheduler
--- a/src/scheduler/dependency_tracking_test.cpp
+++ b/src/scheduler/dependency_tracking_test.cpp
@@ -326,8 +326,9 @@
             case Step::beat: {
                 const auto orders = cluster_->onHeartbeat(w_.next(), clock_.now());
                 w_.report.token = token_;
-                for (const auto& o : orders)
-                    if (o.kind == worker_api::CommandKind::launch) ran_.insert(o.job);
+                for (const Command& o : orders)
+                    if (const auto* launch = std::get_if<worker_api::LaunchTask>(&o))
+                        ran_.insert(launch->attempt.job);
                 w_.execute(orders);
                 break;
             }
--- a/src/scheduler/fault_interactions_test.cpp
+++ b/src/scheduler/fault_interactions_test.cpp
@@ -11,7 +11,7 @@
   protected:
     static std::vector<CommandKind> verbs(const std::vector<Command>& orders) {
         std::vector<CommandKind> out;
-        for (const auto& o : orders) out.push_back(o.kind);
+        for (const Command& o : orders) out.push_back(kindOf(o));
         return out;
     }
     /// A copy of a report that was sent before.
--- a/src/scheduler/free_capacity.cpp
+++ b/src/scheduler/free_capacity.cpp
@@ -31,7 +31,7 @@
 bool Cluster::reportFitsOneMore(const Machine& m) const {
     std::size_t bytes = m.reportBytes;
     for (const auto& c : m.allocations)
-        if (!c.confirmed) bytes += reportedTaskBytes;
+        if (!c.state.confirmed()) bytes += reportedTaskBytes;
     return bytes <= fullReportBytes;
 }
 
--- a/src/scheduler/persistence.cpp
+++ b/src/scheduler/persistence.cpp
@@ -128,7 +128,7 @@
             c.job = job.get();
             c.task = t;
             c.attempt = task.attempt;
-            c.launchSent = c.adopted = true;
+            c.state = worker_api::AllocationState::adoptedFromRecord();
             allocate(task.machine, std::move(c));
         }
     }
--- a/src/testing/world.h
+++ b/src/testing/world.h
@@ -74,7 +74,7 @@
         ++report.incarnation;
         report.tasks.clear();
     }
-    void execute(const std::vector<worker_api::Command>& orders);
+    void execute(const std::vector<worker_api::Command>& commands);
     void set(std::size_t task, worker_api::TaskStatus status,
              worker_api::ExitCause cause = worker_api::ExitCause::other) {
         report.tasks[task].status = status;
--- a/src/testing/world_test.cpp
+++ b/src/testing/world_test.cpp
@@ -137,21 +137,24 @@
     report.spot = spot;
     report.incarnation = 1;
 }
-void Worker::execute(const std::vector<worker_api::Command>& orders) {
-    for (const auto& o : orders) {
+void Worker::execute(const std::vector<worker_api::Command>& commands) {
+    using worker_api::TaskStatus;
+    for (const worker_api::Command& command : commands) {
+        const worker_api::TaskAttempt& target = worker_api::attemptOf(command);
         const auto it = std::find_if(report.tasks.begin(), report.tasks.end(), [&](const auto& t) {
-            return t.job == o.job && t.task == o.task && t.attempt == o.attempt;
+            return worker_api::TaskAttempt{t.job, t.task, t.attempt} == target;
         });
         const bool known = it != report.tasks.end();
-        if (o.kind == worker_api::CommandKind::launch && !known)
-            report.tasks.push_back({o.job, o.task, o.attempt, worker_api::TaskStatus::running,
+        if (std::holds_alternative<worker_api::LaunchTask>(command) && !known)
+            report.tasks.push_back({target.job, target.task, target.attempt, TaskStatus::running,
                                     worker_api::ExitCause::other, false});
-        if (o.kind == worker_api::CommandKind::stop && known &&
-            it->status != worker_api::TaskStatus::exited) {
-            it->status = worker_api::TaskStatus::exited;
+        if (std::holds_alternative<worker_api::StopTask>(command) && known &&
+            it->status != TaskStatus::exited) {
+            it->status = TaskStatus::exited;
             it->cause = worker_api::ExitCause::stopped;
         }
-        if (o.kind == worker_api::CommandKind::forget && known) report.tasks.erase(it);
+        if (std::holds_alternative<worker_api::ForgetTask>(command) && known)
+            report.tasks.erase(it);
     }
 }
 
--- a/src/worker_api/machine.h
+++ b/src/worker_api/machine.h
@@ -1,40 +1,20 @@
 #pragma once
+// What a leader knows of each machine: its agent, its lease, its tasks and the state of its network
+// path. Plain data; `scheduler::Cluster` alone changes it.
 #include <deque>
 #include <map>
 #include <optional>
 #include <set>
 #include <string>
-#include <tuple>
 #include <unordered_map>
 #include <vector>
 
-#include "cells/cells.h"
+#include "worker_api/allocation.h"
 #include "worker_api/status_report.h"
 
 namespace basaltchute::worker_api {
 
-/// An attempt that is possibly on a machine. It keeps its resources until there is proof that
-/// it is not: an exit reported, a newer session, a lease that has surely run out, or the
-/// cloud's answer that the machine is deleted.
-struct Allocation {
-    Job* job = nullptr;
-    std::uint32_t task = 0;
-    Attempt attempt = 0;
-    std::uint64_t recordVersion = 0;    // of the job's record that holds the binding
-    bool confirmed = false;             // reported in this session
-    bool launchSent = false;            // a launch has left
-    bool directLaunchInFlight = false;  // a direct launch is in flight
-    bool directLaunchUnresolved =
-        false;              // a direct launch went unanswered: it may arrive minutes later
-    bool adopted = false;   // bound by a former leader
-    bool orphaned = false;  // on the machine, but not where its task belongs
-    bool stopSent = false;
-    bool launchInLastResponse = false;     // its launch was in the answer to the last beat
-    std::uint64_t lastReportedIn = 0;      // the last report that mentioned it running
-    std::vector<cells::CellIndex> cells;   // of its team's reservation; none: low priority
-    std::uint32_t opportunisticSlots = 0;  // counted in the low-priority view
-};
-
+/// `expected`: on record or in the cloud's list, but no report has come. `gone`: deleted for good.
 enum class Presence { expected, up, gone };
 
 struct Machine {
@@ -42,59 +22,70 @@
     std::string listedZone;  // by the cloud's list, for one that has not reported yet
     bool spot = false;
     Presence presence = Presence::expected;
+
+    // The agent and its lease
     std::uint64_t incarnation = 0, heartbeatSequence = 0;
-    std::uint64_t endedIncarnation = 0;  // sessions up to this one are surely over
-    TimePoint lastHeardAt{};             // when its last news came
-    TimePoint lastHeartbeatAt{};         // when the last that it sent by itself came
-    TimePoint sequenceSeenAt{};          // when `session` and `sequence` came, whatever they told
-    TimePoint leaseEnd{};  // when its lease has surely run out, whoever answered it last
-    std::optional<TimePoint> interruptionAt;
+    std::uint64_t endedIncarnation = 0;  // incarnations up to this one are surely over
+    TimePoint lastHeardAt{};             // of its last new report, whatever it came by
+    TimePoint lastHeartbeatAt{};         // of the last new report that it sent by itself
+    TimePoint sequenceSeenAt{};  // of `incarnation` and `heartbeatSequence`, whatever was in them
+    TimePoint leaseEnd{};        // when its lease has surely run out, whoever renewed it last
+    TimePoint upSince{};
+    std::optional<TimePoint> interruptionAt;  // spot: the cloud takes it back then
+
+    // Its tasks
     std::vector<Allocation> allocations;
-    using TaskAttempt = std::tuple<JobId, std::uint32_t, Attempt>;
     /// As last reported, and the version of the job's record that holds what the exit proves. A
     /// later change of the same record is no reason to wait: a large array's changes all the time.
     std::map<TaskAttempt, std::uint64_t> terminalStatuses;
     std::size_t reportBytes = 0;             // of the last report
     std::vector<ReportedTask> unknownTasks;  // on it, but of no job on record
-    /// Attempts that must stay known to the worker: a late direct launch would start them again.
+    /// Attempts that the worker must not forget: a late direct launch would start them again.
     std::set<TaskAttempt> tombstones;
-    std::map<std::string, TimePoint> images;  // seen here, and when last used
-    std::set<JobId> failedJobs;               // since its last success
+    std::map<std::string, TimePoint> images;  // in its cache, and when last used
+    bool commandInFlight = false;             // a direct request has not ended yet
+
+    // Its health
+    std::set<JobId> failedJobs;  // since its last success
     std::uint32_t failures = 0;
     TimePoint backOffUntil{};
-    bool quarantined = false;
-    bool draining = false;  // to be returned: it gets no more work
-    TimePoint upSince{};
-    bool commandInFlight = false;
-    /// It may report without hearing: answered beats of this session, the last one's time, and how
-    /// many in a row came without what the answer before had asked for. No more work goes there
-    /// until `deafUntil`, and others are rented for it.
+    bool quarantined = false;  // tasks fail here that succeed elsewhere: it gets no more work
+    bool draining = false;     // to be terminated: it gets no more work
+
+    // Its network path
+    /// Inbound-partitioned: its reports arrive, but responses do not reach it. Heartbeats of this
+    /// incarnation that were answered, when the last one was, and how many responses in a row the
+    /// machine did not act on. It gets no more work until `inboundPartitionedUntil`, and the
+    /// autoscaler replaces its capacity.
     std::uint32_t answeredHeartbeats = 0, ignoredResponses = 0;
     TimePoint answeredAt{}, inboundPartitionedUntil{};
     bool inboundPartitioned = false;
-    /// It answers, but its reports do not come: nothing renews its lease. Work goes there only
-    /// where there is no other room, and what can be saved or moved is, until it reports again.
+    /// Outbound-partitioned: it answers direct requests, but its heartbeats do not arrive, so that
+    /// nothing renews its lease. Only services are placed there, and only where there is no other
+    /// capacity; what can write a checkpoint or be moved is, until it reports again.
     bool outboundPartitioned = false;
-    std::uint32_t unansweredProbes = 0;    // times it was asked in vain since its last news
+    std::uint32_t unansweredProbes = 0;  // since its last new report
+
+    // Bookkeeping of the scheduler
     TimePoint timerAt = TimePoint::max();  // when the passing of time next changes something here
-    bool capacityDirty = false;            // its offer of room has to be made anew
+    bool capacityDirty = false;            // its entry in the capacity index is out of date
 
     [[nodiscard]] bool up() const { return presence == Presence::up; }
-    /// The charge for this attempt, or nullptr if there is none.
+    /// The allocation of this attempt, or nullptr if there is none.
     Allocation* findAllocation(const Job& job, std::uint32_t task, Attempt attempt) {
-        // Reports list tasks in much the order in which they were charged: the search goes on
+        // Reports list tasks in much the order in which they were allocated: the search goes on
         // where the last one ended, or a machine with hundreds of tasks costs their square.
         for (std::size_t n = 0; n < allocations.size(); ++n, ++searchCursor) {
             if (searchCursor >= allocations.size()) searchCursor = 0;
-            Allocation& c = allocations[searchCursor];
-            if (c.job == &job && c.task == task && c.attempt == attempt) return &c;
+            Allocation& found = allocations[searchCursor];
+            if (found.job == &job && found.task == task && found.attempt == attempt) return &found;
         }
         return nullptr;
     }
     std::size_t searchCursor = 0;
 };
 
-/// Every machine this leader has heard of. Indices stay valid for good.
+/// Every machine this leader knows of. Indices and references stay valid: none is ever removed.
 class MachineRegistry {
   public:
     MachineIndex indexOf(const std::string& name) {
--- a/src/worker_api/status_report.cpp
+++ b/src/worker_api/status_report.cpp
@@ -25,16 +25,25 @@
     return ExitCause::other;
 }
 
-void write(json::Out& o, const std::vector<Command>& orders) {
+const char* verbOf(const LaunchTask& /*command*/) {
+    return "launch";
+}
+const char* verbOf(const StopTask& /*command*/) {
+    return "stop";
+}
+const char* verbOf(const ForgetTask& /*command*/) {
+    return "forget";
+}
+
+void write(json::Out& o, const std::vector<Command>& commands) {
     o.key("orders").openArray();
-    for (const auto& order : orders) {
-        const char* verb = order.kind == CommandKind::launch ? "launch"
-                           : order.kind == CommandKind::stop ? "stop"
-                                                             : "forget";
-        o.open().field("verb", verb);
-        o.field("split", order.job + '/' + std::to_string(order.task));
-        o.field("try", order.attempt);
-        if (order.kind == CommandKind::stop) o.field("windDownS", toSeconds(order.gracePeriod));
+    for (const Command& command : commands) {
+        const TaskAttempt& target = attemptOf(command);
+        o.open().field("verb", std::visit([](const auto& c) { return verbOf(c); }, command));
+        o.field("split", target.job + '/' + std::to_string(target.task));
+        o.field("try", target.attempt);
+        if (const auto* stop = std::get_if<StopTask>(&command))
+            o.field("windDownS", toSeconds(stop->gracePeriod));
         o.close();
     }
     o.closeArray();
@@ -85,18 +94,18 @@
     return r;
 }
 
-std::string encodeHeartbeatResponse(FencingToken token, const std::vector<Command>& orders) {
+std::string encodeHeartbeatResponse(FencingToken token, const std::vector<Command>& commands) {
     json::Out o;
     o.open().field("baton", token);
-    write(o, orders);
+    write(o, commands);
     o.close();
     return o.text();
 }
-std::string encodeCommands(FencingToken token, std::uint64_t session,
-                           const std::vector<Command>& orders) {
+std::string encodeCommands(FencingToken token, std::uint64_t incarnation,
+                           const std::vector<Command>& commands) {
     json::Out o;
-    o.open().field("baton", token).field("stint", session);
-    write(o, orders);
+    o.open().field("baton", token).field("stint", incarnation);
+    write(o, commands);
     o.close();
     return o.text();
 }
--- a/src/worker_api/wire_format_test.cpp
+++ b/src/worker_api/wire_format_test.cpp
@@ -9,10 +9,9 @@
 
 using namespace std::chrono_literals;
 
-const std::vector<Command> everyCommand = {{CommandKind::launch, "run-000017", 3, 2, {}},
-                                           {CommandKind::stop, "run-000018", 0, 1, 30s},
-                                           {CommandKind::stop, "run-000018", 1, 4, 2500ms},
-                                           {CommandKind::forget, "run-000019", 12, 7, {}}};
+const std::vector<Command> everyCommand = {
+    LaunchTask{{"run-000017", 3, 2}}, StopTask{{"run-000018", 0, 1}, 30s},
+    StopTask{{"run-000018", 1, 4}, 2500ms}, ForgetTask{{"run-000019", 12, 7}}};
 
 TEST(WireFormat, HeartbeatRequestWithAllFields) {
     const std::string body =
