--- a/src/scheduler/capacity_index.cpp
+++ b/src/scheduler/capacity_index.cpp
@@ -12,12 +12,21 @@
            now.ramGb > before.ramGb + epsilon;
 }
 
+CapacityIndex::PoolKey poolKeyOf(const FreeCapacity& capacity) {
+    return {capacity.type,
+            capacity.zone,
+            capacity.spot,
+            capacity.hasServices,
+            capacity.outboundPartitioned,
+            capacity.reservationDistance};
+}
+
 }  // namespace
 
 std::uint32_t maxReplicasThatFit(const Demand& each, const Demand& have) {
     double n = 1e6;
-    const auto limit = [&](double need, double room) {
-        if (need > epsilon) n = std::min(n, std::floor((room + epsilon) / need));
+    const auto limit = [&](double need, double available) {
+        if (need > epsilon) n = std::min(n, std::floor((available + epsilon) / need));
     };
     limit(each.cores, have.cores);
     limit(each.gpus, have.gpus);
@@ -25,60 +34,59 @@
     return static_cast<std::uint32_t>(std::max(0.0, n));
 }
 
-void CapacityIndex::count(Warm& warm, const FreeCapacity& offer, bool add) {
-    const std::uint32_t n =
-        offer.spot || offer.outboundPartitioned ? 0 : maxReplicasThatFit(warm.perTask, offer.free);
+void CapacityIndex::count(Warm& warm, const FreeCapacity& capacity, bool add) {
+    const std::uint32_t n = capacity.spot || capacity.outboundPartitioned
+                                ? 0
+                                : maxReplicasThatFit(warm.perTask, capacity.free);
     if (n == 0) return;
-    for (const auto& image : offer.images) {
-        std::uint32_t& room = warm.freeReplicas[image];
-        room = add ? room + n : room - n;
-        if (room == 0) warm.freeReplicas.erase(image);
+    for (const auto& image : capacity.images) {
+        std::uint32_t& free = warm.freeReplicas[image];
+        free = add ? free + n : free - n;
+        if (free == 0) warm.freeReplicas.erase(image);
     }
 }
 
-void CapacityIndex::addToIndex(MachineIndex machine, const FreeCapacity& o) {
-    Pool& pool = pools_[{o.type, o.zone, o.spot, o.hasServices, o.outboundPartitioned,
-                         o.reservationDistance}];
-    pool.all.insert(o.free, machine);
-    for (const auto& image : o.images) pool.cached[image].insert(o.free, machine);
-    for (const auto& image : o.fetching) pool.fetching[image].insert(o.free, machine);
+void CapacityIndex::addToIndex(MachineIndex machine, const FreeCapacity& capacity) {
+    Pool& pool = pools_[poolKeyOf(capacity)];
+    pool.all.insert(capacity.free, machine);
+    for (const auto& image : capacity.images) pool.cached[image].insert(capacity.free, machine);
+    for (const auto& image : capacity.fetching) pool.fetching[image].insert(capacity.free, machine);
     for (std::size_t rank = 0; rank < FreeCapacity::preempting; ++rank)
-        if (moreThan(o.reclaimable[rank], o.free))
-            pool.reclaimable[rank].insert(o.reclaimable[rank], machine);
-    for (auto& [name, warm] : warm_) count(warm, o, true);
+        if (moreThan(capacity.reclaimable[rank], capacity.free))
+            pool.reclaimable[rank].insert(capacity.reclaimable[rank], machine);
+    for (auto& [name, warm] : warm_) count(warm, capacity, true);
 }
 
-void CapacityIndex::removeFromIndex(MachineIndex machine, const FreeCapacity& o) {
-    const auto at = pools_.find(
-        {o.type, o.zone, o.spot, o.hasServices, o.outboundPartitioned, o.reservationDistance});
+void CapacityIndex::removeFromIndex(MachineIndex machine, const FreeCapacity& capacity) {
+    const auto at = pools_.find(poolKeyOf(capacity));
     Pool& pool = at->second;
     const auto drop = [&](std::map<std::string, CapacitySet>& sets, const std::string& image) {
         const auto set = sets.find(image);
-        set->second.erase(o.free, machine);
+        set->second.erase(capacity.free, machine);
         if (set->second.empty()) sets.erase(set);
     };
-    pool.all.erase(o.free, machine);
-    for (const auto& image : o.images) drop(pool.cached, image);
-    for (const auto& image : o.fetching) drop(pool.fetching, image);
+    pool.all.erase(capacity.free, machine);
+    for (const auto& image : capacity.images) drop(pool.cached, image);
+    for (const auto& image : capacity.fetching) drop(pool.fetching, image);
     for (std::size_t rank = 0; rank < FreeCapacity::preempting; ++rank)
-        pool.reclaimable[rank].erase(o.reclaimable[rank], machine);
-    for (auto& [name, warm] : warm_) count(warm, o, false);
+        pool.reclaimable[rank].erase(capacity.reclaimable[rank], machine);
+    for (auto& [name, warm] : warm_) count(warm, capacity, false);
     if (pool.all.empty()) pools_.erase(at);
 }
 
-void CapacityIndex::update(MachineIndex machine, const FreeCapacity& offer) {
+void CapacityIndex::update(MachineIndex machine, const FreeCapacity& capacity) {
     const auto [it, fresh] = capacities_.try_emplace(machine);
     if (!fresh) {
-        if (it->second == offer) return;
+        if (it->second == capacity) return;
         removeFromIndex(machine, it->second);
     }
-    bool more = fresh || moreThan(offer.free, it->second.free) ||
-                offer.reservationDistance > it->second.reservationDistance;
+    bool more = fresh || moreThan(capacity.free, it->second.free) ||
+                capacity.reservationDistance > it->second.reservationDistance;
     for (std::size_t rank = 0; rank < FreeCapacity::preempting; ++rank)
-        more = more || moreThan(offer.reclaimable[rank], it->second.reclaimable[rank]);
+        more = more || moreThan(capacity.reclaimable[rank], it->second.reclaimable[rank]);
     if (more) ++increaseCount_;
-    it->second = offer;
-    addToIndex(machine, offer);
+    it->second = capacity;
+    addToIndex(machine, capacity);
 }
 
 void CapacityIndex::remove(MachineIndex machine) {
@@ -125,9 +133,9 @@
         if (after == before) continue;
         for (const auto& image : o->images) {
             if (!w.jobs.contains(image)) continue;
-            const auto room = w.freeReplicas.find(image);
-            if (room == w.freeReplicas.end() ||
-                room->second < w.replicasPerImage + (before - after))
+            const auto free = w.freeReplicas.find(image);
+            if (free == w.freeReplicas.end() ||
+                free->second < w.replicasPerImage + (before - after))
                 return false;
         }
     }
--- a/src/scheduler/capacity_index.h
+++ b/src/scheduler/capacity_index.h
@@ -1,5 +1,13 @@
 #pragma once
+// Which machines have how much free capacity: what placement searches instead of every machine.
+//
+// Owns: the free capacity of each machine that is open to work, the sets of machines ordered by it,
+// and for how many replicas of each class there is warm capacity.
+// Guarantees: agrees with a recount from the machines' capacities alone (`recount`); an update
+// costs what has changed on one machine. Called by: `Cluster`, which updates it when something on a
+// machine changes, and searches it.
 #include <array>
+#include <compare>
 #include <cstdint>
 #include <map>
 #include <set>
@@ -14,51 +22,52 @@
 
 inline constexpr double epsilon = 1e-6;  // amounts are decimal fractions
 
+/// In every resource.
 inline bool fits(const Demand& need, const Demand& have) {
     return need.cores <= have.cores + epsilon && need.gpus <= have.gpus + epsilon &&
            need.ramGb <= have.ramGb + epsilon;
 }
-/// How many of them fit at once.
+/// How many of them fit at once; a million at most.
 std::uint32_t maxReplicasThatFit(const Demand& each, const Demand& have);
 
-/// What placement has to know of a machine that may be given work: made anew whenever something
+/// What placement has to know of a machine that is open to work: computed anew whenever something
 /// on that machine changes.
 struct FreeCapacity {
     std::string type, zone;
     bool spot = false;
-    bool hasServices = false;          // has replicas on it
-    bool outboundPartitioned = false;  // what is put there ends with a lease that nothing may renew
-    int reservationDistance = 2;       // from guaranteed cells
-    Demand free;                       // beside all that is possibly on it
-    /// By rank: what would be free if all gave way that may be stopped for work of that rank.
+    bool hasServices = false;          // replicas of services are on it
+    bool outboundPartitioned = false;  // what is placed there ends with a lease that nothing renews
+    int reservationDistance = 2;       // from bound cells: `cells::Pool::distance`
+    Demand free;                       // beside everything that is possibly on it
+    /// By rank: what would be free if everything gave way that work of that rank may preempt.
     static constexpr std::size_t preempting = 3;
     std::array<Demand, preempting> reclaimable;
-    std::vector<std::string> images, fetching;  // sorted
+    std::vector<std::string> images, fetching;  // in its cache, and on their way there; sorted
 
     bool operator==(const FreeCapacity&) const = default;
 };
 
-/// Machines by their room.
+/// Machines ordered by their free capacity.
 class CapacitySet {
   public:
-    void insert(const Demand& room, MachineIndex machine) {
-        byCapacity_.emplace(room.cores, room.ramGb, room.gpus, machine);
+    void insert(const Demand& free, MachineIndex machine) {
+        byCapacity_.emplace(free.cores, free.ramGb, free.gpus, machine);
     }
-    void erase(const Demand& room, MachineIndex machine) {
-        byCapacity_.erase({room.cores, room.ramGb, room.gpus, machine});
+    void erase(const Demand& free, MachineIndex machine) {
+        byCapacity_.erase({free.cores, free.ramGb, free.gpus, machine});
     }
     [[nodiscard]] bool empty() const { return byCapacity_.empty(); }
 
     /// Calls `visit` for machines on which `need` fits, the fullest first, until it returns
-    /// true. What has the cores but not the memory is jumped over as a group, so that the search
-    /// costs what it finds and not what there is.
+    /// true. Machines that have the cores but not the memory are skipped as a group, so that the
+    /// search costs what it finds and not what there is.
     template <typename Visit>
     bool visitFitting(const Demand& need, Visit visit) const {
         const double ram = need.ramGb - epsilon;
         auto it = byCapacity_.lower_bound({need.cores - epsilon, ram, 0, 0});
         while (it != byCapacity_.end()) {
-            const auto& [cores, ramHere, gpus, machine] = *it;
-            if (ramHere < ram) {
+            const auto& [cores, ramFree, gpus, machine] = *it;
+            if (ramFree < ram) {
                 it = byCapacity_.lower_bound({cores, ram, 0, 0});
                 continue;
             }
@@ -73,43 +82,51 @@
     std::set<std::tuple<double, double, double, MachineIndex>> byCapacity_;
 };
 
-/// Which machines have how much room, by pool and image: the index that placement looks into
-/// instead of at every machine. It follows offers, and is the only owner of what it counts.
 class CapacityIndex {
   public:
-    /// Machines that are alike to a job that looks for room.
+    /// Machines that are alike to a job that looks for capacity.
     struct Pool {
         CapacitySet all;
         std::map<std::string, CapacitySet> cached, fetching;  // by image
         std::array<CapacitySet, FreeCapacity::preempting> reclaimable;
         bool operator==(const Pool&) const = default;
     };
-    /// Type, zone, spot, lasting, mute, distance.
-    using PoolKey = std::tuple<std::string, std::string, bool, bool, bool, int>;
+    /// What makes machines alike; pools are iterated in the order of these members.
+    struct PoolKey {
+        std::string type, zone;
+        bool spot = false, hasServices = false, outboundPartitioned = false;
+        int reservationDistance = 0;
+        auto operator<=>(const PoolKey&) const = default;
+    };
 
-    void update(MachineIndex machine, const FreeCapacity& offer);
+    /// The machine is open to work, with that capacity.
+    void update(MachineIndex machine, const FreeCapacity& capacity);
+    /// The machine is closed to work.
     void remove(MachineIndex machine);
+    /// Nullptr if the machine is closed to work.
     [[nodiscard]] const FreeCapacity* find(MachineIndex machine) const {
         const auto it = capacities_.find(machine);
         return it == capacities_.end() ? nullptr : &it->second;
     }
     [[nodiscard]] const std::map<PoolKey, Pool>& pools() const { return pools_; }
-    /// Rises whenever some machine offers more than before: what did not fit may fit now.
+    /// Rises whenever some machine has more than before: what did not fit may fit now.
     [[nodiscard]] std::uint64_t increaseCount() const { return increaseCount_; }
 
-    // Warm room: on ordinary machines that have the images of a class whose tasks must start at
-    // once. A class counts what the largest of its jobs asked for, images while a job is open.
+    // Warm capacity: on ordinary machines that have the images of a class whose tasks must start at
+    // once. A class counts what the largest of its jobs asked for, and images while a job with
+    // them is open.
     void addWarmDemand(const std::string& jobClass, Priority rank, const Demand& each,
                        const std::string& image, std::uint32_t tasks);
     void removeWarmDemand(const std::string& jobClass, const std::string& image);
-    /// Whether work of this rank may take that much there and leave enough places warm.
+    /// Whether work of this rank may take that much there and leave enough warm capacity to the
+    /// ranks above it.
     [[nodiscard]] bool keepsWarmCapacity(MachineIndex machine, const Demand& taken,
                                          Priority rank) const;
 
-    /// What share of the images that have to stay warm the machine has.
+    /// Which share of the images that have to stay warm the machine has, from 0 to 1.
     [[nodiscard]] double imageLocality(MachineIndex machine) const;
 
-    /// The same counted plainly, from the offers alone.
+    /// The same computed from the machines' capacities alone.
     [[nodiscard]] CapacityIndex recount() const;
     [[nodiscard]] bool equals(const CapacityIndex& other) const {
         return pools_ == other.pools_ && warm_ == other.warm_;
@@ -119,13 +136,13 @@
     struct Warm {
         Priority rank = Priority::production;
         Demand perTask;
-        std::uint32_t replicasPerImage = 3;  // places per image: for all tasks of the largest job
+        std::uint32_t replicasPerImage = 3;  // to keep free: for all tasks of the largest job
         std::map<std::string, std::uint32_t> jobs, freeReplicas;  // by image
         bool operator==(const Warm&) const = default;
     };
-    void addToIndex(MachineIndex machine, const FreeCapacity& offer);
-    void removeFromIndex(MachineIndex machine, const FreeCapacity& offer);
-    static void count(Warm& warm, const FreeCapacity& offer, bool add);
+    void addToIndex(MachineIndex machine, const FreeCapacity& capacity);
+    void removeFromIndex(MachineIndex machine, const FreeCapacity& capacity);
+    static void count(Warm& warm, const FreeCapacity& capacity, bool add);
 
     std::unordered_map<MachineIndex, FreeCapacity> capacities_;
     std::map<PoolKey, Pool> pools_;
--- a/src/scheduler/dependency_tracking.cpp
+++ b/src/scheduler/dependency_tracking.cpp
@@ -4,14 +4,15 @@
 
 #include "scheduler/cluster.h"
 
-// Jobs that need others: when they are released, cancelled with them, and how urgent they are.
+// Jobs with dependencies: when they are released or cancelled with them, and the urgency that they
+// hand to their dependencies.
 
 namespace basaltchute::scheduler {
 
 using namespace std::chrono_literals;
 
 namespace {
-constexpr unsigned stagesAhead = 32;  // beyond that no machine has to be thought of yet
+constexpr unsigned stagesAhead = 32;  // of dependencies; beyond that no capacity has to be planned
 constexpr Duration farOff = 24h;
 }  // namespace
 
@@ -29,28 +30,28 @@
 }
 
 Duration Cluster::estimatedDuration(const JobSpec& s) const {
-    double fetch = 0;
+    double slowestFetchS = 0;
     for (const auto& [name, type] : catalogue_)
         if (s.allowsType(name) && fits(s.demand, type.capacity))
-            fetch = std::max(fetch, imageFetchTime(s, name));
-    return estimates_.jobDuration(s, fetch);
+            slowestFetchS = std::max(slowestFetchS, imageFetchTime(s, name));
+    return estimates_.jobDuration(s, slowestFetchS);
 }
 
 TimePoint Cluster::expectedEnd(const Job& job, TimePoint now, unsigned stages) const {
     if (job.allDone()) return now;
-    const Duration all = estimatedDuration(job.spec);
-    if (job.blocked) return expectedReleaseAfter(job, now, stages) + all;
+    const Duration duration = estimatedDuration(job.spec);
+    if (job.blocked) return expectedReleaseAfter(job, now, stages) + duration;
     const bool runs = job.waitingCount() == 0 && job.startedAt != TimePoint{};
-    return runs ? std::max(now, job.startedAt + all) : now + all;
+    return runs ? std::max(now, job.startedAt + duration) : now + duration;
 }
 
 TimePoint Cluster::expectedReleaseAfter(const Job& job, TimePoint now, unsigned stages) const {
     TimePoint at = now;
     if (stages == 0) return now + farOff;
     for (const auto& id : job.spec.dependencies) {
-        const auto need = jobs_.find(id);
-        if (need == jobs_.end()) return now + farOff;
-        at = std::max(at, expectedEnd(*need->second, now, stages - 1));
+        const auto dependency = jobs_.find(id);
+        if (dependency == jobs_.end()) return now + farOff;
+        at = std::max(at, expectedEnd(*dependency->second, now, stages - 1));
     }
     return at;
 }
@@ -82,20 +83,20 @@
 
 void Cluster::addToDependencyGraph(const Job& job) {
     using dependencies::JobOutcome;
-    const JobOutcome fate = job.cancelDurable()                   ? JobOutcome::cancelled
-                            : !job.cancelled && job.doneDurable() ? JobOutcome::done
-                                                                  : JobOutcome::open;
-    dependencies_.addJob(job.spec.id,
-                         {job.spec.priority, deadlinesOf(job), estimatedDuration(job.spec)}, fate);
+    const JobOutcome outcome = job.cancelDurable()                   ? JobOutcome::cancelled
+                               : !job.cancelled && job.doneDurable() ? JobOutcome::done
+                                                                     : JobOutcome::open;
+    dependencies_.addJob(
+        job.spec.id, {job.spec.priority, deadlinesOf(job), estimatedDuration(job.spec)}, outcome);
 }
 
 void Cluster::resolveDependencies(Job& job) {
     const JobId& id = job.spec.id;
-    for (const auto& need : job.spec.dependencies) addToDependencyGraph(*find(need));
+    for (const auto& dependency : job.spec.dependencies) addToDependencyGraph(*find(dependency));
     addToDependencyGraph(job);
     dependencies_.addDependencies(id, job.spec.dependencies);
-    if (const JobId* with = dependencies_.cancelledWith(id)) {
-        cancelWithDependency(job, *with);
+    if (const JobId* cancelled = dependencies_.cancelledWith(id)) {
+        cancelWithDependency(job, *cancelled);
     } else if (dependencies_.isBlocked(id)) {
         job.blocked = true;
         blocked_.insert(&job);
@@ -106,90 +107,94 @@
     applyDependencyChanges(now_);
 }
 
-void Cluster::restoreChains() {
-    std::vector<dependencies::DependentJob> waiting;
+void Cluster::restoreDependencies() {
+    std::vector<dependencies::DependentJob> dependents;
     for (const auto& [id, job] : jobs_)
-        if (!job->spec.dependencies.empty()) waiting.push_back({id, job->spec.dependencies});
-    if (waiting.empty()) return;
-    const auto ordered = dependencies::topologicalOrder(std::move(waiting));
-    for (const auto& w : ordered) {
-        std::size_t lost = 0;
-        for (const auto& need : w.dependencies) {
-            if (const Job* job = find(need))
-                addToDependencyGraph(*job);
-            else
-                ++lost;
-        }
-        if (lost > 0)
-            spdlog::error("{} needs {} jobs that are not on record: it cannot start", w.id, lost);
-        Job& job = *find(w.id);
-        addToDependencyGraph(job);
-        dependencies_.addDependencies(w.id, w.dependencies);
-        if (job.released) estimates_.recordLeadTime(job.spec, *job.released - job.submitted);
-        if (const JobId* with = dependencies_.cancelledWith(w.id)) {
-            if (!job.cancelled) cancelWithDependency(job, *with);
-        } else if (dependencies_.isBlocked(w.id)) {
-            if (!job.open()) continue;
-            job.blocked = true;
-            blocked_.insert(&job);
-        } else if (job.released) {
-            job.releasedAt += std::max(WallMillis(0), *job.released - job.submitted);
-        } else {
-            // Released since the former leader's last word about it.
-            job.releasedAt = now_;
-            job.released = wall_;
-        }
-    }
+        if (!job->spec.dependencies.empty()) dependents.push_back({id, job->spec.dependencies});
+    if (dependents.empty()) return;
+    for (const auto& dependent : dependencies::topologicalOrder(std::move(dependents)))
+        restoreDependent(dependent);
     dependencies_.takeChanges();
     for (const auto& [id, job] : jobs_)
         if (dependencies_.contains(id)) applyInheritedUrgency(*job);
 }
 
+void Cluster::restoreDependent(const dependencies::DependentJob& dependent) {
+    std::size_t missing = 0;
+    for (const auto& dependency : dependent.dependencies) {
+        if (const Job* job = find(dependency))
+            addToDependencyGraph(*job);
+        else
+            ++missing;
+    }
+    if (missing > 0)
+        spdlog::error("job cannot start: job={} reason=dependencies_not_on_record missing={}",
+                      dependent.id, missing);
+    Job& job = *find(dependent.id);
+    addToDependencyGraph(job);
+    dependencies_.addDependencies(dependent.id, dependent.dependencies);
+    if (job.released) estimates_.recordLeadTime(job.spec, *job.released - job.submitted);
+    if (const JobId* cancelled = dependencies_.cancelledWith(dependent.id)) {
+        if (!job.cancelled) cancelWithDependency(job, *cancelled);
+    } else if (dependencies_.isBlocked(dependent.id)) {
+        if (!job.open()) return;
+        job.blocked = true;
+        blocked_.insert(&job);
+    } else if (job.released) {
+        job.releasedAt += std::max(WallMillis(0), *job.released - job.submitted);
+    } else {
+        // Released since the former leader last wrote its record.
+        job.releasedAt = now_;
+        job.released = wall_;
+    }
+}
+
 void Cluster::unblock(Job& job) {
     job.blocked = false;
     blocked_.erase(&job);
 }
 
-void Cluster::release(Job& job, TimePoint now) {
+void Cluster::releaseBlocked(Job& job, TimePoint now) {
     unblock(job);
     job.releasedAt = now;
     job.released = job.submitted + std::chrono::duration_cast<WallMillis>(now - job.submittedAt);
-    spdlog::debug("{} of {} waits for no other job any more, after {:.2f} s", job.spec.id,
+    spdlog::debug("job is released: job={} class={} blocked_s={:.2f}", job.spec.id,
                   job.spec.jobClass, toSeconds(now - job.submittedAt));
     onJobOpened(job);
 }
 
-void Cluster::cancelWithDependency(Job& job, const JobId& with) {
+void Cluster::cancelWithDependency(Job& job, const JobId& dependency) {
     if (job.blocked) unblock(job);
-    // It follows from what stands about the other, and stands with it: nothing is written, and
+    // It follows from the record of the dependency, and is durable with it: nothing is written, and
     // there is nothing to stop, since no task of it ever started.
     job.cancelled = job.cancelCommitted = true;
     job.cancelVersion = 0;
-    job.cancelledWith = with;
-    spdlog::debug("{} is cancelled with {}", job.spec.id, with);
+    job.cancelledWith = dependency;
+    spdlog::debug("job is cancelled: job={} reason=dependency_cancelled dependency={}", job.spec.id,
+                  dependency);
 }
 
 void Cluster::applyInheritedUrgency(Job& job) {
-    const dependencies::InheritedUrgency u = dependencies_.inheritedUrgency(job.spec.id);
-    job.deadlines = u.ends;
+    const dependencies::InheritedUrgency inherited = dependencies_.inheritedUrgency(job.spec.id);
+    job.deadlines = inherited.ends;
     hasNewWork_ = true;
-    const Priority rank = std::min(job.spec.priority, u.priority);
+    const Priority rank = std::min(job.spec.priority, inherited.priority);
     if (rank == job.rank) return;
     job.rank = rank;
     if (job.boundCount == 0) return;
-    // Who may take its room has changed.
+    // Who may preempt it has changed.
     for (const auto& t : job.tasks)
         if (t.state == TaskState::bound) markCapacityDirty(t.machine);
 }
 
 void Cluster::applyDependencyChanges(TimePoint now) {
-    const dependencies::DependencyGraph::Changes follows = dependencies_.takeChanges();
-    for (const auto& id : follows.cancelled)
+    const dependencies::DependencyGraph::Changes changes = dependencies_.takeChanges();
+    for (const auto& id : changes.cancelled)
         if (Job& job = *find(id); !job.cancelled)
             cancelWithDependency(job, *dependencies_.cancelledWith(id));
-    for (const auto& id : follows.released)
-        if (Job& job = *find(id); job.blocked) release(job, now);
-    for (const auto& id : follows.urgency)
+    for (const auto& id : changes.released)
+        if (Job& job = *find(id); job.blocked) releaseBlocked(job, now);
+    for (const auto& id : changes.urgency)
         if (Job* job = find(id); job != nullptr && job->open()) applyInheritedUrgency(*job);
     refreshBlockedDurations(now);
 }
--- a/src/scheduler/free_capacity.cpp
+++ b/src/scheduler/free_capacity.cpp
@@ -3,7 +3,7 @@
 
 #include "scheduler/cluster.h"
 
-// Offers of room, and the plain recount of every index.
+// The free capacity of each machine, as the capacity index has it, and the recount of every index.
 
 namespace basaltchute::scheduler {
 
@@ -43,28 +43,30 @@
 
 FreeCapacity Cluster::freeCapacityFor(MachineIndex machine) const {
     const Machine& m = machines_[machine];
-    FreeCapacity o;
-    o.type = m.type;
-    o.zone = m.zone;
-    o.spot = m.spot;
-    // Closed to replicas too they cost users more than by the leases that end: where every machine
-    // is in use there is no other room, and replicas start again on them at once.
-    o.outboundPartitioned =
+    FreeCapacity capacity;
+    capacity.type = m.type;
+    capacity.zone = m.zone;
+    capacity.spot = m.spot;
+    // Closed to replicas as well, such machines cost users more than by the leases that end: where
+    // every machine is in use there is no other capacity, and replicas start again on them at once.
+    capacity.outboundPartitioned =
         m.outboundPartitioned || now_ - m.lastHeartbeatAt >= settings_.reportEvery * 2;
-    o.reservationDistance = quota_.reservationDistance(machine, m);
-    o.free = freeCapacityOn(m);
-    o.reclaimable.fill(o.free);
-    for (const auto& [image, used] : m.images) o.images.push_back(image);
-    for (const auto& c : m.allocations) {
+    capacity.reservationDistance = quota_.reservationDistance(machine, m);
+    capacity.free = freeCapacityOn(m);
+    capacity.reclaimable.fill(capacity.free);
+    for (const auto& [image, used] : m.images) capacity.images.push_back(image);
+    for (const Allocation& allocation : m.allocations) {
+        const JobSpec& spec = allocation.job->spec;
         for (std::size_t rank = 0; rank < FreeCapacity::preempting; ++rank)
-            if (mustStop(c) || mayPreempt(static_cast<Priority>(rank), c))
-                o.reclaimable[rank] += c.job->spec.demand;
-        o.hasServices = o.hasServices || c.job->spec.shape == Shape::service;
-        if (!m.images.contains(c.job->spec.image)) o.fetching.push_back(c.job->spec.image);
+            if (mustStop(allocation) || mayPreempt(static_cast<Priority>(rank), allocation))
+                capacity.reclaimable[rank] += spec.demand;
+        capacity.hasServices = capacity.hasServices || spec.shape == Shape::service;
+        if (!m.images.contains(spec.image)) capacity.fetching.push_back(spec.image);
     }
-    std::sort(o.fetching.begin(), o.fetching.end());
-    o.fetching.erase(std::unique(o.fetching.begin(), o.fetching.end()), o.fetching.end());
-    return o;
+    std::sort(capacity.fetching.begin(), capacity.fetching.end());
+    capacity.fetching.erase(std::unique(capacity.fetching.begin(), capacity.fetching.end()),
+                            capacity.fetching.end());
+    return capacity;
 }
 
 void Cluster::refreshCapacities() {
@@ -72,8 +74,9 @@
         Machine& m = machines_[i];
         m.capacityDirty = false;
         ++visitedMachines_;
-        const bool stopping = std::any_of(m.allocations.begin(), m.allocations.end(),
-                                          [&](const Allocation& c) { return mustStop(c); });
+        const bool stopping =
+            std::any_of(m.allocations.begin(), m.allocations.end(),
+                        [&](const Allocation& allocation) { return mustStop(allocation); });
         if (!stopping || !m.up()) reclaimedFor_.erase(i);
         if (acceptsWork(m))
             capacityIndex_.update(i, freeCapacityFor(i));
@@ -83,40 +86,62 @@
     capacityDirty_.clear();
 }
 
+// ---------------------------------------------------------------- recounts
+
 std::string Cluster::findInconsistency() {
     refreshCapacities();
-    if (!capacityIndex_.equals(capacityIndex_.recount())) return "the room index";
-    std::unordered_map<std::string, Demand> used;
-    std::map<const Job*, std::map<std::string, std::uint32_t>> zones;
+    if (auto found = findCapacityInconsistency(); !found.empty()) return found;
+    if (auto found = findUseInconsistency(); !found.empty()) return found;
+    std::map<const Job*, TasksPerZone> perZone;
+    for (const Machine& m : machines_)
+        for (const Allocation& allocation : m.allocations) ++perZone[allocation.job][m.zone];
+    for (const auto& [id, job] : jobs_)
+        if (auto found = findJobInconsistency(*job, perZone[job.get()]); !found.empty())
+            return found;
+    return dependencies_.findInconsistency();
+}
+
+std::string Cluster::findCapacityInconsistency() const {
+    if (!capacityIndex_.equals(capacityIndex_.recount())) return "the capacity index";
     for (MachineIndex i = 0; i < machines_.size(); ++i) {
         const Machine& m = machines_[i];
-        const FreeCapacity* offer = capacityIndex_.find(i);
-        if ((offer != nullptr) != acceptsWork(m)) return "which machines are open: " + m.name;
-        if (offer != nullptr && !(*offer == freeCapacityFor(i))) return "the offer of " + m.name;
-        for (const auto& c : m.allocations) {
-            used[c.job->spec.team] += c.job->spec.demand;
-            ++zones[c.job][m.zone];
-        }
+        const FreeCapacity* indexed = capacityIndex_.find(i);
+        if ((indexed != nullptr) != acceptsWork(m)) return "which machines are open: " + m.name;
+        if (indexed != nullptr && !(*indexed == freeCapacityFor(i)))
+            return "the free capacity of " + m.name;
     }
+    return {};
+}
+
+std::string Cluster::findUseInconsistency() const {
+    constexpr double tolerance = 1e-3;
+    std::unordered_map<std::string, Demand> recounted;
+    for (const Machine& m : machines_)
+        for (const Allocation& allocation : m.allocations)
+            recounted[allocation.job->spec.team] += allocation.job->spec.demand;
     for (const auto& [team, use] : quota_.useByTeam()) {
         Demand left = use;
-        left -= used[team];
-        if (std::abs(left.cores) + std::abs(left.ramGb) + std::abs(left.gpus) > 1e-3)
+        left -= recounted[team];
+        if (std::abs(left.cores) + std::abs(left.ramGb) + std::abs(left.gpus) > tolerance)
             return "the use of team " + team;
     }
-    for (const auto& [id, job] : jobs_) {
-        if (job->perZone != zones[job.get()]) return "the zones of " + id;
-        std::uint32_t waiting = 0;
-        for (const auto& t : job->tasks) waiting += t.state == TaskState::waiting ? 1 : 0;
-        if (waiting != job->waitingCount()) return "the tasks that wait of " + id;
-        if ((job->queuePosition != Job::notQueued) != (job->open() && !job->blocked && waiting > 0))
-            return "whether " + id + " is listed";
-        if (job->blocked != blocked_.contains(job.get()) || (job->blocked && !job->open()))
-            return "whether " + id + " waits for others";
-        if (!job->blocked && job->boundCount > 0 && dependencies_.isBlocked(id))
-            return id + " is too early";
-    }
-    return dependencies_.findInconsistency();
+    return {};
+}
+
+std::string Cluster::findJobInconsistency(Job& job, const TasksPerZone& recounted) const {
+    const JobId& id = job.spec.id;
+    if (job.perZone != recounted) return "the zones of " + id;
+    const auto waiting = static_cast<std::uint32_t>(
+        std::count_if(job.tasks.begin(), job.tasks.end(),
+                      [](const JobTask& t) { return t.state == TaskState::waiting; }));
+    if (waiting != job.waitingCount()) return "the waiting tasks of " + id;
+    if ((job.queuePosition != Job::notQueued) != (job.open() && !job.blocked && waiting > 0))
+        return "whether " + id + " is queued";
+    if (job.blocked != blocked_.contains(&job) || (job.blocked && !job.open()))
+        return "whether " + id + " is blocked";
+    if (!job.blocked && job.boundCount > 0 && dependencies_.isBlocked(id))
+        return id + " has started before its dependencies are done";
+    return {};
 }
 
 }  // namespace basaltchute::scheduler
--- /dev/null
+++ b/src/scheduler/job_lifecycle.cpp
@@ -0,0 +1,187 @@
+#include <spdlog/spdlog.h>
+
+#include <algorithm>
+
+#include "jobs/codec.h"
+#include "scheduler/cluster.h"
+
+// From a job's submission to its end: submit, open and close, finish, cancel.
+
+namespace basaltchute::scheduler {
+
+using namespace std::chrono_literals;
+using kv_store::WritePriority;
+using worker_api::Allocation;
+
+namespace {
+// A cancellation that may not be acknowledged by then goes on record.
+constexpr Duration recordCancellationAfter = 500ms;
+}  // namespace
+
+Job* Cluster::find(const JobId& id) {
+    const auto it = jobs_.find(id);
+    return it == jobs_.end() ? nullptr : it->second.get();
+}
+
+SubmitResult Cluster::submit(const JobSpec& spec, TimePoint now, WallMillis wall) {
+    if (find(spec.id) != nullptr) return SubmitResult::alreadyKnown;
+    if (!quota_.knowsTeam(spec.team)) return SubmitResult::unknownTeam;
+    const bool fitsSomeType =
+        std::any_of(catalogue_.begin(), catalogue_.end(), [&](const auto& entry) {
+            const autoscaler::MachineType& t = entry.second;
+            return spec.allowsType(t.name) && spec.demand.cores <= t.capacity.cores &&
+                   spec.demand.gpus <= t.capacity.gpus && spec.demand.ramGb <= t.capacity.ramGb &&
+                   (!spec.zone ||
+                    std::find(t.zones.begin(), t.zones.end(), *spec.zone) != t.zones.end());
+        });
+    if (!fitsSomeType) return SubmitResult::fitsNoMachine;
+    // All in one zone, and no more than half of them in any.
+    if (spec.sameZone && spec.spread && spec.tasks > 1) return SubmitResult::contradictoryPlacement;
+    if (quota_.exceedsLimit(spec)) return SubmitResult::overTeamLimit;
+    auto job = jobs::makeJob(spec, valueBytes_);
+    job->submitted = wall;
+    job->submittedAt = job->releasedAt = now;
+    now_ = now;
+    Job& submitted = *job;
+    jobs_[spec.id] = std::move(job);
+    spdlog::debug(
+        "job is submitted: job={} class={} tasks={} cores={} estimate_s={:.0f} rank={} "
+        "checkpoint_interval_s={}",
+        spec.id, spec.jobClass, spec.tasks, spec.demand.cores, spec.estimateS,
+        static_cast<int>(spec.priority), spec.checkpointS);
+    markHeadDirty(submitted, WritePriority::users);
+    if (spec.dependencies.empty()) {
+        estimates_.recordLeadTime(spec, Duration::zero());
+        onJobOpened(submitted);
+    } else {
+        resolveDependencies(submitted);
+    }
+    return SubmitResult::accepted;
+}
+
+void Cluster::onJobOpened(Job& job) {
+    openJobs_.push_back(&job);
+    if (wantsWarmCapacity(job.spec))
+        capacityIndex_.addWarmDemand(job.spec.jobClass, job.spec.priority, job.spec.demand,
+                                     job.spec.image, job.spec.tasks);
+    listWaiting(job);
+}
+
+void Cluster::onJobClosed(Job& job) {
+    std::erase(openJobs_, &job);
+    if (wantsWarmCapacity(job.spec))
+        capacityIndex_.removeWarmDemand(job.spec.jobClass, job.spec.image);
+    listWaiting(job);
+}
+
+void Cluster::listWaiting(Job& job) {
+    // Placed even before it is accepted: acceptance and bindings are then one change of one
+    // record, and nothing is launched before that is on record.
+    const bool waits = job.open() && !job.blocked && job.waitingCount() > 0;
+    const bool listed = job.queuePosition != Job::notQueued;
+    if (waits == listed) return;
+    if (waits) {
+        job.queuePosition = waiting_.size();
+        waiting_.push_back(&job);
+        hasNewWork_ = true;
+        return;
+    }
+    waiting_[job.queuePosition] = waiting_.back();
+    waiting_[job.queuePosition]->queuePosition = job.queuePosition;
+    waiting_.pop_back();
+    job.queuePosition = Job::notQueued;
+}
+
+void Cluster::finish(Job& job, std::uint32_t task) {
+    JobTask& t = job.tasks[task];
+    if (t.state == TaskState::done) return;
+    if (t.state == TaskState::bound) {
+        if (t.phase == Phase::running || t.phase == Phase::checkpointing) --job.runningCount;
+        --job.boundCount;
+        markCapacityDirty(t.machine);
+    }
+    t.state = TaskState::done;
+    t.machine = noMachine;
+    ++job.doneCount;
+    job.crashLooping = false;
+    // Users wait for the last result, nobody for those before it.
+    markTaskDirty(job, task, job.allDone() ? WritePriority::bindings : WritePriority::progress);
+    if (job.allDone())
+        onJobClosed(job);
+    else
+        listWaiting(job);
+}
+
+// ---------------------------------------------------------------- cancellation
+
+void Cluster::cancel(Job& job, TimePoint now) {
+    if (job.cancelled || job.allDone()) return;
+    job.cancelled = true;
+    job.cancelRequestedAt = now;
+    if (job.blocked)
+        unblock(job);
+    else
+        onJobClosed(job);
+    // Bindings whose launch never left need no proof.
+    for (const JobTask& t : job.tasks) {
+        if (t.state != TaskState::bound) continue;
+        const MachineIndex at = t.machine;
+        markCapacityDirty(at);
+        const auto& allocations = machines_[at].allocations;
+        for (std::size_t i = allocations.size(); i-- > 0;)
+            if (allocations[i].job == &job && !allocations[i].state.launchSent())
+                releaseAllocation(at, i);
+        if (t.state == TaskState::bound) effects_.sendCommands.insert(at);
+    }
+    cancellations_.insert(&job);
+    commitCancellations(now);
+}
+
+bool Cluster::cancellationAcknowledgeable(const Job& job, TimePoint now) const {
+    if (delegator_ == nullptr) return true;
+    const TimePoint latest =
+        now + std::max(Duration::zero(), delegator_->bounds().afterAcknowledgedCancellation());
+    return std::all_of(job.perZone.begin(), job.perZone.end(), [&](const auto& zone) {
+        return delegator_->delegationsEnd(zone.first) <= latest;
+    });
+}
+
+Duration Cluster::timeUntilAcknowledgeable(const Job& job, TimePoint now) const {
+    Duration wait{};
+    if (delegator_ == nullptr || job.cancelCommitted) return wait;
+    const TimePoint latest = now + delegator_->bounds().afterAcknowledgedCancellation();
+    for (const auto& [zone, tasks] : job.perZone)
+        wait = std::max(wait, delegator_->delegationsEnd(zone) - latest);
+    return wait;
+}
+
+TimePoint Cluster::delegationCap(const std::string& zone, TimePoint now) const {
+    TimePoint cap = TimePoint::max();
+    if (delegator_ == nullptr) return cap;
+    for (const Job* job : cancellations_)
+        // A machine that has not reported to this leader may be in any zone.
+        if (job->perZone.contains(zone) || job->perZone.contains(""))
+            cap = std::min(cap, job->acknowledgedAt.value_or(now) +
+                                    delegator_->bounds().afterAcknowledgedCancellation());
+    return cap;
+}
+
+void Cluster::commitCancellations(TimePoint now) {
+    if (delegator_ != nullptr) delegator_->delegateSelf(delegationCap(settings_.zone, now), now);
+    for (auto it = cancellations_.begin(); it != cancellations_.end();) {
+        Job& job = **it;
+        if (!job.cancelCommitted && cancellationAcknowledgeable(job, now)) {
+            job.cancelCommitted = true;
+            markHeadDirty(job, WritePriority::users);
+            job.cancelVersion = job.layout.head().version;
+        } else if (!job.cancelCommitted && !job.cancelRecorded &&
+                   now - job.cancelRequestedAt > recordCancellationAfter) {
+            // So that a successor does not start it again.
+            job.cancelRecorded = true;
+            markHeadDirty(job, WritePriority::users);
+        }
+        it = job.cancelCommitted && job.perZone.empty() ? cancellations_.erase(it) : std::next(it);
+    }
+}
+
+}  // namespace basaltchute::scheduler
--- a/src/scheduler/persistence.cpp
+++ b/src/scheduler/persistence.cpp
@@ -5,7 +5,7 @@
 #include "jobs/codec.h"
 #include "scheduler/cluster.h"
 
-// What stands in the state service about jobs: how it is read back, and how it is written.
+// The records of jobs in the key-value store: how they are read back, and what is written when.
 
 namespace basaltchute::scheduler {
 
@@ -17,10 +17,10 @@
 using Kind = jobs::RecordName::Kind;
 
 namespace {
-constexpr std::size_t leastValue = 256;  // no service takes less
+constexpr std::size_t minValueBytes = 256;  // no key-value store takes less
 }  // namespace
 
-// ---------------------------------------------------------------- read
+// ---------------------------------------------------------------- reading
 
 Job& Cluster::add(std::unique_ptr<Job> job) {
     job->submittedAt = now_ - std::max(WallMillis(0), wall_ - job->submitted);
@@ -37,121 +37,139 @@
     const auto name = RecordName::of(key);
     if (!name) return false;
     const auto doc = json::parse(data);
-    const auto bad = [&] {
+    const auto unreadable = [&] {
         unreadableJobs_.insert(name->job);
         return false;
     };
-    if (!doc || !doc->IsObject()) return bad();
+    if (!doc || !doc->IsObject()) return unreadable();
     const bool first = name->kind == Kind::block && name->from == 0;
     Job* job = first ? nullptr : find(name->job);
     if (first && !jobs::textsOf(*doc)) {
-        auto made = jobs::decodeJob(*doc, "", valueBytes_);
-        if (made == nullptr || made->spec.id != name->job) return bad();
-        job = &add(std::move(made));
+        auto decoded = jobs::decodeJob(*doc, "", valueBytes_);
+        if (decoded == nullptr || decoded->spec.id != name->job) return unreadable();
+        job = &add(std::move(decoded));
     }
-    // What is in parts comes after all that is whole; the rest of a job after the job itself.
+    // Pages are applied after the records that they split; other records of a job after the first.
     if (job == nullptr || name->kind != Kind::block) {
-        unappliedRecords_[key] = data;
+        deferredRecords_[key] = data;
         return true;
     }
-    const bool well = jobs::decodeTasks(*doc, *name, *job,
-                                        [&](const std::string& n) { return machines_.indexOf(n); });
-    return well || bad();
+    const bool valid = jobs::decodeTasks(
+        *doc, *name, *job, [&](const std::string& n) { return machines_.indexOf(n); });
+    return valid || unreadable();
 }
 
-void Cluster::restore() {
-    struct Later {
+void Cluster::markUnreadable(const RecordName& name) {
+    spdlog::error("record is malformed: key={}", name.key());
+    unreadableJobs_.insert(name.job);
+}
+
+bool Cluster::addFromTexts(const RecordName& name, const json::Document& doc,
+                           const std::map<std::string, std::string>& records) {
+    std::string description;
+    for (std::uint32_t i = 0; i < *jobs::textsOf(doc); ++i) {
+        const auto text = records.find(RecordName{name.job, Kind::text, i, 0}.key());
+        if (text != records.end())
+            description += jobs::decodeText(*json::parse(text->second)).value_or("");
+    }
+    auto decoded = jobs::decodeJob(doc, description, valueBytes_);
+    if (decoded == nullptr || decoded->spec.id != name.job) {
+        markUnreadable(name);
+        return false;
+    }
+    add(std::move(decoded));
+    return true;
+}
+
+void Cluster::applyRecord(const RecordName& name, const json::Document& doc) {
+    // A job that was never accepted has no first record: nothing else of it counts.
+    Job* job = find(name.job);
+    if (job == nullptr) return;
+    if (name.kind == Kind::head) {
+        jobs::decodeHead(doc, *job);
+        job->layout.restored(name);
+        return;
+    }
+    const auto indexOf = [&](const std::string& machine) { return machines_.indexOf(machine); };
+    if (!jobs::decodeTasks(doc, name, *job, indexOf)) markUnreadable(name);
+}
+
+void Cluster::restoreDeferredRecords() {
+    struct Deferred {
         RecordName name;
         json::Document doc;
     };
-    std::vector<Later> whole, parts;
-    const auto all = std::exchange(unappliedRecords_, {});
-    for (const auto& [key, data] : all) {
+    std::vector<Deferred> whole, pages;
+    const auto records = std::exchange(deferredRecords_, {});
+    for (const auto& [key, data] : records) {
         const auto name = *RecordName::of(key);
         if (name.kind == Kind::text) continue;
         auto doc = *json::parse(data);
-        if (name.kind == Kind::block && name.from == 0) {
-            std::string description;
-            for (std::uint32_t i = 0; i < *jobs::textsOf(doc); ++i) {
-                const auto text = all.find(RecordName{name.job, Kind::text, i, 0}.key());
-                if (text != all.end())
-                    description += jobs::decodeText(*json::parse(text->second)).value_or("");
-            }
-            auto made = jobs::decodeJob(doc, description, valueBytes_);
-            if (made == nullptr || made->spec.id != name.job) {
-                spdlog::error("record {} is malformed", key);
-                unreadableJobs_.insert(name.job);
-                continue;
-            }
-            add(std::move(made));
-        }
-        (name.kind == Kind::block ? whole : parts).push_back({name, std::move(doc)});
+        const bool first = name.kind == Kind::block && name.from == 0;
+        if (first && !addFromTexts(name, doc, records)) continue;
+        (name.kind == Kind::block ? whole : pages).push_back({name, std::move(doc)});
     }
     // Smaller ones are newer.
-    std::stable_sort(parts.begin(), parts.end(),
-                     [](const Later& a, const Later& b) { return a.name.count > b.name.count; });
-    for (auto* records : {&whole, &parts}) {
-        for (const auto& [name, doc] : *records) {
-            // Of a job that was never accepted nothing counts.
-            Job* job = find(name.job);
-            if (job == nullptr) continue;
-            if (name.kind == Kind::head) {
-                jobs::decodeHead(doc, *job);
-                job->layout.restored(name);
-            } else if (!jobs::decodeTasks(doc, name, *job, [&](const std::string& n) {
-                           return machines_.indexOf(n);
-                       })) {
-                spdlog::error("record {} is malformed", name.key());
-                unreadableJobs_.insert(name.job);
-            }
-        }
-    }
-    // Half of what stands about a job could start its tasks a second time.
+    std::stable_sort(pages.begin(), pages.end(), [](const Deferred& a, const Deferred& b) {
+        return a.name.count > b.name.count;
+    });
+    for (const auto& [name, doc] : whole) applyRecord(name, doc);
+    for (const auto& [name, doc] : pages) applyRecord(name, doc);
+    // Half of a job's records could start its tasks a second time.
     for (const auto& id : unreadableJobs_) jobs_.erase(id);
 }
 
-void Cluster::loaded(TimePoint now) {
-    restore();
+void Cluster::restoreCounts() {
     for (auto& [id, job] : jobs_)
-        for (const auto& t : job->tasks) {
+        for (const JobTask& t : job->tasks) {
             job->doneCount += t.state == TaskState::done ? 1 : 0;
             job->boundCount += t.state == TaskState::bound ? 1 : 0;
         }
-    restoreChains();
+}
+
+void Cluster::restoreAllocations(Job& job) {
+    for (std::uint32_t t = 0; t < job.spec.tasks; ++t) {
+        const JobTask& task = job.tasks[t];
+        if (task.state != TaskState::bound) continue;
+        Allocation allocation;
+        allocation.job = &job;
+        allocation.task = t;
+        allocation.attempt = task.attempt;
+        allocation.state = worker_api::AllocationState::adoptedFromRecord();
+        allocate(task.machine, std::move(allocation));
+    }
+}
+
+void Cluster::loaded(TimePoint now) {
+    restoreDeferredRecords();
+    restoreCounts();
+    restoreDependencies();
     for (auto& [id, job] : jobs_) {
         if (job->open() && !job->blocked) onJobOpened(*job);
         if (job->cancelled) cancellations_.insert(job.get());
-        for (std::uint32_t t = 0; t < job->spec.tasks; ++t) {
-            const JobTask& task = job->tasks[t];
-            if (task.state != TaskState::bound) continue;
-            Allocation c;
-            c.job = job.get();
-            c.task = t;
-            c.attempt = task.attempt;
-            c.state = worker_api::AllocationState::adoptedFromRecord();
-            allocate(task.machine, std::move(c));
-        }
+        restoreAllocations(*job);
     }
-    // The former leader's right had ended before this one's began.
+    // The former leader's lease had ended before this one's began.
     for (MachineIndex i = 0; i < machines_.size(); ++i) {
         machines_[i].leaseEnd = leaseEnd(now);
-        machines_[i].lastHeartbeatAt = now;  // it has been there: its reports are due from now on
+        machines_[i].lastHeartbeatAt =
+            now;  // it has been there: its heartbeats are due from now on
         scheduleTimer(i, machines_[i].leaseEnd);
     }
 }
 
-// ---------------------------------------------------------------- written
+// ---------------------------------------------------------------- writing
 
-void Cluster::markTaskDirty(Job& job, std::uint32_t task, kv_store::WritePriority urgency) {
+void Cluster::markTaskDirty(Job& job, std::uint32_t task, WritePriority priority) {
     const TaskRange& s = job.layout.touch(task);
-    // Nothing in parts stands before the job does: nobody would find it.
+    // No page is written before the job is accepted: nobody would find it.
     if (s.part && !job.accepted()) return;
-    effects_.dirtyRecords.emplace_back(job.layout.nameOf(job.spec.id, s).key(), urgency);
+    effects_.dirtyRecords.emplace_back(job.layout.nameOf(job.spec.id, s).key(), priority);
 }
 
-void Cluster::markHeadDirty(Job& job, kv_store::WritePriority urgency) {
+void Cluster::markHeadDirty(Job& job, WritePriority priority) {
     job.layout.touchHead();
-    effects_.dirtyRecords.emplace_back(job.layout.headName(job.spec.id).key(), urgency);
+    effects_.dirtyRecords.emplace_back(job.layout.headName(job.spec.id).key(), priority);
 }
 
 std::string Cluster::encodeRecord(const Job& job, const RecordName& name) const {
@@ -190,12 +208,12 @@
 std::optional<EncodedRecord> Cluster::encodeTasks(Job& job, const RecordName& name) {
     jobs::RecordLayout& l = job.layout;
     const TaskRange* s = l.find(name);
-    if (s == nullptr) return std::nullopt;  // in parts by now
+    if (s == nullptr) return std::nullopt;  // split into pages by now
     std::string data = encodeRecord(job, name);
     const std::string key = name.key();
     if (data.size() <= valueBytes_) return EncodedRecord{std::move(data), s->version};
     if (!supportsPages_) {
-        // What everyone reads goes on, as long as the service takes it.
+        // The form that every version reads is kept, as long as the service takes the value.
         oversizedKeys_.insert(key);
         if (data.size() > settings_.valueBytesNow) return std::nullopt;
         return EncodedRecord{std::move(data), s->version};
@@ -210,15 +228,15 @@
     }
     const TaskRange whole = *s;
     if (!l.split(whole)) {
-        spdlog::error("{} does not fit into a value of {} bytes", key, valueBytes_);
+        spdlog::error("record is too large: key={} limit_bytes={}", key, valueBytes_);
         return std::nullopt;
     }
     for (const std::uint32_t task : {whole.from, whole.from + whole.count / 2})
         effects_.dirtyRecords.emplace_back(l.nameOf(job.spec.id, l.of(task)).key(),
                                            WritePriority::bindings);
     if (first) {
-        const bool told = !job.cancelled || job.cancelDurable();
-        if (told)
+        const bool headDurable = !job.cancelled || job.cancelDurable();
+        if (headDurable)
             l.settleHead();
         else
             effects_.dirtyRecords.emplace_back(l.headName(job.spec.id).key(), WritePriority::users);
@@ -237,8 +255,9 @@
 }
 
 void Cluster::tooLarge(const std::string& key, std::size_t bytes) {
-    // The limit has fallen below what was known: by half, and again if that is too much still.
-    valueBytes_ = std::max<std::size_t>(std::min(valueBytes_, bytes / 2), leastValue);
+    // The limit has fallen below the known one: try half, and half again if that is still too
+    // large.
+    valueBytes_ = std::max<std::size_t>(std::min(valueBytes_, bytes / 2), minValueBytes);
     const auto name = RecordName::of(key);
     if (!name) return;
     Job& job = *jobs_.at(name->job);
@@ -278,11 +297,11 @@
             dependencies_.setOutcome(job.spec.id, dependencies::JobOutcome::cancelled);
         else if (!job.cancelled && job.doneDurable())
             dependencies_.setOutcome(job.spec.id, dependencies::JobOutcome::done);
-        // At once: whoever asks next is told what follows from it.
+        // At once: the next request has to see what follows from it.
         applyDependencyChanges(now_);
     }
     if (!job.open() && !job.cancelled) return;
-    // Nothing is launched before its job stands, whichever record came first.
+    // Nothing is launched before its job is accepted, whichever record came first.
     if (justAccepted) std::tie(from, to) = std::pair(0U, job.spec.tasks);
     for (std::uint32_t t = from; t < to; ++t)
         if (job.tasks[t].state == TaskState::bound &&
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -13,11 +13,18 @@
 
 namespace {
 
-constexpr Duration settledReplica = 40s;  // a start that is stopped sooner does not count as one
-constexpr Duration nextLook = 1s;         // what waits is looked at again, as its order changes
-constexpr std::size_t replicaLooks = 12;  // machines of a kind that are compared for a replica
-constexpr double lastResort = 60;         // seconds that any other machine may cost instead
-constexpr double richness = 1.5;          // against the share of a machine that stays free
+// A service replica that is stopped sooner after its start does not count as started.
+constexpr Duration settledReplica = 40s;
+constexpr Duration nextLook = 1s;  // waiting jobs are looked at again, as their order changes
+constexpr Duration failedMachineBackOff = 60s;       // before a job returns where it failed
+constexpr std::size_t replicaMachinesCompared = 12;  // of a kind, for a replica
+
+// Costs of a placement, in seconds of delay that they are worth.
+constexpr double onDemandCost = 4;           // an ordinary machine, for work that allows spot
+constexpr double mixedCost = 1;              // batch work beside services, or the other way round
+constexpr double nearReservationCost = 0.5;  // for each step nearer to bound cells
+constexpr double lastResortCost = 60;
+constexpr double imageLocalityCost = 1.5;  // against the share of a machine that stays free
 
 }  // namespace
 
@@ -77,64 +84,72 @@
 bool Cluster::placeable(const Job& job, MachineIndex machine, TimePoint now) const {
     const auto failed = job.failedOn.find(machine);
     return capacityIndex_.find(machine) != nullptr &&
-           (failed == job.failedOn.end() || now - failed->second >= 60s);
+           (failed == job.failedOn.end() || now - failed->second >= failedMachineBackOff);
+}
+
+bool Cluster::hasCapacityFor(const Job& job, MachineIndex machine, const Planned& planned,
+                             TimePoint now) const {
+    ++visitedMachines_;
+    const Demand& demand = job.spec.demand;
+    if (!placeable(job, machine, now) ||
+        !capacityIndex_.keepsWarmCapacity(machine, demand, job.rank))
+        return false;
+    Demand free = capacityIndex_.find(machine)->free;
+    if (const auto p = planned.find(machine); p != planned.end()) free -= p->second.demand;
+    // Capacity that is being reclaimed is not for those who had to give way: they once took each
+    // piece of it back as it came free, to be stopped again in the next pass.
+    const auto [from, to] = reclaimedFor_.equal_range(machine);
+    for (auto p = from; p != to; ++p)
+        if (p->second != &job && p->second->rank <= job.rank) free -= p->second->spec.demand;
+    return fits(demand, free);
 }
 
 MachineIndex Cluster::chooseMachine(const Job& job, const Planned& planned, TimePoint now) const {
     const JobSpec& s = job.spec;
-    const bool lasts = wantsWarmCapacity(s);
+    const bool isService = s.shape == Shape::service;
+    const bool startsAtOnce = wantsWarmCapacity(s);
     MachineIndex best = noMachine;
     double bestCost = std::numeric_limits<double>::infinity();
-    const auto usable = [&](MachineIndex i) {
-        ++visitedMachines_;
-        if (!placeable(job, i, now) || !capacityIndex_.keepsWarmCapacity(i, s.demand, job.rank))
-            return false;
-        Demand free = capacityIndex_.find(i)->free;
-        if (const auto p = planned.find(i); p != planned.end()) free -= p->second.demand;
-        // Room that is being made is not for those who had to give way: they once took each piece
-        // of it back as it came free, to be stopped again in the next pass.
-        const auto [from, to] = reclaimedFor_.equal_range(i);
-        for (auto p = from; p != to; ++p)
-            if (p->second != &job && p->second->rank <= job.rank) free -= p->second->spec.demand;
-        return fits(s.demand, free);
+    // The first that fits leaves least free; replicas compare several.
+    const auto consider = [&](const CapacitySet& machines, double kindCost, double wholeMachine) {
+        if (kindCost >= bestCost) return;
+        std::size_t compared = 0;
+        machines.visitFitting(s.demand, [&](MachineIndex i) {
+            if (!hasCapacityFor(job, i, planned, now)) return false;
+            const double left = capacityIndex_.find(i)->free.cores - s.demand.cores;
+            double cost = kindCost + left / wholeMachine;
+            // A replica starts at once only where its image is: a machine with few others is taken
+            // first, so that the capacity that is left suits whatever comes next.
+            if (startsAtOnce) cost += imageLocalityCost * capacityIndex_.imageLocality(i);
+            if (cost < bestCost) {
+                bestCost = cost;
+                best = i;
+            }
+            return !startsAtOnce || ++compared >= replicaMachinesCompared;
+        });
     };
     for (const auto& [key, pool] : capacityIndex_.pools()) {
-        const auto& [type, zone, spot, lasting, mute, distance] = key;
         // A replica is there again at once, whatever ends it; other work would be lost.
-        if (!allowed(job, type, zone, spot, planned) || (mute && s.shape != Shape::service))
+        if (!allowed(job, key.type, key.zone, key.spot, planned) ||
+            (key.outboundPartitioned && !isService))
             continue;
-        const double whole = std::max(catalogue_.at(type).capacity.cores, 1.0);
+        const double whole = std::max(catalogue_.at(key.type).capacity.cores, 1.0);
         // Seconds until it runs, then: leave ordinary machines to work that needs them, and
-        // fill the fullest machine that has room so that whole ones stay whole. Low-priority
-        // work keeps away from guaranteed cells, which may grow into its room.
+        // fill the fullest machine that has the capacity so that whole ones stay whole.
+        // Low-priority work keeps away from reserved cells, which may grow into its capacity.
         // What comes and goes keeps off ordinary machines with replicas, and replicas off the
-        // others, so that a machine taken for a peak is empty after it.
-        const bool mixes = !spot && lasting != (s.shape == Shape::service);
-        const double base = (s.spotAllowed && !spot ? 4 : 0) + (mixes ? 1 : 0) +
-                            0.5 * (2 - distance) + (mute ? lastResort : 0);
-        const auto consider = [&](const CapacitySet& machines, double delay) {
-            if (base + delay >= bestCost) return;
-            std::size_t looked = 0;
-            machines.visitFitting(s.demand, [&](MachineIndex i) {
-                if (!usable(i)) return false;
-                const double left = capacityIndex_.find(i)->free.cores - s.demand.cores;
-                double cost = base + delay + left / whole;
-                // A replica starts at once only where its image is: what has few others is taken
-                // first, so that the room that is left suits whatever comes next.
-                if (lasts) cost += richness * capacityIndex_.imageLocality(i);
-                if (cost < bestCost) {
-                    bestCost = cost;
-                    best = i;
-                }
-                return !lasts || ++looked >= replicaLooks;
-            });
-        };
-        const double fetch = imageFetchTime(s, type);
+        // others, so that a machine rented for a peak is empty after it.
+        const bool mixes = !key.spot && key.hasServices != isService;
+        const double base = (s.spotAllowed && !key.spot ? onDemandCost : 0) +
+                            (mixes ? mixedCost : 0) +
+                            nearReservationCost * (2 - key.reservationDistance) +
+                            (key.outboundPartitioned ? lastResortCost : 0);
+        const double fetch = imageFetchTime(s, key.type);
         if (const auto set = pool.cached.find(s.image); set != pool.cached.end())
-            consider(set->second, 0);
+            consider(set->second, base, whole);
         if (const auto set = pool.fetching.find(s.image); set != pool.fetching.end())
-            consider(set->second, fetch / 2);
-        consider(pool.all, fetch);
+            consider(set->second, base + fetch / 2, whole);
+        consider(pool.all, base + fetch, whole);
     }
     return best;
 }
@@ -173,66 +188,78 @@
     std::map<Priority, std::vector<Job*>> ranks;
     for (Job* job : waiting_)
         if (now >= job->backOffUntil) ranks[job->rank].push_back(job);
-    for (const auto& [rank, waiting] : ranks) {
-        std::map<std::string, std::vector<Job*>> teams;  // the next job of each last
-        const auto order = queueOrder(waiting, settings_.objectives, estimates_, now);
-        for (auto e = order.rbegin(); e != order.rend(); ++e)
-            teams[e->job->spec.team].push_back(e->job);
-        // Within a rank the team that uses least goes next: max-min, one task at a time.
-        const auto use = [&](const auto& team) { return quota_.weightedUse(team.first); };
-        while (!teams.empty()) {
-            const auto least =
-                std::min_element(teams.begin(), teams.end(),
-                                 [&](const auto& a, const auto& b) { return use(a) < use(b); });
-            auto& jobs = least->second;
-            if (jobs.empty()) {
-                teams.erase(least);
-                continue;
-            }
-            Job& job = *jobs.back();
-            if (job.waitingCount() == 0 || !quota_.withinLimit(job.spec)) {
-                jobs.pop_back();
-                continue;
-            }
-            if (most == 0) return true;
-            --most;
-            if (job.spec.shape == Shape::gang) {
-                if (!placeGang(job, now)) preemptFor(job, job.waitingCount(), now);
-                jobs.pop_back();
-                refreshCapacities();
-                continue;
-            }
-            const std::uint32_t task = job.nextWaiting();
-            if (quota_.withinReservation(job.spec) && placeInReservation(job, task, now)) {
-                refreshCapacities();
-                continue;
-            }
-            MachineIndex m = chooseMachine(job, {}, now);
-            if (m == noMachine) {
-                preemptFor(job, job.waitingCount(), now);
-                // What gave way before its launch had left has made room already.
-                m = chooseMachine(job, {}, now);
-            }
-            if (m == noMachine) {
-                jobs.pop_back();
-                continue;
-            }
-            spdlog::debug("{}/{} goes to {} after {:.2f} s, image in {:.1f} s", job.spec.id, task,
-                          machines_[m].name, toSeconds(now - job.releasedAt),
-                          startDelay(job.spec, machines_[m]));
-            bind(job, task, m);
-            refreshCapacities();
+    for (const auto& [rank, waiting] : ranks)
+        if (placeRank(waiting, most, now)) return true;
+    return false;
+}
+
+Cluster::TeamQueues Cluster::queuesByTeam(const std::vector<Job*>& waiting, TimePoint now) const {
+    TeamQueues queues;
+    const auto order = queueOrder(waiting, settings_.objectives, estimates_, now);
+    for (auto entry = order.rbegin(); entry != order.rend(); ++entry)
+        queues[entry->job->spec.team].push_back(entry->job);
+    return queues;
+}
+
+bool Cluster::placeRank(const std::vector<Job*>& waiting, std::size_t& budget, TimePoint now) {
+    TeamQueues queues = queuesByTeam(waiting, now);
+    // Within a rank the team that uses least goes next: max-min fairness, one task at a time.
+    const auto usesLess = [&](const auto& a, const auto& b) {
+        return quota_.weightedUse(a.first) < quota_.weightedUse(b.first);
+    };
+    while (!queues.empty()) {
+        const auto next = std::min_element(queues.begin(), queues.end(), usesLess);
+        std::vector<Job*>& jobs = next->second;
+        if (jobs.empty()) {
+            queues.erase(next);
+            continue;
         }
+        Job& job = *jobs.back();
+        if (job.waitingCount() == 0 || !quota_.withinLimit(job.spec)) {
+            jobs.pop_back();
+            continue;
+        }
+        if (budget == 0) return true;
+        --budget;
+        if (!placeNext(job, now)) jobs.pop_back();
     }
     return false;
 }
 
+bool Cluster::placeNext(Job& job, TimePoint now) {
+    if (job.spec.shape == Shape::gang) {
+        if (!placeGang(job, now)) preemptFor(job, job.waitingCount(), now);
+        refreshCapacities();
+        return false;
+    }
+    const std::uint32_t task = job.nextWaiting();
+    if (quota_.withinReservation(job.spec) && placeInReservation(job, task, now)) {
+        refreshCapacities();
+        return true;
+    }
+    MachineIndex machine = chooseMachine(job, {}, now);
+    if (machine == noMachine) {
+        preemptFor(job, job.waitingCount(), now);
+        // What gave way before its launch had left has freed its capacity already.
+        machine = chooseMachine(job, {}, now);
+    }
+    if (machine == noMachine) return false;
+    spdlog::debug("task is placed: job={} task={} machine={} waited_s={:.2f} start_delay_s={:.1f}",
+                  job.spec.id, task, machines_[machine].name, toSeconds(now - job.releasedAt),
+                  startDelay(job.spec, machines_[machine]));
+    bind(job, task, machine);
+    refreshCapacities();
+    return true;
+}
+
 void Cluster::stopOpportunistic(MachineIndex machine) {
-    std::vector<std::pair<Job*, std::uint32_t>> chosen;
-    for (const auto& c : machines_[machine].allocations)
-        if (c.job->spec.checkpointS > 0 && isOpportunistic(*c.job) && !mustStop(c))
-            chosen.emplace_back(c.job, c.task);
-    for (const auto& [job, task] : chosen) stop(*job, task);
+    TaskList chosen;
+    for (const Allocation& allocation : machines_[machine].allocations) {
+        const Job& job = *allocation.job;
+        if (job.spec.checkpointS > 0 && isOpportunistic(job) && !mustStop(allocation))
+            chosen.emplace_back(allocation.job, allocation.task);
+    }
+    stopAll(chosen);
 }
 
 void Cluster::moveReplicas(MachineIndex machine, TimePoint now) {
--- a/src/scheduler/reconciliation.cpp
+++ b/src/scheduler/reconciliation.cpp
@@ -154,7 +154,7 @@
     if (allocation->state.directLaunchMayArrive())
         m.tombstones.insert(TaskAttempt{t.job, t.task, t.attempt});
     applyExitCause(machine, *allocation, t.cause, now);
-    release(machine, static_cast<std::size_t>(allocation - m.allocations.data()));
+    releaseAllocation(machine, static_cast<std::size_t>(allocation - m.allocations.data()));
 }
 
 Allocation& Cluster::adoptReported(MachineIndex machine, Job& job, const ReportedTask& t) {
@@ -255,7 +255,7 @@
         markCapacityDirty(machine);
         // The worker killed all it had. Bindings whose launch never left are still good.
         for (std::size_t i = m.allocations.size(); i-- > 0;)
-            if (m.allocations[i].state.launchSent()) release(machine, i);
+            if (m.allocations[i].state.launchSent()) releaseAllocation(machine, i);
     }
     // An incarnation lives for a lease from when it began, though none of its heartbeats has been
     // answered: one that became known by its answer to a probe was given work, and up to the end of
@@ -332,7 +332,7 @@
         // sent; the body of a direct response may be older than that.
         const bool neverLaunched = source == Source::heartbeat && mustStop(allocation) &&
                                    !state.adopted() && !state.directLaunchMayArrive();
-        if (state.confirmed() || fenced || neverLaunched) release(machine, i);
+        if (state.confirmed() || fenced || neverLaunched) releaseAllocation(machine, i);
     }
 }
 
@@ -420,7 +420,7 @@
         const bool dropped =
             allocation.launchInLastResponse && !state.confirmed() && !state.directLaunchMayArrive();
         allocation.launchInLastResponse = false;
-        if (m.inboundPartitioned && (dropped || !state.launchSent())) release(machine, i);
+        if (m.inboundPartitioned && (dropped || !state.launchSent())) releaseAllocation(machine, i);
     }
 }
 
