--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -16,7 +16,7 @@
 
 using JobId = std::string;
 using Attempt = std::uint64_t;
-/// Where a machine stands in the registry; machines are never removed from it.
+/// A machine's position in the registry; machines are never removed from it.
 using MachineIndex = std::uint32_t;
 inline constexpr MachineIndex noMachine = UINT32_MAX;
 
@@ -63,7 +63,7 @@
     }
 };
 
-/// When a job has to be over to meet the first and the last of the deadlines that count for it.
+/// When a job has to be done to meet the first and the last of the deadlines that apply to it.
 struct Deadlines {
     static constexpr TimePoint never = TimePoint::max();
     TimePoint first = never, last = never;
@@ -71,13 +71,13 @@
 };
 
 enum class TaskState : std::uint8_t { waiting, bound, done };
-/// How far a bound task has come on its machine, as far as is known.
+/// How far a bound task has come on its machine, as far as this leader knows.
 enum class Phase : std::uint8_t { pendingBind, launchSent, pulling, running, checkpointing };
 
 struct JobTask {
     TaskState state = TaskState::waiting;
     Phase phase = Phase::pendingBind;
-    bool reserved = false;  // in cells of its team's reservation
+    bool reserved = false;  // bound in cells of its team's reservation
     bool stopping = false;  // told to stop: by preemption, draining or cancellation
     MachineIndex machine = noMachine;
     Attempt attempt = 0;
@@ -88,40 +88,40 @@
     JobSpec spec;
     WallMillis submitted{};
     TimePoint submittedAt{};
-    /// From when its waiting counts: its submission, or when the last job that it needs was done.
+    /// From when its wait counts: its submission, or when the last of its dependencies was done.
     TimePoint releasedAt{};
     std::optional<WallMillis> released;  // the latter, for the record
     TimePoint startedAt{};               // when its first task ran, as far as is known
-    /// Some job that it needs is not done: no task of it starts, and it counts nowhere.
+    /// A dependency is not done: no task of it starts, and it is no demand for capacity.
     bool blocked = false;
-    JobId cancelledWith;  // the job before it that was cancelled, and this one with it
-    /// Its own priority or a higher one that a job after it has, and when jobs after it want it
-    /// to be over.
+    JobId cancelledWith;  // the dependency that was cancelled, and this job with it
+    /// Its own priority or a higher one that a dependent has, and when its dependents need it to
+    /// be done.
     Priority rank = Priority::normal;
     Deadlines deadlines{};
-    /// Its user has asked to withdraw it: no task starts any more, and all are stopped.
+    /// Its user has asked to cancel it: no task starts any more, and all are stopped.
     bool cancelled = false;
-    /// And may be told so: whatever may still run ends in time. Until then the record says that it
-    /// is being withdrawn, and polls are answered as before.
+    /// And it may be acknowledged: whatever may still run ends in time. Until then the record says
+    /// that it is being cancelled, and polls are answered as before.
     bool cancelCommitted = false;
-    std::uint64_t cancelVersion = 0;  // of the record of the job itself, when it became final
+    std::uint64_t cancelVersion = 0;  // of the record of the job itself, when it was committed
     TimePoint cancelRequestedAt{};
-    bool cancelRecorded = false;              // on record as being withdrawn
-    std::optional<TimePoint> acknowledgedAt;  // when a user was first told; the past if unknown
+    bool cancelRecorded = false;              // on record as being cancelled
+    std::optional<TimePoint> acknowledgedAt;  // to a user, first; the past if unknown
     std::vector<JobTask> tasks;
     std::uint32_t doneCount = 0, boundCount = 0, runningCount = 0;
     /// Tasks to be placed, the next one last. What was adopted or done meanwhile is skipped when
     /// it comes up, so that no change of a task costs a search.
     std::vector<std::uint32_t> queue;
-    std::size_t queuePosition = notQueued;  // where the scheduler lists it among jobs that wait
+    std::size_t queuePosition = notQueued;  // in the scheduler's list of jobs with tasks to place
     static constexpr std::size_t notQueued = SIZE_MAX;
-    /// Tasks that are possibly in each zone; under "" those on machines not heard of yet.
+    /// Tasks that are possibly in each zone; under "" those on machines that have not reported.
     std::map<std::string, std::uint32_t> perZone;
     jobs::RecordLayout layout;  // of its records
     // A job whose tasks fail on several machines is its owner's mistake: tried ever more rarely.
     std::map<MachineIndex, TimePoint> failedOn;
     std::uint32_t failures = 0;
-    /// Fails wherever it goes, and nothing of it has succeeded: no evidence against machines, and
+    /// Fails wherever it runs, and nothing of it has succeeded: no evidence against machines, and
     /// no reason to rent any.
     bool crashLooping = false;
     Duration longestFailure{};  // the longest that a task of it ran before it failed
--- a/src/scheduler/cluster_fixture.h
+++ b/src/scheduler/cluster_fixture.h
@@ -43,19 +43,19 @@
             ASSERT_TRUE(cluster->load(k, data, clock.now(), clock.wall()));
         cluster->loaded(clock.now());
     }
-    std::vector<Command> beat(Worker& w) {
-        const auto orders = cluster->onHeartbeat(w.next(), clock.now());
+    std::vector<Command> heartbeat(Worker& w) {
+        const auto commands = cluster->onHeartbeat(w.next(), clock.now());
         w.report.token = cluster->token();
-        return orders;
+        return commands;
     }
-    void exchange(Worker& w) { w.execute(beat(w)); }
+    void exchange(Worker& w) { w.execute(heartbeat(w)); }
     Job& submit(const JobSpec& spec) {
         EXPECT_EQ(cluster->submit(spec, clock.now(), clock.wall()), SubmitResult::accepted);
         commit();
         return *cluster->find(spec.id);
     }
     void place() { cluster->place(clock.now()); }
-    /// There is room for one of two jobs, and it goes to run-2, which came later.
+    /// There is capacity for one of two jobs, and it goes to run-2, which came later.
     void laterGoesFirst(const JobSpec& first, Duration apart) {
         submit(first);
         clock.advance(apart);
--- a/src/scheduler/cluster_test.cpp
+++ b/src/scheduler/cluster_test.cpp
@@ -7,11 +7,12 @@
 namespace basaltchute::scheduler {
 namespace {
 
-TEST_F(ClusterTest, ASessionLivesForALeaseThoughItIsKnownByAnAnswerOnly) {
+TEST_F(ClusterTest, AnIncarnationLivesForALeaseThoughItIsKnownByAResponseOnly) {
     // Found in the lab: the worker's node stood still, its lease ran out, and the leader learnt of
-    // its new session by asking it. Work launched there was started elsewhere too, half a second
-    // later, when the lease of the former session had surely ended. Since then nothing is launched
-    // where reports are overdue; a session that begins before they are is known by an answer still.
+    // its new incarnation by a probe. Work launched there was started elsewhere too, half a second
+    // later, when the lease of the former incarnation had surely ended. Since then nothing is
+    // launched where reports are overdue; one that begins before they are is known by a response
+    // still.
     Worker w("n-1"), other("n-2");
     exchange(w);
     clock.advance(settings.reportEvery);
@@ -23,12 +24,13 @@
     w.execute(cluster->takeDirectCommands(cluster->indexOf("n-1"), clock.now()));
     ASSERT_EQ(w.report.tasks.size(), 1U);
     exchange(other);
-    // The former session's lease has ended by any clock.
+    // The former incarnation's lease has ended by any clock.
     clock.advance(settings.lease - settings.reportEvery + 1500ms);
     cluster->advanceTo(clock.now());
-    EXPECT_EQ(job.boundCount, 1U) << "it lives on, and nothing was heard since";
+    EXPECT_EQ(job.boundCount, 1U) << "it lives on, and nothing has arrived since";
     EXPECT_EQ(job.tasks[0].machine, cluster->indexOf("n-1"));
-    // Its reports are overdue by now: it is asked, answers with one more session, and gets nothing.
+    // Its reports are overdue by now: it is probed, answers with one more incarnation, and gets
+    // nothing.
     w.newSession();
     cluster->onStatusReport(w.next(), Cluster::Source::commandResponse, clock.now());
     exchange(other);
@@ -39,17 +41,17 @@
     EXPECT_EQ(job.boundCount, 0U);
 }
 
-TEST_F(ClusterTest, LaunchesOnlyWhatStandsOnRecord) {
+TEST_F(ClusterTest, LaunchesOnlyBindingsThatAreOnRecord) {
     Worker w("n-1");
     exchange(w);
     submit(testing::spec("run-1"));
     place();
-    EXPECT_TRUE(beat(w).empty()) << "the binding is not written yet";
+    EXPECT_TRUE(heartbeat(w).empty()) << "the binding is not written yet";
     commit();
-    const auto orders = beat(w);
-    ASSERT_EQ(orders.size(), 1U);
-    EXPECT_EQ(kindOf(orders[0]), CommandKind::launch);
-    EXPECT_EQ(attemptOf(orders[0]).attempt, 1U);
+    const auto commands = heartbeat(w);
+    ASSERT_EQ(commands.size(), 1U);
+    EXPECT_EQ(kindOf(commands[0]), CommandKind::launch);
+    EXPECT_EQ(attemptOf(commands[0]).attempt, 1U);
 }
 
 TEST_F(ClusterTest, AcceptanceAndBindingsAreOneWrite) {
@@ -57,13 +59,13 @@
     exchange(w);
     cluster->submit(testing::spec("run-1"), clock.now(), clock.wall());
     place();
-    EXPECT_TRUE(beat(w).empty()) << "neither is on record yet";
+    EXPECT_TRUE(heartbeat(w).empty()) << "neither is on record yet";
     const auto dirty = cluster->takeEffects().dirtyRecords;
     for (const auto& d : dirty) EXPECT_EQ(d.first, dirty[0].first);
     const auto encoded = cluster->encode(dirty[0].first);
     ASSERT_TRUE(encoded);
     cluster->committed(dirty[0].first, encoded->version);
-    EXPECT_EQ(beat(w).size(), 1U);
+    EXPECT_EQ(heartbeat(w).size(), 1U);
 }
 
 TEST_F(ClusterTest, RepeatsALaunchThatTheWorkerDroppedWithTheSameAttempt) {
@@ -72,8 +74,8 @@
     submit(testing::spec("run-1"));
     place();
     commit();
-    beat(w);  // the answer is lost
-    const auto again = beat(w);
+    heartbeat(w);  // the answer is lost
+    const auto again = heartbeat(w);
     ASSERT_EQ(again.size(), 1U);
     EXPECT_EQ(attemptOf(again[0]).attempt, 1U);
 }
@@ -95,21 +97,21 @@
     place();
     commit();
     EXPECT_EQ(job.tasks[0].attempt, 2U);
-    const auto orders = beat(other);
-    ASSERT_EQ(orders.size(), 1U);
-    EXPECT_EQ(attemptOf(orders[0]).attempt, 2U);
+    const auto commands = heartbeat(other);
+    ASSERT_EQ(commands.size(), 1U);
+    EXPECT_EQ(attemptOf(commands[0]).attempt, 2U);
 }
 
-TEST_F(ClusterTest, ANewSessionProvesThatNothingRuns) {
+TEST_F(ClusterTest, ANewIncarnationProvesThatNothingRuns) {
     Worker w("n-1");
     Job& job = running(w, testing::spec("run-1"));
     w.newSession();
-    beat(w);
+    heartbeat(w);
     EXPECT_EQ(job.tasks[0].state, TaskState::waiting);
     EXPECT_EQ(job.runningCount, 0U);
 }
 
-TEST_F(ClusterTest, AReportHeldBackFromADeadSessionChangesNothing) {
+TEST_F(ClusterTest, ADelayedReportFromAnEndedIncarnationChangesNothing) {
     Worker w("n-1"), other("n-2");
     Job& job = running(w, testing::spec("run-1"));
     clock.advance(20s);
@@ -118,14 +120,14 @@
     place();
     commit();
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
-    EXPECT_TRUE(beat(w).empty());  // sent before the cut, delivered after the lease
+    EXPECT_TRUE(heartbeat(w).empty());  // sent before the cut, delivered after the lease
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
 }
 
 TEST_F(ClusterTest, AnEarlierAttemptsResultDoesNotHideWhereTheNextOneMayBe) {
     // A report that was held back brings the result of an attempt that was given up, while the next
     // one is on a machine. Called done, its record no longer said where: a successor counted it
-    // nowhere, and told that the job is cancelled as if nothing of it were left.
+    // nowhere, and the cancellation was acknowledged as if nothing of it were left.
     Worker w("n-1"), other("n-2");
     Job& job = running(w, testing::spec("run-1"));
     clock.advance(20s);
@@ -137,7 +139,7 @@
     exchange(other);
     ASSERT_EQ(other.report.tasks.size(), 1U);
     w.set(0, TaskStatus::exited, ExitCause::done);
-    beat(w);
+    heartbeat(w);
     commit();
     EXPECT_EQ(job.doneCount, 0U);
     takeOver();
@@ -145,7 +147,7 @@
     EXPECT_EQ(known.boundCount, 1U);
     EXPECT_FALSE(known.perZone.empty()) << "it may be on n-2";
     other.set(0, TaskStatus::exited, ExitCause::done);
-    beat(other);
+    heartbeat(other);
     EXPECT_EQ(known.doneCount, 1U);
 }
 
@@ -169,21 +171,21 @@
     EXPECT_EQ(cluster->find("run-2")->boundCount, 1U);
 }
 
-TEST_F(ClusterTest, ForgetsAResultOnlyOnceItStands) {
+TEST_F(ClusterTest, ForgetsAResultOnlyOnceItIsOnRecord) {
     Worker w("n-1");
     Job& job = running(w, testing::spec("run-1"));
     w.set(0, TaskStatus::exited, ExitCause::done);
-    EXPECT_TRUE(beat(w).empty());
+    EXPECT_TRUE(heartbeat(w).empty());
     EXPECT_TRUE(job.allDone());
-    EXPECT_FALSE(job.doneDurable()) << "nobody may be told yet";
+    EXPECT_FALSE(job.doneDurable()) << "no user may see it yet";
     commit();
     EXPECT_TRUE(job.doneDurable());
-    const auto orders = beat(w);
-    ASSERT_EQ(orders.size(), 1U);
-    EXPECT_EQ(kindOf(orders[0]), CommandKind::forget);
+    const auto commands = heartbeat(w);
+    ASSERT_EQ(commands.size(), 1U);
+    EXPECT_EQ(kindOf(commands[0]), CommandKind::forget);
 }
 
-TEST_F(ClusterTest, AnUnansweredDirectLaunchStaysChargedAndIsNeverForgotten) {
+TEST_F(ClusterTest, AnUnansweredDirectLaunchStaysAllocatedAndIsNeverForgotten) {
     Worker w("n-1");
     exchange(w);
     Job& job = submit(testing::spec("run-1"));
@@ -195,33 +197,34 @@
     cluster->cancel(job, clock.now());
     commit();
     // Made known and ended in one go, so that the late launch is a repetition.
-    auto orders = beat(w);
-    ASSERT_EQ(orders.size(), 2U);
-    EXPECT_EQ(kindOf(orders[0]), CommandKind::launch);
-    EXPECT_EQ(kindOf(orders[1]), CommandKind::stop);
+    auto commands = heartbeat(w);
+    ASSERT_EQ(commands.size(), 2U);
+    EXPECT_EQ(kindOf(commands[0]), CommandKind::launch);
+    EXPECT_EQ(kindOf(commands[1]), CommandKind::stop);
     EXPECT_EQ(cluster->machines()[m].allocations.size(), 1U);
-    w.execute(orders);
-    for (int i = 0; i < 3; ++i) EXPECT_TRUE(beat(w).empty()) << "forgotten, it could start again";
+    w.execute(commands);
+    for (int i = 0; i < 3; ++i)
+        EXPECT_TRUE(heartbeat(w).empty()) << "forgotten, it could start again";
     EXPECT_TRUE(cluster->machines()[m].allocations.empty());
 }
 
-TEST_F(ClusterTest, ADirectReportDoesNotDisproveALaunchInsideABeatsAnswer) {
+TEST_F(ClusterTest, ADirectReportDoesNotDisproveALaunchInAHeartbeatResponse) {
     Worker w("n-1");
     exchange(w);
     Job& job = submit(testing::spec("run-1"));
     place();
     commit();
-    beat(w);  // the launch is on its way in this answer
+    heartbeat(w);  // the launch is on its way in this answer
     cluster->cancel(job, clock.now());
     commit();
     const auto m = *cluster->machines().find("n-1");
     cluster->onStatusReport(w.next(), Cluster::Source::commandResponse, clock.now());
     EXPECT_EQ(cluster->machines()[m].allocations.size(), 1U);
-    beat(w);  // a beat is sent only after the earlier answer was executed or dropped
+    heartbeat(w);  // a beat is sent only after the earlier answer was executed or dropped
     EXPECT_TRUE(cluster->machines()[m].allocations.empty());
 }
 
-TEST_F(ClusterTest, AWithdrawalIsFinalOnceWhatMayStillRunEndsInTime) {
+TEST_F(ClusterTest, ACancellationIsCommittedOnceWhatMayStillRunEndsInTime) {
     // With a zone lent for longer than users are promised, a task there could outlive its answer.
     const lease_delegation::DelegationLimits terms =
         lease_delegation::DelegationLimits::from(settings);
@@ -242,8 +245,8 @@
     EXPECT_GT(cluster->timeUntilAcknowledgeable(job, clock.now()), 0s);
     EXPECT_LE(cluster->delegationCap("a", clock.now()), clock.now() + settings.cancelWithin);
     EXPECT_EQ(cluster->delegationCap("b", clock.now()), TimePoint::max());
-    w.execute(beat(w));
-    beat(w);  // gone: that is proof
+    w.execute(heartbeat(w));
+    heartbeat(w);  // gone: that is proof
     cluster->advanceTo(clock.now());
     commit();
     EXPECT_TRUE(job.cancelDurable());
@@ -252,7 +255,7 @@
     EXPECT_TRUE(cluster->find("run-1")->cancelDurable());
 }
 
-TEST_F(ClusterTest, WhatIsBeingWithdrawnStaysSoAfterATakeOverAndIsToldWhenItMayBe) {
+TEST_F(ClusterTest, APendingCancellationOutlivesATakeOverAndIsAcknowledgedWhenItMayBe) {
     const lease_delegation::DelegationLimits terms =
         lease_delegation::DelegationLimits::from(settings);
     lease_delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}},
@@ -272,7 +275,7 @@
     EXPECT_TRUE(job.cancelDurable());
 }
 
-TEST_F(ClusterTest, ATaskFoundAfterItsJobWasToldToBeCancelledEndsTheDelegationsOfItsZone) {
+TEST_F(ClusterTest, ATaskFoundAfterItsCancellationWasAcknowledgedEndsTheDelegationsOfItsZone) {
     const lease_delegation::DelegationLimits terms =
         lease_delegation::DelegationLimits::from(settings);
     lease_delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}},
@@ -289,11 +292,11 @@
         << "nothing of it is anywhere";
     clock.advance(1h);
     w.report.tasks.push_back({"run-1", 0, 1, TaskStatus::running, ExitCause::other, false});
-    beat(w);
+    heartbeat(w);
     EXPECT_LT(cluster->delegationCap("a", clock.now()), clock.now());
 }
 
-TEST_F(ClusterTest, ASilentMachinesTasksStayWhereAHolderMayHaveAnsweredForTheLeader) {
+TEST_F(ClusterTest, AnUnresponsiveMachinesTasksStayWhereADelegateMayHaveAnsweredForTheLeader) {
     const lease_delegation::DelegationLimits terms =
         lease_delegation::DelegationLimits::from(settings);
     lease_delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}},
@@ -301,17 +304,17 @@
     cluster->setDelegator(delegator);
     Worker w("n-1");
     Job& job = running(w, testing::spec("run-1"));
-    const auto silentFor = [&](Duration span) {
+    const auto unresponsiveFor = [&](Duration span) {
         for (Duration d{}; d < span; d += 1s) {
             clock.advance(1s);
             cluster->advanceTo(clock.now());
         }
     };
-    silentFor(settings.lease + 2s);
+    unresponsiveFor(settings.lease + 2s);
     EXPECT_EQ(job.boundCount, 1U) << "a lease is not enough";
-    silentFor(terms.maxDuration - 3s);
+    unresponsiveFor(terms.maxDuration - 3s);
     EXPECT_EQ(job.boundCount, 1U);
-    silentFor(3s);
+    unresponsiveFor(3s);
     EXPECT_EQ(job.boundCount, 0U) << "a lease after the longest delegation is";
 }
 
@@ -323,13 +326,13 @@
     commit();
     EXPECT_TRUE(job.cancelDurable());
     w.set(0, TaskStatus::exited, ExitCause::done);  // it finished before the stop came
-    beat(w);
+    heartbeat(w);
     EXPECT_TRUE(job.cancelDurable());
     takeOver();
     EXPECT_TRUE(cluster->find("run-1")->cancelDurable());
 }
 
-TEST_F(ClusterTest, TakeOverWithASilentMachineWaitsOutItsLeaseOnly) {
+TEST_F(ClusterTest, TakeOverWithAnUnresponsiveMachineWaitsOutItsLeaseOnly) {
     Worker a("n-1"), b("n-2");
     exchange(a);
     exchange(b);
@@ -344,13 +347,13 @@
     ASSERT_EQ(a.report.tasks.size(), 2U);
     takeOver();
     Job& job = *cluster->find("run-1");
-    exchange(a);  // n-2 stays silent
+    exchange(a);  // n-2 stays unresponsive
     EXPECT_EQ(job.runningCount, 2U) << "what reports is adopted at once";
     submit(testing::spec("run-2"));
     a.set(0, TaskStatus::exited, ExitCause::done);
-    beat(a);
+    heartbeat(a);
     place();
-    EXPECT_EQ(cluster->find("run-2")->boundCount, 1U) << "placed before n-2 is heard of";
+    EXPECT_EQ(cluster->find("run-2")->boundCount, 1U) << "placed before n-2 reports";
     EXPECT_EQ(job.boundCount, 3U);
     clock.advance(settings.lease + 1s);
     cluster->advanceTo(clock.now());
@@ -365,30 +368,30 @@
     commit();  // bound on record, launched by nobody
     takeOver();
     Job& job = *cluster->find("run-1");
-    EXPECT_TRUE(beat(w).empty());
+    EXPECT_TRUE(heartbeat(w).empty());
     EXPECT_EQ(job.boundCount, 1U) << "an order of the former leader may still arrive";
-    beat(w);
+    heartbeat(w);
     EXPECT_EQ(job.boundCount, 0U);
     place();
     EXPECT_EQ(job.tasks[0].attempt, 2U) << "an attempt is never used twice";
 }
 
-TEST_F(ClusterTest, ATaskThatRunsWithoutABindingIsKeptWhereItIs) {
+TEST_F(ClusterTest, AReportedTaskWithoutABindingIsAdoptedWhereItIs) {
     Worker w("n-1");
     submit(testing::spec("run-1"));
     w.report.tasks.push_back({"run-1", 0, 3, TaskStatus::running, ExitCause::other, false});
-    EXPECT_TRUE(beat(w).empty());
+    EXPECT_TRUE(heartbeat(w).empty());
     const Job& job = *cluster->find("run-1");
     EXPECT_EQ(job.tasks[0].attempt, 3U);
     EXPECT_EQ(job.runningCount, 1U);
 }
 
-TEST_F(ClusterTest, WhatNobodySubmittedIsStopped) {
+TEST_F(ClusterTest, UnknownTasksAreStopped) {
     Worker w("n-1");
     w.report.tasks.push_back({"run-9", 0, 1, TaskStatus::running, ExitCause::other, false});
-    const auto orders = beat(w);
-    ASSERT_EQ(orders.size(), 1U);
-    EXPECT_EQ(kindOf(orders[0]), CommandKind::stop);
+    const auto commands = heartbeat(w);
+    ASSERT_EQ(commands.size(), 1U);
+    EXPECT_EQ(kindOf(commands[0]), CommandKind::stop);
 }
 
 TEST_F(ClusterTest, LimitsCountWhatPossiblyRuns) {
@@ -402,7 +405,7 @@
     commit();
     exchange(w);
     exchange(v);
-    clock.advance(8s);  // both silent, neither lease has run out
+    clock.advance(8s);  // both unresponsive, neither lease has run out
     exchange(x);
     s.id = "run-2";
     Job& second = submit(s);
@@ -454,10 +457,10 @@
     place();
     EXPECT_EQ(job.boundCount, 3U);
     commit();
-    EXPECT_EQ(beat(w).size() + beat(v).size(), 3U);
+    EXPECT_EQ(heartbeat(w).size() + heartbeat(v).size(), 3U);
 }
 
-TEST_F(ClusterTest, ProductionPreemptsLowerWorkWithTimeToSaveAndNothingElse) {
+TEST_F(ClusterTest, ProductionPreemptsLowerWorkWithTimeForACheckpointAndNothingElse) {
     Worker w("n-1");
     JobSpec low = testing::spec("run-1", 2);
     low.checkpointS = 10;
@@ -466,23 +469,23 @@
     JobSpec same = testing::spec("run-2");
     submit(same);
     place();
-    EXPECT_TRUE(beat(w).empty()) << "equal priority is not preempted";
+    EXPECT_TRUE(heartbeat(w).empty()) << "equal priority is not preempted";
     JobSpec high = testing::spec("run-3");
     high.priority = Priority::production;
     submit(high);
     place();
-    const auto orders = beat(w);
-    ASSERT_EQ(orders.size(), 1U) << "one task is enough room";
-    EXPECT_EQ(kindOf(orders[0]), CommandKind::stop);
-    EXPECT_GE(std::get<StopTask>(orders[0]).gracePeriod, 5s);
-    w.execute(orders);
-    beat(w);
+    const auto commands = heartbeat(w);
+    ASSERT_EQ(commands.size(), 1U) << "one task is enough";
+    EXPECT_EQ(kindOf(commands[0]), CommandKind::stop);
+    EXPECT_GE(std::get<StopTask>(commands[0]).gracePeriod, 5s);
+    w.execute(commands);
+    heartbeat(w);
     place();
     EXPECT_EQ(cluster->find("run-3")->boundCount, 1U);
     EXPECT_EQ(victim.boundCount, 1U);
 }
 
-TEST_F(ClusterTest, WorkStoppedBeforeItsLaunchLeftGivesItsRoomBackAtOnce) {
+TEST_F(ClusterTest, WorkStoppedBeforeItsLaunchWasSentFreesItsCapacityAtOnce) {
     // Such tasks were to be stopped for good: never launched, never reported, never released.
     Worker w("n-1");
     exchange(w);
@@ -518,11 +521,11 @@
     high.priority = Priority::production;
     submit(high);
     place();
-    EXPECT_EQ(beat(w).size() + beat(v).size(), 4U);
+    EXPECT_EQ(heartbeat(w).size() + heartbeat(v).size(), 4U);
 }
 
-TEST_F(ClusterTest, ALargeArrayThatMeetsSickMachinesIsNotBlamed) {
-    // With dozens sick at once a large array fails on several and was taken for its owner's
+TEST_F(ClusterTest, ALargeArrayOnFaultyMachinesIsNotCrashLooping) {
+    // With dozens faulty at once a large array fails on several and was taken for its owner's
     // mistake; the machines went on failing everybody's tasks.
     std::vector<Worker> all;
     for (int i = 0; i < 6; ++i) all.emplace_back("n-" + std::to_string(i));
@@ -551,9 +554,9 @@
             << i;
 }
 
-TEST_F(ClusterTest, AJobThatRunsForAWhileBeforeItFailsCondemnsNoMachine) {
+TEST_F(ClusterTest, AJobThatRunsForAWhileBeforeItFailsQuarantinesNoMachine) {
     // Its tasks that had not failed yet once counted as running well, and each machine on which
-    // the others failed as sick.
+    // the others failed as faulty.
     std::vector<Worker> all;
     for (int i = 0; i < 6; ++i) all.emplace_back("n-" + std::to_string(i));
     for (auto& w : all) exchange(w);
@@ -574,7 +577,7 @@
     for (const auto& m : cluster->machines()) EXPECT_FALSE(m.quarantined) << m.name;
 }
 
-TEST_F(ClusterTest, AResultIsForgottenOnceItStandsHoweverOftenItsRecordChanges) {
+TEST_F(ClusterTest, AResultIsForgottenOnceItIsOnRecordHoweverOftenThatChanges) {
     // The record of a large array has always changed again, so its results stayed in the reports
     // until those were too large to be taken, and the worker lost its lease and all it ran.
     Worker w("n-1");
@@ -582,16 +585,16 @@
     s.demand = {0.25, 0, 0.5};
     Job& job = running(w, s);
     w.set(0, TaskStatus::exited, ExitCause::done);
-    beat(w);
-    const auto stands = cluster->encode("jobs/run-1")->version;
+    heartbeat(w);
+    const auto resultVersion = cluster->encode("jobs/run-1")->version;
     w.set(1, TaskStatus::exited, ExitCause::done);
-    beat(w);  // the record changes again before the first result stands
-    cluster->committed("jobs/run-1", stands);
+    heartbeat(w);  // the record changes again before the first result is on record
+    cluster->committed("jobs/run-1", resultVersion);
     ASSERT_LT(job.layout.head().durable, job.layout.head().version);
-    const auto orders = beat(w);
-    ASSERT_EQ(orders.size(), 1U) << "the second result does not stand yet";
-    EXPECT_EQ(kindOf(orders[0]), CommandKind::forget);
-    EXPECT_EQ(attemptOf(orders[0]).task, 0U);
+    const auto commands = heartbeat(w);
+    ASSERT_EQ(commands.size(), 1U) << "the second result is not on record yet";
+    EXPECT_EQ(kindOf(commands[0]), CommandKind::forget);
+    EXPECT_EQ(attemptOf(commands[0]).task, 0U);
 }
 
 TEST_F(ClusterTest, AMachineWhoseReportIsNearlyFullGetsNoMoreTasks) {
@@ -616,15 +619,15 @@
     EXPECT_EQ(job.waitingCount(), 0U);
 }
 
-TEST_F(ClusterTest, WhoGaveWayDoesNotTakeTheRoomBack) {
-    // Tasks bound at low priority gave way before their launch, took the same room back in the
+TEST_F(ClusterTest, APreemptedJobDoesNotTakeTheReclaimedCapacityBack) {
+    // Tasks bound at low priority gave way before their launch, took the same capacity back in the
     // same pass, and so on in each: 600,000 bindings for 47,000 starts on one day.
     Worker w("n-1");
     exchange(w);
-    JobSpec guest = testing::spec("run-1", 64);
-    guest.priority = Priority::low;
-    guest.demand = {0.25, 0, 0.5};
-    Job& low = submit(guest);
+    JobSpec opportunistic = testing::spec("run-1", 64);
+    opportunistic.priority = Priority::low;
+    opportunistic.demand = {0.25, 0, 0.5};
+    Job& low = submit(opportunistic);
     place();  // 32 of them fill the machine
     commit();
     exchange(w);
@@ -644,7 +647,7 @@
         clock.advance(200ms);
         place();
     }
-    EXPECT_EQ(count(), attempts) << "nothing is bound into room that is being made";
+    EXPECT_EQ(count(), attempts) << "nothing is bound into capacity that is being reclaimed";
     exchange(w);  // told to stop
     for (auto& t : w.report.tasks) t.status = TaskStatus::exited, t.cause = ExitCause::stopped;
     exchange(w);
@@ -653,8 +656,9 @@
 }
 
 TEST_F(ClusterTest, WorkWithoutAnObjectiveGoesAfterWorkThatCanMeetOne) {
-    // Idle runs without an objective counted as the oldest, filled all idle room for long, and a
-    // guest's short jobs waited behind them until they were late: 0.29 of them in time.
+    // Idle runs without an objective counted as the oldest, filled all idle capacity for long, and
+    // an opportunistic team's short jobs waited behind them until they were late: 0.29 of them in
+    // time.
     settings.objectives = {{"finished", "c", 400s, 0.9}};
     JobSpec idle = testing::spec("run-1", 2);
     idle.jobClass = "other";
@@ -672,7 +676,7 @@
     laterGoesFirst(testing::spec("run-1", 2), 20s);
 }
 
-TEST_F(ClusterTest, WhenNotAllCanBeInTimeTheLargestJobIsPutBack) {
+TEST_F(ClusterTest, WhenNotAllCanBeInTimeTheLargestJobConcedes) {
     // In a burst, serving in order of due times made everybody late together.
     settings.objectives = {{"wait", "c", 15s, 0.8}};
     Worker w("n-1");
@@ -692,7 +696,7 @@
     EXPECT_EQ(cluster->find("run-2")->boundCount, 0U);
 }
 
-TEST_F(ClusterTest, LeavesRoomForReplicasOnMachinesThatHaveTheirImage) {
+TEST_F(ClusterTest, KeepsWarmCapacityForReplicasOnMachinesThatHaveTheirImage) {
     settings.objectives = {{"wait", "web", 1s, 0.9}};
     Worker w("n-1"), v("n-2"), spot("n-3", "a", true);
     JobSpec web = testing::spec("run-1");
@@ -706,7 +710,8 @@
     exchange(v);
     Job& batch = submit(testing::spec("run-2", 4));
     place();
-    EXPECT_EQ(batch.boundCount, 2U) << "n-2 has not the image and is filled; n-1 keeps its room";
+    EXPECT_EQ(batch.boundCount, 2U)
+        << "n-2 has not the image and is filled; n-1 keeps its warm capacity";
     exchange(spot);
     place();
     EXPECT_EQ(batch.boundCount, 4U);
@@ -740,25 +745,25 @@
     EXPECT_EQ(next.tasks[0].machine, *cluster->machines().find("n-2")) << "although n-1 is fuller";
 }
 
-TEST_F(ClusterTest, ATaskOnARecalledMachineSavesAsLateAsItCan) {
+TEST_F(ClusterTest, ATaskOnAnInterruptedSpotMachineWritesItsCheckpointAsLateAsItCan) {
     Worker w("n-1");
     JobSpec s = testing::spec("run-1");
     s.checkpointS = 10;
     s.saveS = 4;
     running(w, s);
     w.report.interruptionNotice = 15s;
-    beat(w);
+    heartbeat(w);
     cluster->advanceTo(clock.now());
-    EXPECT_TRUE(beat(w).empty()) << "it may still finish";
+    EXPECT_TRUE(heartbeat(w).empty()) << "it may still finish";
     clock.advance(9s);
     w.report.interruptionNotice = 6s;
     cluster->advanceTo(clock.now());
-    const auto orders = beat(w);
-    ASSERT_EQ(orders.size(), 1U);
-    EXPECT_GE(std::get<StopTask>(orders[0]).gracePeriod, 4s);
+    const auto commands = heartbeat(w);
+    ASSERT_EQ(commands.size(), 1U);
+    EXPECT_GE(std::get<StopTask>(commands[0]).gracePeriod, 4s);
 }
 
-TEST_F(ClusterTest, AMachineThatFailsSeveralJobsGetsNoMoreWork) {
+TEST_F(ClusterTest, AMachineThatFailsSeveralJobsIsQuarantined) {
     Worker w("n-1");
     exchange(w);
     submit(testing::spec("run-1"));
@@ -776,7 +781,7 @@
     EXPECT_EQ(cluster->find("run-1")->boundCount, 0U);
 }
 
-TEST_F(ClusterTest, AJobThatFailsEverywhereBacksOffAndCondemnsNoMachine) {
+TEST_F(ClusterTest, ACrashLoopingJobBacksOffAndQuarantinesNoMachine) {
     std::vector<Worker> all{Worker("n-1"), Worker("n-2"), Worker("n-3")};
     for (auto& w : all) exchange(w);
     Job& job = submit(testing::spec("run-1"));
@@ -811,7 +816,7 @@
         exchange(w);
     }
     for (std::size_t t = 0; t < 700; ++t) w.set(t, TaskStatus::exited, ExitCause::done);
-    beat(w);
+    heartbeat(w);
     commit();
     EXPECT_GT(records.size(), 1U);
     for (const auto& [key, data] : records) EXPECT_LE(data.size(), settings.valueBytes) << key;
@@ -821,7 +826,7 @@
     EXPECT_EQ(cluster->find("run-1")->doneCount, before);
 }
 
-TEST_F(ClusterTest, EveryIndexAgreesWithAPlainRecountUnderRandomOperations) {
+TEST_F(ClusterTest, EveryIndexAgreesWithARecountUnderRandomOperations) {
     settings.objectives = {{"wait", "web", 1s, 0.9}};
     std::mt19937 random(20261201);
     const auto below = [&](std::size_t n) {
@@ -893,7 +898,7 @@
     EXPECT_GT(cluster->jobCount(), 50U);
 }
 
-TEST_F(ClusterTest, ABeatAndAPlacementCostTheSameInALargeFleet) {
+TEST_F(ClusterTest, AHeartbeatAndAPlacementCostTheSameInALargeCluster) {
     // Every placement once looked at every machine and all that was on it: at some hundred
     // machines a leader's share of a core was gone.
     settings.teams.push_back({"green", 0, 0, 0, 0});
--- a/src/scheduler/dependency_tracking_test.cpp
+++ b/src/scheduler/dependency_tracking_test.cpp
@@ -14,7 +14,7 @@
 using worker_api::ExitCause;
 using worker_api::TaskStatus;
 
-class WaitingTest : public ::testing::Test {
+class DependencyTrackingTest : public ::testing::Test {
   protected:
     FakeClock clock;
     settings::Settings settings = testing::someSettings();
@@ -47,7 +47,7 @@
         return *cluster->find(id);
     }
     Job& job(const JobId& id) { return *cluster->find(id); }
-    /// One beat, with time for what follows from it: records stand, work is placed.
+    /// One heartbeat, with time for what follows: records are written, work is placed.
     void round() {
         w.execute(cluster->onHeartbeat(w.next(), clock.now()));
         w.report.token = cluster->token();
@@ -68,7 +68,7 @@
     }
 };
 
-TEST_F(WaitingTest, NothingStartsBeforeWhatItNeedsIsDoneOnRecord) {
+TEST_F(DependencyTrackingTest, NothingStartsBeforeItsDependenciesAreDoneOnRecord) {
     submit("run-1", {});
     Job& second = submit("run-2", {"run-1"});
     for (int i = 0; i < 3; ++i) round();
@@ -89,7 +89,7 @@
     EXPECT_TRUE(onWorker("run-2"));
 }
 
-TEST_F(WaitingTest, AJobThatWaitsCountsNowhere) {
+TEST_F(DependencyTrackingTest, ABlockedJobCountsNowhere) {
     settings.teams = {{"red", 0, 3, 0, 0}};
     settings.objectives = {{"wait", "c", 5s, 0.9}};
     submit("run-1", {}, 2);
@@ -111,7 +111,7 @@
     EXPECT_EQ(cluster->schedulingPriority(second, clock.now()).startBy, clock.now() + 5s);
 }
 
-TEST_F(WaitingTest, AllAfterACancelledJobAreCancelledWithItAndStaySoAfterATakeOver) {
+TEST_F(DependencyTrackingTest, DependentsAreCancelledWithAJobAndStaySoAfterATakeOver) {
     submit("run-1", {});
     submit("run-2", {"run-1"});
     submit("run-3", {"run-2", "run-1"});
@@ -121,7 +121,7 @@
     const auto before = records;
     cluster->cancel(job("run-1"), clock.now());
     cluster->advanceTo(clock.now());
-    EXPECT_FALSE(job("run-4").cancelled) << "nobody was told, and no record says so";
+    EXPECT_FALSE(job("run-4").cancelled) << "nothing was acknowledged, and no record says so";
     commit();
     cluster->advanceTo(clock.now());
     for (const char* id : {"run-2", "run-3", "run-4"}) {
@@ -140,7 +140,7 @@
     round();
 }
 
-TEST_F(WaitingTest, DoneBeforeTheWithdrawalLeavesWhatComesAfterAlone) {
+TEST_F(DependencyTrackingTest, AJobDoneBeforeItsCancellationDoesNotCancelItsDependents) {
     submit("run-1", {});
     Job& second = submit("run-2", {"run-1"});
     for (int i = 0; i < 3; ++i) round();
@@ -155,7 +155,7 @@
     EXPECT_TRUE(second.open());
 }
 
-TEST_F(WaitingTest, AWithdrawnJobThatWaitedTakesOnlyThoseAfterItAlong) {
+TEST_F(DependencyTrackingTest, ACancelledBlockedJobCancelsOnlyItsDependents) {
     submit("run-1", {});
     submit("run-2", {"run-1"});
     submit("run-3", {"run-2"});
@@ -170,7 +170,7 @@
     EXPECT_TRUE(job("run-1").open());
 }
 
-TEST_F(WaitingTest, ASuccessorKnowsWhatWaitsAndWhatWasReleased) {
+TEST_F(DependencyTrackingTest, ASuccessorKnowsWhichJobsAreBlockedAndWhichWereReleased) {
     submit("run-1", {});
     submit("run-2", {"run-1"});
     submit("run-3", {"run-2"});
@@ -191,7 +191,7 @@
     EXPECT_EQ(cluster->findInconsistency(), "");
 }
 
-TEST_F(WaitingTest, WhatAJobMayNotNeedIsNamedBeforeAnythingIsKept) {
+TEST_F(DependencyTrackingTest, AnInvalidDependencyIsNamedBeforeAnythingIsStored) {
     using Kind = Cluster::DependencyError::Kind;
     submit("run-1", {});
     submit("run-2", {}, 1, [](JobSpec& s) { s.shape = Shape::service; });
@@ -212,11 +212,11 @@
     EXPECT_EQ(wrong({"run-3"}).kind, Kind::none);
 }
 
-TEST_F(WaitingTest, TheLastJobsPriorityAndDeadlineCountForAllBeforeIt) {
+TEST_F(DependencyTrackingTest, ADependentsPriorityAndDeadlineCountForItsDependencies) {
     settings.objectives = {{"deadline", "post", {}, 0.9, 1}, {"deadline", "post", {}, 0.9, 1.5}};
     const auto low = [](JobSpec& s) { s.priority = Priority::low; };
     submit("run-1", {}, 8, low);
-    submit("run-2", {}, 8, low);  // not in the chain, and first in line otherwise
+    submit("run-2", {}, 8, low);  // no dependency of the others, and first in line otherwise
     submit("run-3", {"run-1"}, 1, low);
     EXPECT_EQ(job("run-1").rank, Priority::low);
     submit("run-4", {"run-3"}, 1, [](JobSpec& s) {
@@ -246,7 +246,7 @@
     EXPECT_EQ(job("run-1").deadlines, Deadlines{});
 }
 
-TEST_F(WaitingTest, AChainsFirstJobMakesRoomAndIsNotPreemptedByWhatItsLastJobOutranks) {
+TEST_F(DependencyTrackingTest, ADependencyPreemptsByItsInheritedRankAndIsNotPreemptedBelowIt) {
     const auto rank = [](Priority p) {
         return [p](JobSpec& s) {
             s.priority = p;
@@ -268,12 +268,12 @@
 }
 
 /// Every order of steps of a small graph, with a take-over possible after each: nothing runs after
-/// an undone or cancelled need, nothing waits for ever, and all that is told stays true.
-class ChainSearch {
+/// an unfinished or cancelled dependency, nothing is blocked for ever, and every answer stays true.
+class DependencySearch {
   public:
-    enum class Step { beat, write, withdrawFirst, withdrawSecond, takeOver, expire, finish };
+    enum class Step { heartbeat, write, cancelFirst, cancelSecond, takeOver, expire, finish };
     static constexpr int steps = 7;
-    explicit ChainSearch(const std::vector<std::vector<JobId>>& needs) : needs_(needs) {
+    explicit DependencySearch(const std::vector<std::vector<JobId>>& needs) : needs_(needs) {
         settings_.objectives = {};
     }
     /// What went wrong, or nothing.
@@ -303,7 +303,8 @@
             return true;
         };
         for (int i = 0; i < 40 && !over(); ++i) {
-            for (const Step s : {Step::beat, Step::write, Step::expire, Step::beat, Step::finish})
+            for (const Step s :
+                 {Step::heartbeat, Step::write, Step::expire, Step::heartbeat, Step::finish})
                 apply(s);
             if (auto bad = wrong(); !bad.empty()) return bad;
         }
@@ -323,23 +324,23 @@
     void apply(Step s) {
         clock_.advance(100ms);
         switch (s) {
-            case Step::beat: {
-                const auto orders = cluster_->onHeartbeat(w_.next(), clock_.now());
+            case Step::heartbeat: {
+                const auto commands = cluster_->onHeartbeat(w_.next(), clock_.now());
                 w_.report.token = token_;
-                for (const Command& o : orders)
+                for (const Command& o : commands)
                     if (const auto* launch = std::get_if<worker_api::LaunchTask>(&o))
                         ran_.insert(launch->attempt.job);
-                w_.execute(orders);
+                w_.execute(commands);
                 break;
             }
             case Step::write:
                 write();
                 break;
-            case Step::withdrawFirst:
+            case Step::cancelFirst:
                 cancellations_ = name(0);
                 cluster_->cancel(*cluster_->find(cancellations_), clock_.now());
                 break;
-            case Step::withdrawSecond:
+            case Step::cancelSecond:
                 cluster_->cancel(*cluster_->find(name(1)), clock_.now());
                 break;
             case Step::takeOver:
@@ -371,7 +372,7 @@
             const std::string is = status(id);
             std::string& was = told_[id];
             if ((was == "done" || was == "cancelled") && is != was)
-                return id + " was told to be " + was + " and is " + is;
+                return id + " was answered to be " + was + " and is " + is;
             was = is;
             for (const auto& need : needs_[i]) {
                 if (ran_.contains(id) && !done_.contains(need)) return id + " is too early";
@@ -393,7 +394,7 @@
     FencingToken token_ = 1;
 };
 
-TEST(ChainSearch, NoOrderOfStepsStartsAJobTooEarlyOrLeavesOneWaiting) {
+TEST(DependencySearch, NoOrderOfStepsStartsAJobTooEarlyOrLeavesOneBlocked) {
     const std::vector<std::vector<std::vector<JobId>>> graphs{
         {{}, {"run-0"}, {"run-1"}},                      // a chain
         {{}, {"run-0"}, {"run-0"}, {"run-1", "run-2"}},  // a diamond
@@ -401,20 +402,21 @@
     };
     std::size_t played = 0;
     for (const auto& graph : graphs) {
-        ChainSearch search(graph);
+        DependencySearch search(graph);
         const std::size_t length = &graph == &graphs.front() ? 4 : 3;
         std::size_t all = 1;
-        for (std::size_t i = 0; i < length; ++i) all *= ChainSearch::steps;
+        for (std::size_t i = 0; i < length; ++i) all *= DependencySearch::steps;
         for (std::size_t n = 0; n < all; ++n) {
-            std::vector<ChainSearch::Step> story;
+            std::vector<DependencySearch::Step> story;
             // From where the first job runs, from the start, and from where its result is known.
-            for (std::size_t at = n, i = 0; i < length; ++i, at /= ChainSearch::steps)
-                story.push_back(static_cast<ChainSearch::Step>(at % ChainSearch::steps));
-            using S = ChainSearch::Step;
+            for (std::size_t at = n, i = 0; i < length; ++i, at /= DependencySearch::steps)
+                story.push_back(static_cast<DependencySearch::Step>(at % DependencySearch::steps));
+            using S = DependencySearch::Step;
             for (const std::vector<S>& before :
-                 {std::vector<S>{}, std::vector<S>{S::beat, S::expire, S::write, S::beat, S::beat},
-                  std::vector<S>{S::beat, S::expire, S::write, S::beat, S::beat, S::finish,
-                                 S::beat}}) {
+                 {std::vector<S>{},
+                  std::vector<S>{S::heartbeat, S::expire, S::write, S::heartbeat, S::heartbeat},
+                  std::vector<S>{S::heartbeat, S::expire, S::write, S::heartbeat, S::heartbeat,
+                                 S::finish, S::heartbeat}}) {
                 auto whole = before;
                 whole.insert(whole.end(), story.begin(), story.end());
                 ++played;
--- a/src/scheduler/fault_interactions_test.cpp
+++ b/src/scheduler/fault_interactions_test.cpp
@@ -2,16 +2,17 @@
 
 #include "scheduler/cluster_fixture.h"
 
-// Two troubles that meet, as far as they are decided from reports and records: docs/meetings.md.
+// Interactions of two faults, as far as they are decided from reports and records:
+// docs/meetings.md.
 
 namespace basaltchute::scheduler {
 namespace {
 
-class MeetingsTest : public ClusterTest {
+class FaultInteractionTest : public ClusterTest {
   protected:
-    static std::vector<CommandKind> verbs(const std::vector<Command>& orders) {
+    static std::vector<CommandKind> kindsOf(const std::vector<Command>& commands) {
         std::vector<CommandKind> out;
-        for (const Command& o : orders) out.push_back(kindOf(o));
+        for (const Command& o : commands) out.push_back(kindOf(o));
         return out;
     }
     /// A copy of a report that was sent before.
@@ -26,7 +27,7 @@
     }
 };
 
-TEST_F(MeetingsTest, TasksThatEndFarApartAreDoneOnceAcrossChangesOfLeader) {
+TEST_F(FaultInteractionTest, TasksThatEndFarApartAreDoneOnceAcrossChangesOfLeader) {
     Worker first("n-1"), second("n-2");
     exchange(first);
     exchange(second);
@@ -39,40 +40,40 @@
     }
     ASSERT_EQ(first.report.tasks.size(), 2U);
     ASSERT_EQ(second.report.tasks.size(), 2U);
-    // One result stands and is forgotten by its worker, another one is reported to a leader that
-    // ends before it has written it.
+    // One result is on record and is forgotten by its worker, another one is reported to a leader
+    // that ends before it has written it.
     first.set(0, TaskStatus::exited, ExitCause::done);
-    beat(first);
+    heartbeat(first);
     commit();
     exchange(first);
     ASSERT_EQ(first.report.tasks.size(), 1U);
     first.set(0, TaskStatus::exited, ExitCause::done);
-    EXPECT_TRUE(beat(first).empty()) << "not before it stands";
+    EXPECT_TRUE(heartbeat(first).empty()) << "not before it is on record";
     takeOver();
     Job& job = *cluster->find("run-1");
     EXPECT_EQ(job.doneCount, 1U);
     pass(4s);
-    EXPECT_TRUE(beat(first).empty());
+    EXPECT_TRUE(heartbeat(first).empty());
     EXPECT_EQ(job.doneCount, 2U) << "it comes again";
     commit();
-    EXPECT_EQ(verbs(beat(first)), std::vector{CommandKind::forget});
+    EXPECT_EQ(kindsOf(heartbeat(first)), std::vector{CommandKind::forget});
     takeOver();
     // Minutes later the others end, one of them under one more leader.
     for (int minute = 0; minute < 3; ++minute) {
         pass(5s);
-        beat(first);
-        EXPECT_TRUE(beat(second).empty());
+        heartbeat(first);
+        EXPECT_TRUE(heartbeat(second).empty());
         place();
         EXPECT_EQ(cluster->find("run-1")->boundCount, 2U);
     }
     second.set(0, TaskStatus::exited, ExitCause::done);
-    beat(second);
+    heartbeat(second);
     EXPECT_FALSE(cluster->find("run-1")->doneDurable());
     commit();
     takeOver();
     EXPECT_EQ(cluster->find("run-1")->doneCount, 3U);
     second.set(1, TaskStatus::exited, ExitCause::done);
-    beat(second);
+    heartbeat(second);
     EXPECT_TRUE(cluster->find("run-1")->allDone());
     EXPECT_FALSE(cluster->find("run-1")->doneDurable());
     commit();
@@ -81,7 +82,7 @@
     EXPECT_TRUE(cluster->find("run-1")->doneDurable());
 }
 
-TEST_F(MeetingsTest, AnOldReportThatIsANewLeadersFirstWordProvesNothing) {
+TEST_F(FaultInteractionTest, AnOldReportThatANewLeaderReceivesFirstProvesNothing) {
     Worker w("n-1"), other("n-2");
     exchange(w);
     const worker_api::StatusReport empty = w.report;  // before anything was there
@@ -101,17 +102,17 @@
     EXPECT_EQ(known.runningCount, 1U);
     copy(empty);
     EXPECT_EQ(known.runningCount, 1U) << "older than the last";
-    beat(w);
+    heartbeat(w);
     EXPECT_EQ(known.runningCount, 1U);
 }
 
-TEST_F(MeetingsTest, ACopyFromAnEarlierSessionDoesNotBringItsTasksBack) {
+TEST_F(FaultInteractionTest, ADuplicateFromAnEarlierIncarnationDoesNotBringItsTasksBack) {
     Worker w("n-1"), other("n-2");
     running(w, testing::spec("run-1"));
     const worker_api::StatusReport before = w.next();
-    // The session ends, and the task goes on elsewhere.
+    // The incarnation ends, and the task goes on elsewhere.
     w.newSession();
-    beat(w);
+    heartbeat(w);
     exchange(other);
     cluster->setDraining(cluster->indexOf("n-1"), true);
     place();
@@ -126,19 +127,19 @@
     EXPECT_EQ(job.tasks[0].attempt, 2U);
     EXPECT_EQ(cluster->machines()[cluster->indexOf("n-1")].allocations.size(), 1U)
         << "counted until n-1 speaks for itself";
-    beat(w);
+    heartbeat(w);
     EXPECT_TRUE(cluster->machines()[cluster->indexOf("n-1")].allocations.empty());
-    EXPECT_TRUE(beat(other).empty()) << "what runs is not touched";
+    EXPECT_TRUE(heartbeat(other).empty()) << "what runs is not touched";
     EXPECT_EQ(job.runningCount, 1U);
 }
 
-TEST_F(MeetingsTest, AReportFromASessionWhoseLeaseHasEndedMakesNothingOfItsMachineUsable) {
+TEST_F(FaultInteractionTest, AReportFromAnIncarnationWhoseLeaseHasEndedDoesNotOpenItsMachine) {
     // Held back in a cut, and newer than any that came before it: what it lists has been killed.
     Worker w("n-1"), other("n-2");
     Job& job = running(w, testing::spec("run-1"));
     pass(settings.lease + 2s);
     EXPECT_EQ(job.boundCount, 0U);
-    beat(w);
+    heartbeat(w);
     const worker_api::Machine& m = cluster->machines()[cluster->indexOf("n-1")];
     EXPECT_TRUE(m.allocations.empty());
     EXPECT_FALSE(cluster->isResponsive(m, clock.now()));
@@ -149,7 +150,7 @@
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
 }
 
-TEST_F(MeetingsTest, ACopyAfterAMachineWasDeletedDoesNotBringItBack) {
+TEST_F(FaultInteractionTest, ADuplicateAfterAMachineWasDeletedDoesNotBringItBack) {
     Worker w("n-1"), other("n-2");
     Job& job = running(w, testing::spec("run-1"));
     const worker_api::StatusReport last = w.next();
@@ -163,52 +164,54 @@
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
 }
 
-TEST_F(MeetingsTest, AFormerLeadersHeldUpLaunchIsStoppedThoughItsJobWasToldToBeCancelled) {
+TEST_F(FaultInteractionTest,
+       AFormerLeadersDelayedLaunchIsStoppedThoughItsCancellationWasAcknowledged) {
     Worker w("n-1");
     exchange(w);
     submit(testing::spec("run-1"));
     place();
     commit();
     const auto held = cluster->takeDirectCommands(cluster->indexOf("n-1"), clock.now());
-    ASSERT_EQ(verbs(held), std::vector{CommandKind::launch});
+    ASSERT_EQ(kindsOf(held), std::vector{CommandKind::launch});
     takeOver();  // before it arrives
     Job& job = *cluster->find("run-1");
     cluster->cancel(job, clock.now());
     commit();
     EXPECT_TRUE(job.cancelDurable());
     cluster->acknowledgeCancellation(job, clock.now());
-    const auto stops = beat(w);
-    EXPECT_EQ(verbs(stops), std::vector{CommandKind::stop}) << "it may be there";
+    const auto stops = heartbeat(w);
+    EXPECT_EQ(kindsOf(stops), std::vector{CommandKind::stop}) << "it may be there";
     EXPECT_FALSE(job.perZone.empty());
     w.report.token = cluster->token() - 1;  // that answer was lost
     w.execute(held);                        // the machine goes on
     ASSERT_EQ(w.report.tasks.size(), 1U);
-    const auto again = beat(w);
-    ASSERT_EQ(verbs(again), std::vector{CommandKind::stop});
+    const auto again = heartbeat(w);
+    ASSERT_EQ(kindsOf(again), std::vector{CommandKind::stop});
     w.execute(again);
-    beat(w);
+    heartbeat(w);
     EXPECT_TRUE(job.perZone.empty()) << "proven";
 }
 
-TEST_F(MeetingsTest, LongTasksOnMachinesThatDoNotHearTheNewLeaderStayUntilTheirSessionEnds) {
-    Worker deaf("n-1"), other("n-2");
-    running(deaf, testing::spec("run-1", 2));
+TEST_F(FaultInteractionTest,
+       LongTasksOnMachinesThatTheNewLeaderCannotReachStayUntilTheirIncarnationEnds) {
+    Worker partitioned("n-1"), other("n-2");
+    running(partitioned, testing::spec("run-1", 2));
     takeOver();
     Job& job = *cluster->find("run-1");
     exchange(other);
-    const FencingToken heard = deaf.report.token;
+    const FencingToken formerToken = partitioned.report.token;
     for (Duration d{}; d < settings.lease; d += 2s) {
         // Its reports arrive; no answer does.
-        cluster->onHeartbeat(deaf.next(), clock.now());
-        deaf.report.token = heard;
+        cluster->onHeartbeat(partitioned.next(), clock.now());
+        partitioned.report.token = formerToken;
         pass(2s);
         exchange(other);
         place();
         EXPECT_EQ(job.boundCount, 2U);
         EXPECT_EQ(job.runningCount, 2U) << "polls say so";
     }
-    deaf.newSession();  // its lease has ended, by its own clock
-    cluster->onHeartbeat(deaf.next(), clock.now());
+    partitioned.newSession();  // its lease has ended, by its own clock
+    cluster->onHeartbeat(partitioned.next(), clock.now());
     EXPECT_EQ(job.boundCount, 0U);
     cluster->setDraining(cluster->indexOf("n-1"), true);
     place();
@@ -216,17 +219,18 @@
     EXPECT_EQ(job.tasks[0].attempt, 2U);
 }
 
-TEST_F(MeetingsTest, AMachineThatDoesNotHearGetsNoMoreWorkUntilItAnswers) {
-    Worker deaf("n-1"), other("n-2");
-    exchange(deaf);
+TEST_F(FaultInteractionTest, AnInboundPartitionedMachineGetsNoMoreWorkUntilItAnswers) {
+    Worker partitioned("n-1"), other("n-2");
+    exchange(partitioned);
     Job& job = submit(testing::spec("run-1"));
     place();
     commit();
-    EXPECT_EQ(verbs(beat(deaf)), std::vector{CommandKind::launch});
+    EXPECT_EQ(kindsOf(heartbeat(partitioned)), std::vector{CommandKind::launch});
     pass(2s);
-    EXPECT_EQ(verbs(beat(deaf)), std::vector{CommandKind::launch}) << "one answer may be lost";
+    EXPECT_EQ(kindsOf(heartbeat(partitioned)), std::vector{CommandKind::launch})
+        << "one answer may be lost";
     pass(2s);
-    EXPECT_TRUE(beat(deaf).empty());
+    EXPECT_TRUE(heartbeat(partitioned).empty());
     EXPECT_EQ(job.boundCount, 0U) << "no launch for it is under way";
     place();
     EXPECT_EQ(job.boundCount, 0U) << "and no more work goes there";
@@ -237,21 +241,21 @@
     exchange(other);
     // Asked, it answers: it is used again at once.
     submit(testing::spec("run-2", 2));
-    cluster->onStatusReport(deaf.next(), Cluster::Source::commandResponse, clock.now());
+    cluster->onStatusReport(partitioned.next(), Cluster::Source::commandResponse, clock.now());
     cluster->advanceTo(clock.now());
     place();
     EXPECT_GT(cluster->machines()[cluster->indexOf("n-1")].allocations.size(), 0U);
 }
 
-TEST_F(MeetingsTest, AMachineWhoseLeaseRunsOutThoughItIsAnsweredDoesNotHear) {
-    Worker deaf("n-1"), other("n-2");
-    Job& job = running(deaf, testing::spec("run-1"));
+TEST_F(FaultInteractionTest, AMachineWhoseLeaseExpiresThoughItIsAnsweredIsInboundPartitioned) {
+    Worker partitioned("n-1"), other("n-2");
+    Job& job = running(partitioned, testing::spec("run-1"));
     for (Duration d{}; d < settings.lease; d += 2s) {
-        cluster->onHeartbeat(deaf.next(), clock.now());
+        cluster->onHeartbeat(partitioned.next(), clock.now());
         pass(2s);
     }
-    deaf.newSession();
-    cluster->onHeartbeat(deaf.next(), clock.now());
+    partitioned.newSession();
+    cluster->onHeartbeat(partitioned.next(), clock.now());
     place();
     EXPECT_EQ(job.boundCount, 0U);
     exchange(other);
@@ -259,17 +263,18 @@
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
     pass(settings.lease + 1s);
     submit(testing::spec("run-2", 4));
-    exchange(deaf);
+    exchange(partitioned);
     place();
     EXPECT_GT(cluster->machines()[cluster->indexOf("n-1")].allocations.size(), 0U)
         << "tried again after a lease";
 }
 
-TEST_F(MeetingsTest, LongTasksOnMachinesThatANewLeaderNeverHeardWaitForTheLongestDelegation) {
+TEST_F(FaultInteractionTest,
+       LongTasksOnMachinesThatNeverReportedToANewLeaderWaitForTheLongestDelegation) {
     const lease_delegation::DelegationLimits terms =
         lease_delegation::DelegationLimits::from(settings);
-    Worker silent("n-1"), other("n-2");
-    running(silent, testing::spec("run-1"));
+    Worker unresponsive("n-1"), other("n-2");
+    running(unresponsive, testing::spec("run-1"));
     takeOver();
     lease_delegation::Delegator delegator(terms, cluster->token(), {"rig-0", "b"}, 1h,
                                           {{"rig-1", "a"}}, clock.now());
@@ -287,39 +292,41 @@
     EXPECT_EQ(job.tasks[0].attempt, 2U);
 }
 
-TEST_F(MeetingsTest, AMachineThatAnswersButDoesNotReportIsUsedLastAndSavesWhatItCan) {
-    Worker mute("n-1"), other("n-2");
+TEST_F(FaultInteractionTest, AnOutboundPartitionedMachineIsUsedLastAndWritesItsCheckpoints) {
+    Worker partitioned("n-1"), other("n-2");
     JobSpec saves = testing::spec("run-1");
     saves.checkpointS = 10;
     saves.saveS = 1;
-    Job& job = running(mute, saves);
+    Job& job = running(partitioned, saves);
     Job& cancelled = submit(testing::spec("run-2"));
     place();
     commit();
-    exchange(mute);
-    exchange(mute);
+    exchange(partitioned);
+    exchange(partitioned);
     ASSERT_EQ(cancelled.runningCount, 1U);
     const MachineIndex at = cluster->indexOf("n-1");
     const auto inspect = [&] {
-        cluster->onStatusReport(mute.next(), Cluster::Source::commandResponse, clock.now());
+        cluster->onStatusReport(partitioned.next(), Cluster::Source::commandResponse, clock.now());
     };
     // A command to stop is lost. No more reports come from now on.
     cluster->cancel(cancelled, clock.now());
     commit();
-    ASSERT_EQ(verbs(cluster->takeDirectCommands(at, clock.now())), std::vector{CommandKind::stop});
+    ASSERT_EQ(kindsOf(cluster->takeDirectCommands(at, clock.now())),
+              std::vector{CommandKind::stop});
     cluster->onDirectCommandEnded(at, true);
     pass(settings.reportEvery * 5 / 4 + 2s);
     inspect();
     EXPECT_TRUE(cluster->machines()[at].outboundPartitioned);
     EXPECT_TRUE(cluster->takeEffects().sendCommands.contains(at))
-        << "it hears: it is told once more";
+        << "it receives commands: the stop is sent once more";
     const auto stops = cluster->takeDirectCommands(at, clock.now());
-    ASSERT_EQ(verbs(stops), std::vector{CommandKind::stop});
-    mute.execute(stops);
+    ASSERT_EQ(kindsOf(stops), std::vector{CommandKind::stop});
+    partitioned.execute(stops);
     cluster->onDirectCommandEnded(at, false);
     inspect();
     EXPECT_TRUE(cancelled.perZone.empty()) << "proven long before its lease ends";
-    // There is room, and its image, but what goes there is lost with the lease: any other is taken.
+    // There is capacity, and its image, but what is placed there is lost with the lease: any other
+    // is taken.
     exchange(other);
     Job& elsewhere = submit(testing::spec("run-3", 2));
     place();
@@ -342,32 +349,32 @@
     EXPECT_TRUE(job.tasks[0].stopping);
     EXPECT_GT(cluster->machines()[at].answeredAt + settings.lease, clock.now() + 2s);
     // It reports again.
-    beat(mute);
+    heartbeat(partitioned);
     EXPECT_FALSE(cluster->machines()[at].outboundPartitioned);
     EXPECT_EQ(cluster->findInconsistency(), "");
 }
 
-TEST_F(MeetingsTest, ANewLeaderSavesAtOnceWhatAMutedMachineRuns) {
+TEST_F(FaultInteractionTest, ANewLeaderCheckpointsAtOnceWhatAnOutboundPartitionedMachineRuns) {
     // When its last report was answered only the former leader knew: its lease may end at any
     // moment.
-    Worker mute("n-1"), other("n-2");
+    Worker partitioned("n-1"), other("n-2");
     JobSpec saves = testing::spec("run-1");
     saves.checkpointS = 10;
     saves.saveS = 1;
-    running(mute, saves);
+    running(partitioned, saves);
     takeOver();
     exchange(other);
     pass(settings.reportEvery * 5 / 4 + 2s);
-    cluster->onStatusReport(mute.next(), Cluster::Source::commandResponse, clock.now());
+    cluster->onStatusReport(partitioned.next(), Cluster::Source::commandResponse, clock.now());
     pass(500ms);
     EXPECT_TRUE(cluster->machines()[cluster->indexOf("n-1")].outboundPartitioned)
         << "it has not reported since";
     EXPECT_TRUE(cluster->find("run-1")->tasks[0].stopping);
     const auto stops = cluster->takeDirectCommands(cluster->indexOf("n-1"), clock.now());
-    EXPECT_EQ(verbs(stops), std::vector{CommandKind::stop});
+    EXPECT_EQ(kindsOf(stops), std::vector{CommandKind::stop});
 }
 
-TEST_F(MeetingsTest, CopiesThatComeForMinutesKeepNobodyWaitingForADeadMachine) {
+TEST_F(FaultInteractionTest, DuplicatesThatArriveForMinutesKeepNobodyWaitingForADeadMachine) {
     Worker dead("n-1"), other("n-2");
     Job& job = running(dead, testing::spec("run-1"));
     const worker_api::StatusReport last = dead.report;
@@ -383,7 +390,7 @@
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
 }
 
-TEST_F(MeetingsTest, ABeatThatAnAnswerOvertookStillRenewsItsLease) {
+TEST_F(FaultInteractionTest, AHeartbeatOvertakenByADirectResponseStillRenewsItsLease) {
     // The worker waits for the answer to a report while it is asked directly: what it said last is
     // newer than that report, whose answer renews its lease all the same.
     Worker w("n-1");
@@ -399,7 +406,7 @@
     EXPECT_EQ(job.boundCount, 0U);
 }
 
-TEST_F(MeetingsTest, WhatAnOldReportNamesIsCountedButBreaksNoLimitAndEndsWithItsLease) {
+TEST_F(FaultInteractionTest, TasksNamedInAnOldReportAreCountedButBreakNoLimitAndEndWithTheirLease) {
     // A report of before the task was stopped, saved and put back, as a new leader's first word.
     // Its machine is long gone.
     settings.teams[0].coresMax = 4;
@@ -430,7 +437,7 @@
     EXPECT_EQ(now.tasks[0].attempt, 2U) << "not the one that the old report names";
 }
 
-TEST_F(MeetingsTest, AMachineInNoListIsInAnyZoneUntilItReports) {
+TEST_F(FaultInteractionTest, AMachineInNoListIsInAnyZoneUntilItReports) {
     // Rented, up within two seconds and given work by a leader that ends.
     JobSpec spec = testing::spec("run-1", 2);
     spec.spread = true;
@@ -445,7 +452,7 @@
     exchange(a);
     exchange(b);
     place();
-    EXPECT_EQ(job.boundCount, 1U) << "one is in a or in b: neither has room for another one";
+    EXPECT_EQ(job.boundCount, 1U) << "one is in a or in b: neither may take another one";
     exchange(fresh);
     place();
     ASSERT_EQ(job.boundCount, 2U);
--- a/src/scheduler/reservations_test.cpp
+++ b/src/scheduler/reservations_test.cpp
@@ -9,7 +9,7 @@
 using namespace std::chrono_literals;
 using testing::Worker;
 
-class GuaranteesTest : public ::testing::Test {
+class ReservationsTest : public ::testing::Test {
   protected:
     FakeClock clock;
     settings::Settings settings = testing::someSettings();
@@ -34,7 +34,7 @@
         return *cluster->find(id);
     }
     void settle(std::initializer_list<Worker*> workers) {
-        for (int i = 0; i < 8; ++i) {  // tasks are made room for one after the other
+        for (int i = 0; i < 8; ++i) {  // capacity is reclaimed for one task after the other
             cluster->place(clock.now());
             commit();
             for (Worker* w : workers) exchange(*w);
@@ -48,46 +48,46 @@
     }
 };
 
-TEST_F(GuaranteesTest, AReservationTakesBackWhatOthersBorrowed) {
+TEST_F(ReservationsTest, AReservationPreemptsOpportunisticWork) {
     start(machineFor("red"));
     Worker w("n-1"), v("n-2");
     settle({&w, &v});
-    Job& borrowed = submit("run-1", "blue", 4);
+    Job& opportunistic = submit("run-1", "blue", 4);
     settle({&w, &v});
-    EXPECT_EQ(borrowed.runningCount, 4U) << "idle cells are lent";
+    EXPECT_EQ(opportunistic.runningCount, 4U) << "idle cells are used opportunistically";
     Job& owner = submit("run-2", "red", 2);
     settle({&w, &v});
     EXPECT_EQ(owner.runningCount, 2U);
-    EXPECT_EQ(borrowed.runningCount, 2U) << "only one machine had to be given back";
+    EXPECT_EQ(opportunistic.runningCount, 2U) << "only one machine was reclaimed";
     EXPECT_EQ(owner.tasks[0].machine, owner.tasks[1].machine) << "tasks share the bound cell";
 }
 
-TEST_F(GuaranteesTest, BeyondTheReservationNothingIsTakenFromAnybody) {
+TEST_F(ReservationsTest, BeyondTheReservationNothingIsPreempted) {
     start(machineFor("red"));
     Worker w("n-1"), v("n-2");
     settle({&w, &v});
-    Job& borrowed = submit("run-1", "blue", 4);
+    Job& opportunistic = submit("run-1", "blue", 4);
     settle({&w, &v});
     Job& owner = submit("run-2", "red", 4);
     settle({&w, &v});
     EXPECT_EQ(owner.runningCount, 2U);
-    EXPECT_EQ(borrowed.runningCount, 2U);
+    EXPECT_EQ(opportunistic.runningCount, 2U);
 }
 
-TEST_F(GuaranteesTest, AGuaranteeInCoresIsMetByAnyType) {
+TEST_F(ReservationsTest, AReservationInCoresIsMetByAnyType) {
     settings.teams = {{"red", 4, 0, 0, 0}, {"blue", 0, 0, 0, 0}};
     start({});
     Worker w("n-1");
     settle({&w});
-    Job& borrowed = submit("run-1", "blue", 2);
+    Job& opportunistic = submit("run-1", "blue", 2);
     settle({&w});
     Job& owner = submit("run-2", "red", 2);
     settle({&w});
     EXPECT_EQ(owner.runningCount, 1U);
-    EXPECT_EQ(borrowed.runningCount, 1U);
+    EXPECT_EQ(opportunistic.runningCount, 1U);
 }
 
-TEST_F(GuaranteesTest, CellsComeBackWithTheLastTaskAndSurviveATakeOver) {
+TEST_F(ReservationsTest, CellsAreReturnedWithTheLastTaskAndSurviveATakeOver) {
     start(machineFor("red"));
     Worker w("n-1"), v("n-2");
     settle({&w, &v});
@@ -108,7 +108,7 @@
     EXPECT_EQ(cluster->pools().at("box").check(), "");
 }
 
-TEST_F(GuaranteesTest, WhatIsNotReservedIsSharedByWeight) {
+TEST_F(ReservationsTest, UnreservedCapacityIsSharedByWeight) {
     settings::Operator own;
     own.weights = {{"blue", 3.0}};
     settings.teams = {{"red", 0, 0, 0, 0}, {"blue", 0, 0, 0, 0}};
--- a/src/scheduler/upgrade_test.cpp
+++ b/src/scheduler/upgrade_test.cpp
@@ -281,7 +281,7 @@
     cluster->advanceTo(clock.now());
     write(SIZE_MAX);
     EXPECT_TRUE(cluster->find("run-000002")->cancelDurable());
-    EXPECT_TRUE(cluster->find("run-000004")->cancelDurable()) << "it was being withdrawn";
+    EXPECT_TRUE(cluster->find("run-000004")->cancelDurable()) << "it was being cancelled";
     EXPECT_GT(records.at("jobs/run-000002").size(), 16'000U) << "as production left it";
     EXPECT_LT(records.at("parts/run-000002").size(), 30U);
     for (int round = 0; round < 60 && !cluster->find("run-000003")->doneDurable(); ++round) {
@@ -299,7 +299,7 @@
     EXPECT_TRUE(cluster->find("run-000003")->doneDurable());
 }
 
-TEST_F(UpgradeTest, ATakeOverAfterAnyWriteFindsAllThatStood) {
+TEST_F(UpgradeTest, ATakeOverAfterAnyWriteFindsAllRecords) {
     // Every write of a block that goes into parts may be the last one of its leader.
     for (unsigned seed = 1; seed <= 60; ++seed) {
         records = goldenRecords();
@@ -326,7 +326,7 @@
     }
 }
 
-TEST_F(UpgradeTest, AHundredThousandTasksInOldBlocksAreWrittenOnInParts) {
+TEST_F(UpgradeTest, AHundredThousandTasksInOldBlocksAreSplitIntoPages) {
     records.clear();
     auto before = settings;
     before.valueBytes = before.valueBytesNow = 16 * 1024;
@@ -362,7 +362,7 @@
     EXPECT_GT(cluster->find("run-000001")->doneCount, 1000U);
 }
 
-TEST_F(UpgradeTest, ADescriptionThatExceedsAValueStandsInSeveralRecordsBeforeTheJobDoes) {
+TEST_F(UpgradeTest, ADescriptionThatExceedsAValueIsInSeveralRecordsBeforeTheJobIsAccepted) {
     records.clear();
     takeOver(true);
     std::vector<JobId> needs;
