--- a/src/scheduler/cluster_fixture.h
+++ b/src/scheduler/cluster_fixture.h
@@ -10,10 +10,19 @@
 using namespace std::chrono_literals;
 using testing::Worker;
 using worker_api::Command;
-using worker_api::CommandKind;
 using worker_api::ExitCause;
+using worker_api::StopTask;
 using worker_api::TaskStatus;
 
+/// The alternatives of a command, in their order, for comparisons of several at once.
+enum class CommandKind { launch, stop, forget };
+inline CommandKind kindOf(const Command& command) {
+    static_assert(
+        std::is_same_v<Command,
+                       std::variant<worker_api::LaunchTask, StopTask, worker_api::ForgetTask>>);
+    return static_cast<CommandKind>(command.index());
+}
+
 /// A leader's state on a fake clock, with the state service played by `commit`.
 class ClusterTest : public ::testing::Test {
   protected:
@@ -34,19 +43,19 @@
             ASSERT_TRUE(cluster->load(k, data, clock.now(), clock.wall()));
         cluster->loaded(clock.now());
     }
-    std::vector<Command> beat(Worker& w) {
-        const auto orders = cluster->onHeartbeat(w.next(), clock.now());
+    std::vector<Command> heartbeat(Worker& w) {
+        const auto commands = cluster->onHeartbeat(w.next(), clock.now());
         w.report.token = cluster->token();
-        return orders;
+        return commands;
     }
-    void exchange(Worker& w) { w.execute(beat(w)); }
+    void exchange(Worker& w) { w.execute(heartbeat(w)); }
     Job& submit(const JobSpec& spec) {
         EXPECT_EQ(cluster->submit(spec, clock.now(), clock.wall()), SubmitResult::accepted);
         commit();
         return *cluster->find(spec.id);
     }
     void place() { cluster->place(clock.now()); }
-    /// There is room for one of two jobs, and it goes to run-2, which came later.
+    /// There is capacity for one of two jobs, and it goes to run-2, which came later.
     void laterGoesFirst(const JobSpec& first, Duration apart) {
         submit(first);
         clock.advance(apart);
