--- a/src/dependencies/dependency_graph.cpp
+++ b/src/dependencies/dependency_graph.cpp
@@ -6,26 +6,26 @@
 namespace basaltchute::dependencies {
 
 std::vector<DependentJob> topologicalOrder(std::vector<DependentJob> jobs) {
-    std::unordered_map<JobId, std::size_t> place;
-    for (std::size_t i = 0; i < jobs.size(); ++i) place[jobs[i].id] = i;
-    std::vector<std::size_t> open(jobs.size(), 0);
-    std::vector<std::vector<std::size_t>> after(jobs.size());
+    std::unordered_map<JobId, std::size_t> position;
+    for (std::size_t i = 0; i < jobs.size(); ++i) position[jobs[i].id] = i;
+    std::vector<std::size_t> unordered(jobs.size(), 0);  // dependencies that are not ordered yet
+    std::vector<std::vector<std::size_t>> dependents(jobs.size());
     std::vector<std::size_t> ready;
     for (std::size_t i = 0; i < jobs.size(); ++i) {
-        for (const auto& need : jobs[i].dependencies)
-            if (const auto at = place.find(need); at != place.end()) {
-                ++open[i];
-                after[at->second].push_back(i);
+        for (const auto& dependency : jobs[i].dependencies)
+            if (const auto at = position.find(dependency); at != position.end()) {
+                ++unordered[i];
+                dependents[at->second].push_back(i);
             }
-        if (open[i] == 0) ready.push_back(i);
+        if (unordered[i] == 0) ready.push_back(i);
     }
-    std::vector<DependentJob> out;
+    std::vector<DependentJob> ordered;
     for (std::size_t n = 0; n < ready.size(); ++n) {
-        for (const std::size_t later : after[ready[n]])
-            if (--open[later] == 0) ready.push_back(later);
-        out.push_back(std::move(jobs[ready[n]]));
+        for (const std::size_t dependent : dependents[ready[n]])
+            if (--unordered[dependent] == 0) ready.push_back(dependent);
+        ordered.push_back(std::move(jobs[ready[n]]));
     }
-    return out;
+    return ordered;
 }
 
 const DependencyGraph::Node* DependencyGraph::find(const JobId& id) const {
@@ -33,185 +33,200 @@
     return it == nodes_.end() ? nullptr : &it->second;
 }
 
-void DependencyGraph::addJob(const JobId& id, const JobProperties& own, JobOutcome fate) {
+void DependencyGraph::addJob(const JobId& id, const JobProperties& properties, JobOutcome outcome) {
     const auto [it, fresh] = nodes_.try_emplace(id);
     if (!fresh) return;
-    Node& n = it->second;
-    n.id = id;
-    n.properties = own;
-    n.outcome = fate;
-    n.number = ++nextNumber_;
+    Node& node = it->second;
+    node.id = id;
+    node.properties = properties;
+    node.outcome = outcome;
+    node.number = ++nextNumber_;
 }
 
-InheritedUrgency DependencyGraph::urgencyForDependencies(const Node& n) {
-    const auto less = [&](TimePoint end) {
-        return end == Deadlines::never ? end : end - n.properties.duration;
+InheritedUrgency DependencyGraph::urgencyForDependencies(const Node& node) {
+    const JobProperties& own = node.properties;
+    const auto startBy = [&](TimePoint deadline) {
+        return deadline == Deadlines::never ? deadline : deadline - own.duration;
     };
-    return {std::min(n.properties.priority, n.inherited.priority),
-            {less(std::min(n.properties.ends.first, n.inherited.ends.first)),
-             less(std::min(n.properties.ends.last, n.inherited.ends.last))}};
+    return {std::min(own.priority, node.inherited.priority),
+            {startBy(std::min(own.deadlines.first, node.inherited.deadlines.first)),
+             startBy(std::min(own.deadlines.last, node.inherited.deadlines.last))}};
 }
 
-InheritedUrgency DependencyGraph::mostUrgent(const Node& n) {
-    InheritedUrgency u;
-    for (std::size_t p = 0; p < n.priorities.size(); ++p) {
-        if (n.priorities.at(p) == 0) continue;
-        u.priority = static_cast<Priority>(p);
+InheritedUrgency DependencyGraph::mostUrgent(const Node& node) {
+    InheritedUrgency urgency;
+    for (std::size_t p = 0; p < node.priorities.size(); ++p) {
+        if (node.priorities.at(p) == 0) continue;
+        urgency.priority = static_cast<Priority>(p);
         break;
     }
-    if (!n.first.empty()) u.ends = {*n.first.begin(), *n.last.begin()};
-    return u;
-}
-
-void DependencyGraph::count(Node& at, const InheritedUrgency& u, bool add) {
-    auto& here = at.priorities.at(static_cast<std::size_t>(u.priority));
-    here = add ? here + 1 : here - 1;
-    if (add) {
-        at.first.insert(u.ends.first);
-        at.last.insert(u.ends.last);
-    } else {
-        at.first.erase(at.first.find(u.ends.first));
-        at.last.erase(at.last.find(u.ends.last));
-    }
+    if (!node.firstDeadlines.empty())
+        urgency.deadlines = {*node.firstDeadlines.begin(), *node.lastDeadlines.begin()};
+    return urgency;
+}
+
+void DependencyGraph::addUrgency(Node& dependency, const InheritedUrgency& urgency) {
+    ++dependency.priorities.at(static_cast<std::size_t>(urgency.priority));
+    dependency.firstDeadlines.insert(urgency.deadlines.first);
+    dependency.lastDeadlines.insert(urgency.deadlines.last);
+}
+
+void DependencyGraph::removeUrgency(Node& dependency, const InheritedUrgency& urgency) {
+    auto& first = dependency.firstDeadlines;
+    auto& last = dependency.lastDeadlines;
+    --dependency.priorities.at(static_cast<std::size_t>(urgency.priority));
+    first.erase(first.find(urgency.deadlines.first));
+    last.erase(last.find(urgency.deadlines.last));
 }
 
 void DependencyGraph::propagateUrgency(Pending pending) {
     while (!pending.empty()) {
-        Node& n = **pending.begin();
+        Node& node = **pending.begin();
         pending.erase(pending.begin());
         ++visitedNodes_;
-        const InheritedUrgency asked = mostUrgent(n);
-        if (asked != n.inherited) {
-            n.inherited = asked;
-            changes_.urgency.push_back(n.id);
+        const InheritedUrgency inherited = mostUrgent(node);
+        if (inherited != node.inherited) {
+            node.inherited = inherited;
+            changes_.urgency.push_back(node.id);
         }
-        const bool counts = n.outcome == JobOutcome::open && n.cancelledWith == nullptr;
-        const InheritedUrgency asks = urgencyForDependencies(n);
-        if (counts == n.counted && (!counts || asks == n.passedOn)) continue;
-        for (Node* need : n.dependencies) {
-            if (n.counted) count(*need, n.passedOn, false);
-            if (counts) count(*need, asks, true);
-            // Of what is over nobody asks anything.
-            if (need->outcome == JobOutcome::open) pending.insert(need);
+        const bool counts = node.outcome == JobOutcome::open && node.cancelledWith == nullptr;
+        const InheritedUrgency passesOn = urgencyForDependencies(node);
+        if (counts == node.counted && (!counts || passesOn == node.passedOn)) continue;
+        for (Node* dependency : node.dependencies) {
+            if (node.counted) removeUrgency(*dependency, node.passedOn);
+            if (counts) addUrgency(*dependency, passesOn);
+            // A job that has ended needs no urgency.
+            if (dependency->outcome == JobOutcome::open) pending.insert(dependency);
         }
-        n.counted = counts;
-        n.passedOn = asks;
+        node.counted = counts;
+        node.passedOn = passesOn;
     }
 }
 
-void DependencyGraph::addDependencies(const JobId& id, const std::vector<JobId>& needs) {
-    Node& n = nodes_.at(id);
-    for (const auto& need : needs) {
-        // What is not on record is never done, so what names it cannot start.
-        addJob(need, {}, JobOutcome::open);
-        Node& before = nodes_.at(need);
+void DependencyGraph::addDependencies(const JobId& id, const std::vector<JobId>& dependencies) {
+    Node& node = nodes_.at(id);
+    for (const auto& dependencyId : dependencies) {
+        // What is not recorded is never done, so a job that names it cannot start.
+        addJob(dependencyId, {}, JobOutcome::open);
+        Node& dependency = nodes_.at(dependencyId);
         ++visitedNodes_;
-        n.dependencies.push_back(&before);
-        before.dependents.push_back(&n);
-        n.depth = std::max(n.depth, before.depth + 1);
-        if (before.outcome != JobOutcome::done) ++n.unfinishedDependencies;
-        if (n.cancelledWith != nullptr || n.outcome != JobOutcome::open) continue;
-        if (before.outcome == JobOutcome::cancelled)
-            n.cancelledWith = &before;
-        else if (before.cancelledWith != nullptr)
-            n.cancelledWith = before.cancelledWith;
+        node.dependencies.push_back(&dependency);
+        dependency.dependents.push_back(&node);
+        node.depth = std::max(node.depth, dependency.depth + 1);
+        if (dependency.outcome != JobOutcome::done) ++node.unfinishedDependencies;
+        if (node.cancelledWith != nullptr || node.outcome != JobOutcome::open) continue;
+        if (dependency.outcome == JobOutcome::cancelled)
+            node.cancelledWith = &dependency;
+        else if (dependency.cancelledWith != nullptr)
+            node.cancelledWith = dependency.cancelledWith;
     }
-    propagateUrgency({&n});
+    propagateUrgency({&node});
 }
 
 void DependencyGraph::cancelDependents(Node& node) {
     Pending pending{&node};
-    std::vector<Node*> next{&node};
-    const Node* with = node.cancelledWith != nullptr ? node.cancelledWith : &node;
-    while (!next.empty()) {
-        Node& n = *next.back();
-        next.pop_back();
-        for (Node* later : n.dependents) {
+    std::vector<Node*> toVisit{&node};
+    const Node* cause = node.cancelledWith != nullptr ? node.cancelledWith : &node;
+    while (!toVisit.empty()) {
+        const Node& cancelled = *toVisit.back();
+        toVisit.pop_back();
+        for (Node* dependent : cancelled.dependents) {
             ++visitedNodes_;
-            if (later->cancelledWith != nullptr || later->outcome != JobOutcome::open) continue;
-            later->cancelledWith = with;
-            changes_.cancelled.push_back(later->id);
-            pending.insert(later);
-            next.push_back(later);
+            if (dependent->cancelledWith != nullptr || dependent->outcome != JobOutcome::open)
+                continue;
+            dependent->cancelledWith = cause;
+            changes_.cancelled.push_back(dependent->id);
+            pending.insert(dependent);
+            toVisit.push_back(dependent);
         }
     }
     propagateUrgency(std::move(pending));
 }
 
-void DependencyGraph::setOutcome(const JobId& id, JobOutcome fate) {
+void DependencyGraph::setOutcome(const JobId& id, JobOutcome outcome) {
     const auto it = nodes_.find(id);
-    if (it == nodes_.end() || it->second.outcome != JobOutcome::open || fate == JobOutcome::open)
+    if (it == nodes_.end() || it->second.outcome != JobOutcome::open || outcome == JobOutcome::open)
         return;
-    Node& n = it->second;
-    n.outcome = fate;
-    if (fate == JobOutcome::cancelled) return cancelDependents(n);
-    for (Node* later : n.dependents) {
+    Node& node = it->second;
+    node.outcome = outcome;
+    if (outcome == JobOutcome::cancelled) return cancelDependents(node);
+    for (Node* dependent : node.dependents) {
         ++visitedNodes_;
-        if (--later->unfinishedDependencies == 0 && later->cancelledWith == nullptr &&
-            later->outcome == JobOutcome::open)
-            changes_.released.push_back(later->id);
+        if (--dependent->unfinishedDependencies == 0 && dependent->cancelledWith == nullptr &&
+            dependent->outcome == JobOutcome::open)
+            changes_.released.push_back(dependent->id);
     }
 }
 
-void DependencyGraph::setDuration(const JobId& id, Duration takes) {
+void DependencyGraph::setDuration(const JobId& id, Duration duration) {
     const auto it = nodes_.find(id);
     if (it == nodes_.end() || it->second.outcome != JobOutcome::open) return;
-    it->second.properties.duration = takes;
+    it->second.properties.duration = duration;
     propagateUrgency({&it->second});
 }
 
 bool DependencyGraph::isBlocked(const JobId& id) const {
-    const Node* n = find(id);
-    return n != nullptr && n->unfinishedDependencies > 0 && n->cancelledWith == nullptr &&
-           n->outcome == JobOutcome::open;
+    const Node* node = find(id);
+    return node != nullptr && node->unfinishedDependencies > 0 && node->cancelledWith == nullptr &&
+           node->outcome == JobOutcome::open;
 }
 
 const JobId* DependencyGraph::cancelledWith(const JobId& id) const {
-    const Node* n = find(id);
-    return n == nullptr || n->cancelledWith == nullptr ? nullptr : &n->cancelledWith->id;
+    const Node* node = find(id);
+    return node == nullptr || node->cancelledWith == nullptr ? nullptr : &node->cancelledWith->id;
 }
 
 std::vector<JobId> DependencyGraph::unfinishedDependencies(const JobId& id) const {
-    std::vector<JobId> out;
-    if (const Node* n = find(id))
-        for (const Node* need : n->dependencies)
-            if (need->outcome != JobOutcome::done) out.push_back(need->id);
-    return out;
+    std::vector<JobId> unfinished;
+    if (const Node* node = find(id))
+        for (const Node* dependency : node->dependencies)
+            if (dependency->outcome != JobOutcome::done) unfinished.push_back(dependency->id);
+    return unfinished;
 }
 
 InheritedUrgency DependencyGraph::inheritedUrgency(const JobId& id) const {
-    const Node* n = find(id);
-    return n == nullptr ? InheritedUrgency{} : n->inherited;
+    const Node* node = find(id);
+    return node == nullptr ? InheritedUrgency{} : node->inherited;
 }
 
 DependencyGraph::Changes DependencyGraph::takeChanges() {
     return std::exchange(changes_, {});
 }
 
-std::string DependencyGraph::findInconsistency() const {
-    for (const auto& [id, n] : nodes_) {
-        std::uint32_t unmet = 0;
-        bool cancelled = false;
-        for (const Node* need : n.dependencies) {
-            unmet += need->outcome != JobOutcome::done ? 1 : 0;
-            cancelled = cancelled || need->outcome == JobOutcome::cancelled ||
-                        need->cancelledWith != nullptr;
-            if (need->depth >= n.depth) return "the depth of " + id;
-        }
-        if (unmet != n.unfinishedDependencies) return "what " + id + " waits for";
-        if (n.outcome != JobOutcome::open) continue;
-        if (cancelled != (n.cancelledWith != nullptr))
-            return "whether " + id + " is cancelled with another";
-        InheritedUrgency plain;
-        for (const Node* later : n.dependents) {
-            if (later->outcome != JobOutcome::open || later->cancelledWith != nullptr) continue;
-            const InheritedUrgency u = urgencyForDependencies(*later);
-            plain.priority = std::min(plain.priority, u.priority);
-            plain.ends.first = std::min(plain.ends.first, u.ends.first);
-            plain.ends.last = std::min(plain.ends.last, u.ends.last);
-        }
-        if (plain != n.inherited) return "what is asked of " + id;
+InheritedUrgency DependencyGraph::recomputeInherited(const Node& node) {
+    InheritedUrgency inherited;
+    for (const Node* dependent : node.dependents) {
+        if (dependent->outcome != JobOutcome::open || dependent->cancelledWith != nullptr) continue;
+        const InheritedUrgency urgency = urgencyForDependencies(*dependent);
+        inherited.priority = std::min(inherited.priority, urgency.priority);
+        inherited.deadlines.first = std::min(inherited.deadlines.first, urgency.deadlines.first);
+        inherited.deadlines.last = std::min(inherited.deadlines.last, urgency.deadlines.last);
     }
+    return inherited;
+}
+
+std::string DependencyGraph::findInconsistency(const Node& node) {
+    std::uint32_t unfinished = 0;
+    bool cancelled = false;
+    for (const Node* dependency : node.dependencies) {
+        unfinished += dependency->outcome != JobOutcome::done ? 1 : 0;
+        cancelled = cancelled || dependency->outcome == JobOutcome::cancelled ||
+                    dependency->cancelledWith != nullptr;
+        if (dependency->depth >= node.depth) return "depth of " + node.id;
+    }
+    if (unfinished != node.unfinishedDependencies)
+        return "count of unfinished dependencies of " + node.id;
+    if (node.outcome != JobOutcome::open) return "";
+    if (cancelled != (node.cancelledWith != nullptr))
+        return "whether " + node.id + " is cancelled with another";
+    if (recomputeInherited(node) != node.inherited) return "urgency inherited by " + node.id;
+    return "";
+}
+
+std::string DependencyGraph::findInconsistency() const {
+    for (const auto& [id, node] : nodes_)
+        if (auto inconsistency = findInconsistency(node); !inconsistency.empty())
+            return inconsistency;
     return "";
 }
 
--- a/src/dependencies/dependency_graph_test.cpp
+++ b/src/dependencies/dependency_graph_test.cpp
@@ -11,33 +11,36 @@
 
 const TimePoint start{std::chrono::hours(1)};
 
-JobProperties own(Priority p = Priority::low, Duration takes = 10s, Deadlines ends = {}) {
-    return {p, ends, takes};
+JobProperties properties(Priority priority = Priority::low, Duration duration = 10s,
+                         Deadlines deadlines = {}) {
+    return {priority, deadlines, duration};
 }
 Deadlines by(Duration first, Duration last) {
     return {start + first, start + last};
 }
 
-class ChainsTest : public ::testing::Test {
+class DependencyGraphTest : public ::testing::Test {
   protected:
     DependencyGraph graph;
-    void add(const JobId& id, const std::vector<JobId>& needs, const JobProperties& what = own()) {
-        for (const auto& n : needs) graph.addJob(n, own(), JobOutcome::open);
-        graph.addJob(id, what, JobOutcome::open);
-        graph.addDependencies(id, needs);
+    void add(const JobId& id, const std::vector<JobId>& dependencies,
+             const JobProperties& own = properties()) {
+        for (const auto& dependency : dependencies)
+            graph.addJob(dependency, properties(), JobOutcome::open);
+        graph.addJob(id, own, JobOutcome::open);
+        graph.addDependencies(id, dependencies);
     }
     /// clip -> two splits -> time -> post, with the deadline on the last.
     void pipeline() {
         add("clip", {});
         add("split-1", {"clip"});
-        add("split-2", {"clip"}, own(Priority::low, 25s));
-        add("time", {"split-1", "split-2"}, own(Priority::normal, 20s));
-        add("post", {"time"}, own(Priority::high, 8s, by(100s, 150s)));
+        add("split-2", {"clip"}, properties(Priority::low, 25s));
+        add("time", {"split-1", "split-2"}, properties(Priority::normal, 20s));
+        add("post", {"time"}, properties(Priority::high, 8s, by(100s, 150s)));
         graph.takeChanges();
     }
 };
 
-TEST_F(ChainsTest, AJobIsReleasedByTheLastThatItNeeds) {
+TEST_F(DependencyGraphTest, JobIsReleasedByItsLastDependency) {
     pipeline();
     EXPECT_FALSE(graph.isBlocked("clip"));
     EXPECT_TRUE(graph.isBlocked("split-1"));
@@ -47,13 +50,13 @@
     EXPECT_TRUE(graph.takeChanges().released.empty());
     EXPECT_EQ(graph.unfinishedDependencies("time"), std::vector<JobId>{"split-1"});
     graph.setOutcome("split-1", JobOutcome::done);
-    graph.setOutcome("split-1", JobOutcome::done);  // said again
+    graph.setOutcome("split-1", JobOutcome::done);  // repeated
     EXPECT_EQ(graph.takeChanges().released, std::vector<JobId>{"time"});
     add("later", {"clip", "split-1"});
-    EXPECT_FALSE(graph.isBlocked("later")) << "all that it needs was over when it came";
+    EXPECT_FALSE(graph.isBlocked("later")) << "all its dependencies were done when it was added";
 }
 
-TEST_F(ChainsTest, ACancellationReachesAllAfterItOnceAndDoneWins) {
+TEST_F(DependencyGraphTest, CancellationReachesEachDependentOnceAndDoneWins) {
     pipeline();
     add("aside", {"clip"});
     graph.setOutcome("split-1", JobOutcome::cancelled);
@@ -62,7 +65,7 @@
     EXPECT_EQ(graph.cancelledWith("aside"), nullptr);
     graph.setOutcome("split-2", JobOutcome::done);
     EXPECT_FALSE(graph.isBlocked("time"));
-    EXPECT_TRUE(graph.takeChanges().released.empty()) << "what is cancelled is never released";
+    EXPECT_TRUE(graph.takeChanges().released.empty()) << "a cancelled job is never released";
     add("afterwards", {"post"});
     EXPECT_EQ(*graph.cancelledWith("afterwards"), "split-1");
     graph.setOutcome("clip", JobOutcome::done);
@@ -70,36 +73,36 @@
     EXPECT_TRUE(graph.takeChanges().cancelled.empty()) << "done before it was cancelled";
 }
 
-TEST_F(ChainsTest, UrgencyIsHandedUpTheLongestWayAndTakenBack) {
+TEST_F(DependencyGraphTest, UrgencyIsInheritedAlongTheLongestPathAndRevoked) {
     pipeline();
     const InheritedUrgency clip = graph.inheritedUrgency("clip");
     EXPECT_EQ(clip.priority, Priority::high);
-    // 100 s less 8 of the last, 20 of the third and 25 of the longer second.
-    EXPECT_EQ(clip.ends, by(47s, 97s));
-    EXPECT_EQ(graph.inheritedUrgency("split-1").ends, by(72s, 122s));
-    // A last job that comes late and is more urgent counts at once.
-    add("audit", {"split-1"}, own(Priority::production, 5s, by(40s, 40s)));
+    // 100 s less 8 of the last, 20 of the third and 25 of the longer one of the second stage.
+    EXPECT_EQ(clip.deadlines, by(47s, 97s));
+    EXPECT_EQ(graph.inheritedUrgency("split-1").deadlines, by(72s, 122s));
+    // A more urgent dependent that is added late counts at once.
+    add("audit", {"split-1"}, properties(Priority::production, 5s, by(40s, 40s)));
     EXPECT_EQ(graph.inheritedUrgency("clip").priority, Priority::production);
-    EXPECT_EQ(graph.inheritedUrgency("clip").ends.first, start + 25s);
+    EXPECT_EQ(graph.inheritedUrgency("clip").deadlines.first, start + 25s);
     graph.setOutcome("audit", JobOutcome::cancelled);
     EXPECT_EQ(graph.inheritedUrgency("clip"), clip);
     graph.setDuration("split-2", 60s);
-    EXPECT_EQ(graph.inheritedUrgency("clip").ends.first, start + 12s);
+    EXPECT_EQ(graph.inheritedUrgency("clip").deadlines.first, start + 12s);
     graph.setOutcome("post", JobOutcome::cancelled);
-    EXPECT_EQ(graph.inheritedUrgency("clip").ends, Deadlines{});
+    EXPECT_EQ(graph.inheritedUrgency("clip").deadlines, Deadlines{});
     EXPECT_EQ(graph.inheritedUrgency("clip").priority, Priority::normal) << "the third stage's own";
     EXPECT_EQ(graph.findInconsistency(), "");
 }
 
-TEST_F(ChainsTest, WhatIsReadBackComesInAnOrderInWhichItCanBeLinked) {
+TEST_F(DependencyGraphTest, TopologicalOrderPutsDependenciesFirst) {
     const auto ordered = topologicalOrder(
         {{"post", {"time"}}, {"time", {"split-1", "split-2"}}, {"split-1", {"clip"}}});
     std::vector<JobId> ids;
-    for (const auto& w : ordered) ids.push_back(w.id);
+    for (const auto& job : ordered) ids.push_back(job.id);
     EXPECT_EQ(ids, (std::vector<JobId>{"split-1", "time", "post"}));
 }
 
-TEST_F(ChainsTest, AllThatIsCountedAgreesWithAPlainRecount) {
+TEST_F(DependencyGraphTest, IncrementalStateAgreesWithARecomputation) {
     for (unsigned seed = 1; seed <= 40; ++seed) {
         DependencyGraph g;
         std::mt19937 random(seed);
@@ -109,18 +112,20 @@
             const auto what = below(10);
             if (ids.size() < 2 || what < 5) {
                 const JobId id = "job-" + std::to_string(ids.size());
-                std::vector<JobId> needs;
+                std::vector<JobId> dependencies;
                 for (std::size_t n = below(4); n > 0 && !ids.empty(); --n) {
-                    const JobId& need = ids[below(ids.size())];
-                    if (std::find(needs.begin(), needs.end(), need) == needs.end())
-                        needs.push_back(need);
+                    const JobId& dependency = ids[below(ids.size())];
+                    if (std::find(dependencies.begin(), dependencies.end(), dependency) ==
+                        dependencies.end())
+                        dependencies.push_back(dependency);
                 }
                 const Duration end = std::chrono::seconds(50 + below(100));
-                g.addJob(id,
-                         own(static_cast<Priority>(below(4)), std::chrono::seconds(below(30)),
-                             below(2) == 0 ? Deadlines{} : by(end, end * 2)),
-                         JobOutcome::open);
-                g.addDependencies(id, needs);
+                g.addJob(
+                    id,
+                    properties(static_cast<Priority>(below(4)), std::chrono::seconds(below(30)),
+                               below(2) == 0 ? Deadlines{} : by(end, end * 2)),
+                    JobOutcome::open);
+                g.addDependencies(id, dependencies);
                 ids.push_back(id);
             } else {
                 const JobId& id = ids[below(ids.size())];
@@ -137,8 +142,8 @@
     }
 }
 
-TEST_F(ChainsTest, EachChangeCostsWhatItChanges) {
-    // Among 10,000 that wait: a fan of 1,000 after one job, and a chain that is 100 deep.
+TEST_F(DependencyGraphTest, CostOfAChangeIsProportionalToItsEffect) {
+    // Among 10,000 jobs: 1,000 dependents of one job, and a path that is 100 deep.
     for (int i = 0; i < 5000; ++i) {
         add("a-" + std::to_string(i), {});
         add("b-" + std::to_string(i), {"a-" + std::to_string(i)});
@@ -156,9 +161,10 @@
     EXPECT_LE(cost([&] { graph.setOutcome("a-17", JobOutcome::done); }), 2U);
     EXPECT_LE(cost([&] { graph.setOutcome("fan-3", JobOutcome::cancelled); }), 4U);
     EXPECT_LE(cost([&] { graph.setOutcome("fan", JobOutcome::done); }), 1001U);
-    // An urgent last job at the end of the chain reaches its first, each on the way once.
-    EXPECT_LE(cost([&] { add("last", {"deep-100"}, own(Priority::high, 1s, by(900s, 900s))); }),
-              110U);
+    // An urgent dependent at the end of the path reaches its first job and visits each once.
+    EXPECT_LE(
+        cost([&] { add("last", {"deep-100"}, properties(Priority::high, 1s, by(900s, 900s))); }),
+        110U);
     EXPECT_EQ(graph.inheritedUrgency("deep-0").priority, Priority::high);
     EXPECT_LE(cost([&] { graph.setOutcome("deep-0", JobOutcome::cancelled); }), 2 * 102U);
     EXPECT_EQ(graph.takeChanges().cancelled.size(), 101U);
--- a/src/scheduler/dependency_tracking.cpp
+++ b/src/scheduler/dependency_tracking.cpp
@@ -106,8 +106,8 @@
 void Cluster::addToDependencyGraph(const Job& job) {
     using dependencies::JobOutcome;
     const JobOutcome fate = job.cancelDurable()                   ? JobOutcome::cancelled
-                      : !job.cancelled && job.doneDurable() ? JobOutcome::done
-                                                            : JobOutcome::open;
+                            : !job.cancelled && job.doneDurable() ? JobOutcome::done
+                                                                  : JobOutcome::open;
     dependencies_.addJob(job.spec.id,
                          {job.spec.priority, deadlinesOf(job), estimatedDuration(job.spec)}, fate);
 }
@@ -194,7 +194,7 @@
 
 void Cluster::applyInheritedUrgency(Job& job) {
     const dependencies::InheritedUrgency u = dependencies_.inheritedUrgency(job.spec.id);
-    job.deadlines = u.ends;
+    job.deadlines = u.deadlines;
     hasNewWork_ = true;
     const Priority rank = std::min(job.spec.priority, u.priority);
     if (rank == job.rank) return;
