--- a/src/autoscaler/autoscaler_test.cpp
+++ b/src/autoscaler/autoscaler_test.cpp
@@ -309,7 +309,7 @@
         scheduler::Cluster other{settings, 1};
         other.setCatalogue(testing::someCatalogue());
         Autoscaler fleet{other, clock.now()};
-        for (int i = 0; i < 200; ++i) fleet.statistics().came("box", boots, 20s);
+        for (int i = 0; i < 200; ++i) fleet.statistics().recordBoot("box", boots, 20s);
         fleet.onMachineList({}, clock.now());
         other.submit(testing::spec("run-1", 10), clock.now(), clock.wall());  // 40 cores
         clock.advance(11s);
@@ -390,7 +390,7 @@
     fleet.onMachineList({}, clock.now());
     submit("run-1", 40);
     clock.advance(11s);
-    const Duration before = fleet.statistics().coming("box", 20s, 0.9);
+    const Duration before = fleet.statistics().bootTime("box", 20s, 0.9);
     for (const auto& r : fleet.plan(clock.now()).scaleOut) {
         std::vector<std::string> names;
         for (unsigned i = 0; i < r.count; ++i) names.push_back(r.booking + std::to_string(i));
@@ -399,7 +399,7 @@
         for (const auto& n : names) cluster.onHeartbeat(Worker(n, "a", r.spot).next(), clock.now());
     }
     fleet.plan(clock.now());
-    EXPECT_GT(fleet.statistics().coming("box", 20s, 0.9), before + 10s);
+    EXPECT_GT(fleet.statistics().bootTime("box", 20s, 0.9), before + 10s);
 }
 
 TEST_F(FleetTest, AZoneThatIsAwayLosesNoMachineAndKeepsNoOtherFromBeingGivenUp) {
--- a/src/autoscaler/failure_detection.cpp
+++ b/src/autoscaler/failure_detection.cpp
@@ -35,7 +35,7 @@
             const Machine& m = cluster_.machines()[*index];
             // Those of a former leader's days only had to find this one.
             if (m.up() && it->second.since > since_)
-                statistics_.came(m.type, m.upSince - it->second.since, boot);
+                statistics_.recordBoot(m.type, m.upSince - it->second.since, boot);
             it = booting_.erase(it);
             continue;
         }
--- a/src/runtime_statistics/quantile_histogram.cpp
+++ b/src/runtime_statistics/quantile_histogram.cpp
@@ -9,27 +9,33 @@
 namespace bh = boost::histogram;
 
 namespace {
-constexpr double least = 0.05, most = 20;
-// What came long ago says little about today's machines and owners; the sum of weights stays below
-// 1 / (1 - fade), so that a day of another kind is learnt after some hundred observations.
-constexpr double fade = 0.995;
+/// The prior's weight beyond `high` is the weight below divided by this.
+constexpr double tailDivisor = 20;
+constexpr double minRatio = 0.05, maxRatio = 20;
+/// Factor on the weights with each new observation. Old observations say little about today's
+/// machines and owners; the sum of weights stays below 1 / (1 - decay), so that a changed
+/// distribution is learnt after some hundred observations.
+constexpr double decay = 0.995;
+/// Weights are stored with two decimals: the record is written every minute, and small.
+constexpr double storedUnits = 100;
 }  // namespace
 
-QuantileHistogram::QuantileHistogram(double low, double high, double prior)
-    : prior_(bh::make_histogram_with(bh::dense_storage<double>(), Axis(bins, least, most))),
+QuantileHistogram::QuantileHistogram(double low, double high, double priorWeight)
+    : prior_(bh::make_histogram_with(bh::dense_storage<double>(), Axis(bins, minRatio, maxRatio))),
       observed_(prior_) {
     const Axis& axis = prior_.axis();
     const int from = axis.index(low), to = axis.index(high);
-    for (int i = from; i <= to; ++i) prior_.at(i) = prior / (to - from + 1);
-    const int far = std::min(axis.index(high * 2), axis.size() - 1);
-    for (int i = to + 1; i <= far; ++i) prior_.at(i) = prior / 20 / (far - to);
+    for (int i = from; i <= to; ++i) prior_.at(i) = priorWeight / (to - from + 1);
+    const int tailEnd = std::min(axis.index(high * 2), axis.size() - 1);
+    for (int i = to + 1; i <= tailEnd; ++i)
+        prior_.at(i) = priorWeight / tailDivisor / (tailEnd - to);
 }
 
 void QuantileHistogram::add(double ratio) {
     if (!std::isfinite(ratio) || ratio <= 0) return;
-    observed_ *= fade;
-    seen_ = seen_ * fade + 1;
-    observed_(std::clamp(ratio, least, most * 0.999));
+    observed_ *= decay;
+    observedWeight_ = observedWeight_ * decay + 1;
+    observed_(std::clamp(ratio, minRatio, maxRatio * 0.999));
 }
 
 double QuantileHistogram::quantile(double q) const {
@@ -43,23 +49,24 @@
             below += here;
             continue;
         }
-        // Inside the bin as if it were spread evenly over the logarithm.
+        // Within the bin as if its weight were spread evenly over the logarithm.
         return axis.value(i + (q * total - below) / here);
     }
     return axis.value(static_cast<double>(bins));
 }
 
-void QuantileHistogram::encode(json::Out& out, std::size_t most) const {
+void QuantileHistogram::encode(json::Out& out, std::size_t maxBins) const {
     std::vector<double> weights;
+    weights.reserve(bins);
     for (int i = 0; i < static_cast<int>(bins); ++i) weights.push_back(observed_.at(i));
     std::sort(weights.begin(), weights.end(), std::greater<>());
-    const double least = most == 0 ? HUGE_VAL : weights.at(std::min<std::size_t>(most, bins) - 1);
+    const double minWeight =
+        maxBins == 0 ? HUGE_VAL : weights.at(std::min<std::size_t>(maxBins, bins) - 1);
     out.openArray();
     for (int i = 0; i < static_cast<int>(bins); ++i) {
-        if (observed_.at(i) < least) continue;
-        // Two places: the record is written every minute, and small.
-        const auto hundredths = static_cast<std::uint64_t>(std::llround(observed_.at(i) * 100));
-        if (hundredths > 0) out.value(static_cast<std::uint64_t>(i)).value(hundredths);
+        if (observed_.at(i) < minWeight) continue;
+        const auto units = static_cast<std::uint64_t>(std::llround(observed_.at(i) * storedUnits));
+        if (units > 0) out.value(static_cast<std::uint64_t>(i)).value(units);
     }
     out.closeArray();
 }
@@ -70,11 +77,11 @@
         if (!value[i].IsUint() || value[i].GetUint() >= bins || !value[i + 1].IsUint64())
             return false;
     observed_.reset();
-    seen_ = 0;
+    observedWeight_ = 0;
     for (unsigned i = 0; i < value.Size(); i += 2) {
-        const double weight = static_cast<double>(value[i + 1].GetUint64()) / 100;
+        const double weight = static_cast<double>(value[i + 1].GetUint64()) / storedUnits;
         observed_.at(static_cast<int>(value[i].GetUint())) = weight;
-        seen_ += weight;
+        observedWeight_ += weight;
     }
     return true;
 }
--- a/src/runtime_statistics/quantile_histogram.h
+++ b/src/runtime_statistics/quantile_histogram.h
@@ -1,4 +1,6 @@
 #pragma once
+// Distribution of a ratio (observed over expected), learnt from observations that lose weight as
+// newer ones come; while there are few it relies on a prior. Boost.Histogram holds the counts.
 #include <boost/histogram.hpp>
 #include <string>
 #include <vector>
@@ -7,24 +9,25 @@
 
 namespace basaltchute::runtime_statistics {
 
-/// How a ratio (seen over expected) is spread, learnt from observations that fade as newer ones
-/// come; before there are many it leans on what is known beforehand. Boost.Histogram keeps it.
+/// See the top of this file. Ratios from 0.05 to 20 are told apart; others count as these.
 class QuantileHistogram {
   public:
-    /// `low` to `high`: where ratios are expected before anything was seen, spread evenly over the
-    /// logarithm, with the weight of `prior` observations; half of that is how much more to the
-    /// upper side there is of the stretch twice as far out.
-    QuantileHistogram(double low, double high, double prior);
+    /// The prior: ratios from `low` to `high`, evenly over the logarithm, with the weight of
+    /// `priorWeight` observations; and a twentieth of that weight from `high` to twice as far.
+    QuantileHistogram(double low, double high, double priorWeight);
+    /// Adds an observation. Ratios that are not positive and finite are ignored.
     void add(double ratio);
-    /// The ratio that a share `q` (0 to 1) of what comes stays below.
+    /// The ratio that a share `q` (0 to 1) of the observations stays below.
     [[nodiscard]] double quantile(double q) const;
-    /// Observations so far, faded.
-    [[nodiscard]] double weight() const { return seen_; }
+    /// Sum of the observations' weights.
+    [[nodiscard]] double weight() const { return observedWeight_; }
 
     static constexpr std::size_t bins = 96;
-    /// Those bins that hold most, so many at most.
-    void encode(json::Out& out, std::size_t most = bins) const;
-    /// False if it is not what encode() wrote; then nothing has changed.
+    /// Writes the observations as an array of bins and weights: the heaviest bins, `maxBins` at
+    /// most.
+    void encode(json::Out& out, std::size_t maxBins = bins) const;
+    /// Replaces the observations. False if the value is not what encode() wrote; then nothing has
+    /// changed.
     bool decode(const json::Value& value);
 
   private:
@@ -32,7 +35,7 @@
     using Histogram =
         boost::histogram::histogram<std::tuple<Axis>, boost::histogram::dense_storage<double>>;
     Histogram prior_, observed_;
-    double seen_ = 0;
+    double observedWeight_ = 0;
 };
 
 }  // namespace basaltchute::runtime_statistics
--- a/src/runtime_statistics/runtime_statistics.h
+++ b/src/runtime_statistics/runtime_statistics.h
@@ -1,4 +1,7 @@
 #pragma once
+// What a leader has observed of the deployment that no settings state: how long machines take to
+// boot. State: one histogram for each machine type; the leader's term writes them as one record
+// for each type, and the next leader reads them. Called by the autoscaler and by LeaderTerm.
 #include <map>
 #include <set>
 #include <string>
@@ -8,24 +11,25 @@
 
 namespace basaltchute::runtime_statistics {
 
-/// What a leader has seen of the deployment that no settings tell, and the next one goes on with.
+/// See the top of this file.
 class RuntimeStatistics {
   public:
-    /// A machine of the type came `took` after it was rented, where the catalogue says `stated`.
-    void came(const std::string& type, Duration took, Duration stated);
-    /// By when a share `q` of the machines of a type is there, measured from the request.
-    [[nodiscard]] Duration coming(const std::string& type, Duration stated, double q) const;
+    /// A machine of the type was ready `actual` after it was requested, where the cloud's
+    /// catalogue states `stated`.
+    void recordBoot(const std::string& type, Duration actual, Duration stated);
+    /// The time from the request within which a share `q` of the machines of the type is ready.
+    [[nodiscard]] Duration bootTime(const std::string& type, Duration stated, double q) const;
 
-    /// Types of which something was learnt since their record was last encoded.
+    /// Types that were observed since their record was last encoded.
     [[nodiscard]] const std::set<std::string>& changed() const { return changed_; }
-    /// What is known of one type, in so many bytes at most: what was rarely seen is left out first.
-    std::string encode(const std::string& type, std::size_t bytes);
-    /// Takes over what a record says of the types that it names. False if the text is no record;
-    /// then nothing has changed.
+    /// The record of one type, in `maxBytes` at most: rare observations are left out first.
+    std::string encode(const std::string& type, std::size_t maxBytes);
+    /// Replaces the statistics of the types that the record names. False if the text is not such a
+    /// record; then nothing has changed.
     bool decode(const std::string& text);
 
   private:
-    std::map<std::string, QuantileHistogram> boots_;
+    std::map<std::string, QuantileHistogram> bootTimes_;
     std::set<std::string> changed_;
 };
 
--- a/src/runtime_statistics/wire_format_test.cpp
+++ b/src/runtime_statistics/wire_format_test.cpp
@@ -1,4 +1,4 @@
-// The exact bytes of the stored record of learnt boot times.
+// The exact bytes of the stored record of observed boot times.
 #include <gtest/gtest.h>
 
 #include "runtime_statistics/runtime_statistics.h"
@@ -8,19 +8,19 @@
 
 using namespace std::chrono_literals;
 
-TEST(WireFormat, LearntBootTimesRecordBytes) {
+TEST(WireFormat, BootTimesRecordBytes) {
     RuntimeStatistics written;
-    written.came("box", 60s, 20s);
+    written.recordBoot("box", 60s, 20s);
     EXPECT_EQ(written.encode("box", 2000), R"({"format":1,"boots":{"box":[65,100]}})");
-    written.came("box", 20s, 20s);
+    written.recordBoot("box", 20s, 20s);
     EXPECT_EQ(written.encode("box", 2000), R"({"format":1,"boots":{"box":[48,100,65,100]}})");
 }
 
-TEST(WireFormat, LearntBootTimesRecordIsRead) {
+TEST(WireFormat, BootTimesRecordIsRead) {
     RuntimeStatistics read;
     ASSERT_TRUE(read.decode(R"({"format":1,"boots":{"box":[48,100,65,5000],"c8":[]}})"));
-    EXPECT_GT(read.coming("box", 20s, 0.5), 50s);
-    EXPECT_LT(read.coming("c8", 20s, 0.5), 30s);
+    EXPECT_GT(read.bootTime("box", 20s, 0.5), 50s);
+    EXPECT_LT(read.bootTime("c8", 20s, 0.5), 30s);
     EXPECT_EQ(read.encode("box", 2000), R"({"format":1,"boots":{"box":[48,100,65,5000]}})");
 }
 
