--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -223,9 +223,9 @@
     if (call.verb == UserCall::Verb::submit && !leads) {
         // What is malformed is so whoever leads; a leader finds out by itself.
         auto parsed = jobs::parseSubmission(r.body);
-        if (std::holds_alternative<std::string>(parsed)) {
+        if (std::holds_alternative<jobs::SubmissionError>(parsed)) {
             json::Out o;
-            o.open().field("error", std::get<std::string>(parsed)).close();
+            o.open().field("error", std::get<jobs::SubmissionError>(parsed).message).close();
             co_return http::Response{400, o.text()};
         }
         job = std::get<JobSpec>(parsed).id;
--- a/src/controller/leader_term.cpp
+++ b/src/controller/leader_term.cpp
@@ -85,7 +85,7 @@
         kv_store::ListResult all = co_await store_.list(jobs::blockPrefix, scope_);
         kv_store::ListResult parts;
         if (all.status == kv_store::Status::ok)
-            parts = co_await store_.list(jobs::partPrefix, scope_);
+            parts = co_await store_.list(jobs::pagePrefix, scope_);
         if (parts.status != kv_store::Status::ok) {
             co_await loop_.sleep(200ms, scope_);
             continue;
@@ -387,7 +387,8 @@
 
 Task<http::Response> LeaderTerm::submit(std::string body) {
     auto parsed = jobs::parseSubmission(body);
-    if (auto* why = std::get_if<std::string>(&parsed)) co_return refuse(400, *why);
+    if (auto* error = std::get_if<jobs::SubmissionError>(&parsed))
+        co_return refuse(400, error->message);
     if (!ready()) co_return serviceUnavailable();
     const JobSpec& spec = std::get<JobSpec>(parsed);
     if (cluster_.unreadable(spec.id)) co_return serviceUnavailable();
--- a/src/http/parser_test.cpp
+++ b/src/http/parser_test.cpp
@@ -33,7 +33,7 @@
 
 TEST(Submissions, WhatIsMalformedIsSaidToBe) {
     const auto bad = [](const std::string& body) {
-        return std::holds_alternative<std::string>(jobs::parseSubmission(body));
+        return std::holds_alternative<jobs::SubmissionError>(jobs::parseSubmission(body));
     };
     const auto with = [](const std::string& from, const std::string& to) {
         std::string s = testing::submission("run-1");
--- a/src/jobs/codec.cpp
+++ b/src/jobs/codec.cpp
@@ -12,12 +12,15 @@
 namespace {
 
 constexpr std::uint64_t maxTasks = 100'000;
+constexpr std::size_t maxTextBytes = 200;  // of a text field of a submission
+constexpr std::size_t maxIdBytes = 120;
 // Of a record: index, attempt and a machine's name of usual length. With longer ones a block is
 // split once it does not fit.
 constexpr std::size_t bytesPerTask = 26;
 constexpr std::size_t headBytes = 160;  // of a first block, beside description and tasks
-constexpr std::size_t fewestPerBlock = 8;
-constexpr std::size_t textBytes = 32;  // around a part of a description
+constexpr std::size_t minTasksPerBlock = 8;
+constexpr std::size_t textFrameBytes = 32;  // of a text record, beside its section
+constexpr std::size_t minSectionBytes = 16;
 
 constexpr std::array<std::pair<const char*, Priority>, 4> priorities{
     {{"production", Priority::production},
@@ -28,148 +31,169 @@
 constexpr std::array<std::pair<const char*, Shape>, 3> shapes{
     {{"array", Shape::array}, {"standing", Shape::service}, {"group", Shape::gang}}};
 
+template <typename Names, typename Value>
+const char* nameOf(const Names& names, Value value) {
+    return std::find_if(names.begin(), names.end(),
+                        [&](const auto& entry) { return entry.second == value; })
+        ->first;
+}
+
 /// Reads the fields of a submission and remembers the first that is wrong.
-class Fields {
+class SubmissionReader {
   public:
-    explicit Fields(const json::Value& v) : v_(v) {}
+    explicit SubmissionReader(const json::Value& submission) : submission_(submission) {}
+
     std::string text(const char* name) {
-        auto s = json::string(v_, name);
-        if (!s || s->empty() || s->size() > 200) fail(name);
-        return s.value_or("");
+        auto value = json::string(submission_, name);
+        if (!value || value->empty() || value->size() > maxTextBytes) fail(name);
+        return value.value_or("");
     }
     double amount(const char* name) {
-        const auto n = json::number(v_, name);
-        if (!n || *n < 0) fail(name);
-        return n.value_or(0);
+        const auto value = json::number(submission_, name);
+        if (!value || *value < 0) fail(name);
+        return value.value_or(0);
     }
     bool flag(const char* name) {
-        const auto b = json::boolean(v_, name);
-        if (!b) fail(name);
-        return b.value_or(false);
+        const auto value = json::boolean(submission_, name);
+        if (!value) fail(name);
+        return value.value_or(false);
+    }
+    JobId id(const char* name) {
+        JobId value = text(name);
+        if (!validId(value)) fail(name);
+        return value;
+    }
+    std::uint32_t taskCount(const char* name) {
+        const auto value = json::count(submission_, name);
+        if (value && *value > 0 && *value <= maxTasks) return static_cast<std::uint32_t>(*value);
+        fail(name);
+        return 1;
+    }
+    /// The value that `names` lists under the field's text.
+    template <typename Names>
+    auto choice(const char* name, const Names& names) {
+        const std::string value = text(name);
+        const auto it = std::find_if(names.begin(), names.end(),
+                                     [&](const auto& entry) { return value == entry.first; });
+        if (it != names.end()) return it->second;
+        fail(name);
+        return names.front().second;
+    }
+    std::optional<double> optionalAmount(const char* name) {
+        return has(name) ? std::optional(amount(name)) : std::nullopt;
+    }
+    std::optional<std::string> optionalText(const char* name) {
+        return has(name) ? std::optional(text(name)) : std::nullopt;
+    }
+    std::optional<std::vector<std::string>> optionalTexts(const char* name) {
+        if (!has(name)) return std::nullopt;
+        std::vector<std::string> values;
+        for (const auto& element : elements(name))
+            if (element->IsString())
+                values.emplace_back(element->GetString());
+            else
+                fail(name);
+        return values;
     }
     /// Ids of jobs, each once.
     std::vector<JobId> ids(const char* name) {
-        std::vector<JobId> out;
-        if (!given(name)) return out;
-        const auto* all = json::array(v_, name);
-        if (all == nullptr) {
-            fail(name);
-            return out;
-        }
+        if (!has(name)) return {};
+        std::vector<JobId> values;
         std::unordered_set<JobId> seen;
-        for (const auto& id : all->GetArray()) {
-            if (!id.IsString() || !validId({id.GetString(), id.GetStringLength()})) {
+        for (const auto& element : elements(name)) {
+            if (!element->IsString() ||
+                !validId({element->GetString(), element->GetStringLength()})) {
                 fail(name);
                 return {};
             }
-            if (seen.insert(id.GetString()).second) out.emplace_back(id.GetString());
+            if (seen.insert(element->GetString()).second) values.emplace_back(element->GetString());
+        }
+        return values;
+    }
+    /// The first wrong field; empty if there is none.
+    [[nodiscard]] const std::string& wrongField() const { return wrongField_; }
+
+  private:
+    [[nodiscard]] bool has(const char* name) const {
+        return json::find(submission_, name) != nullptr;
+    }
+    /// Of an array; none if it is not one.
+    std::vector<const json::Value*> elements(const char* name) {
+        std::vector<const json::Value*> out;
+        const auto* array = json::array(submission_, name);
+        if (array == nullptr) {
+            fail(name);
+            return out;
         }
+        for (const auto& element : array->GetArray()) out.push_back(&element);
         return out;
     }
-    [[nodiscard]] bool given(const char* name) const { return json::find(v_, name) != nullptr; }
     void fail(const char* name) {
-        if (wrong.empty()) wrong = name;
+        if (wrongField_.empty()) wrongField_ = name;
     }
-    std::string wrong;
 
-  private:
-    const json::Value& v_;
+    const json::Value& submission_;
+    std::string wrongField_;
 };
 
-std::variant<JobSpec, std::string> specOf(const json::Value& v) {
-    if (!v.IsObject()) return std::string("not an object");
-    Fields f(v);
-    JobSpec s;
-    s.id = f.text("ref");
-    if (!validId(s.id)) f.fail("ref");
-    s.jobClass = f.text("category");
-    s.team = f.text("crew");
-    const std::string shape = f.text("shape");
-    const auto named =
-        std::find_if(shapes.begin(), shapes.end(), [&](const auto& e) { return shape == e.first; });
-    if (named == shapes.end())
-        f.fail("shape");
-    else
-        s.shape = named->second;
-    const std::string rank = f.text("rank");
-    const auto p = std::find_if(priorities.begin(), priorities.end(),
-                                [&](const auto& e) { return rank == e.first; });
-    if (p == priorities.end())
-        f.fail("rank");
-    else
-        s.priority = p->second;
-    const auto tasks = json::count(v, "splits");
-    if (!tasks || *tasks == 0 || *tasks > maxTasks)
-        f.fail("splits");
-    else
-        s.tasks = static_cast<std::uint32_t>(*tasks);
-    s.demand = {f.amount("cores"), f.amount("gpus"), f.amount("ramGb")};
-    s.image = f.text("build");
-    s.imageGb = f.amount("sizeGb");
-    if (f.given("rigs")) {
-        const auto* rigs = json::array(v, "rigs");
-        if (rigs == nullptr) {
-            f.fail("rigs");
-        } else {
-            s.types.emplace();
-            for (const auto& r : rigs->GetArray()) {
-                if (!r.IsString())
-                    f.fail("rigs");
-                else
-                    s.types->emplace_back(r.GetString());
-            }
-        }
-    }
-    if (f.given("hall")) s.zone = f.text("hall");
-    s.sameZone = f.flag("together");
-    s.spread = f.flag("spread");
-    s.spotAllowed = f.flag("loaners");
-    s.estimateS = f.amount("parS");
-    s.checkpointS = f.amount("savepointS");
-    s.saveS = f.amount("flushS");
-    if (f.given("cutoffS")) s.deadlineS = f.amount("cutoffS");
-    s.dependencies = f.ids("waitsOn");
-    if (!f.wrong.empty()) return "missing or invalid: " + f.wrong;
-    return s;
+std::variant<JobSpec, SubmissionError> readSpec(const json::Value& value) {
+    if (!value.IsObject()) return SubmissionError{"not an object"};
+    SubmissionReader reader(value);
+    JobSpec spec;
+    spec.id = reader.id("ref");
+    spec.jobClass = reader.text("category");
+    spec.team = reader.text("crew");
+    spec.shape = reader.choice("shape", shapes);
+    spec.priority = reader.choice("rank", priorities);
+    spec.tasks = reader.taskCount("splits");
+    spec.demand = {reader.amount("cores"), reader.amount("gpus"), reader.amount("ramGb")};
+    spec.image = reader.text("build");
+    spec.imageGb = reader.amount("sizeGb");
+    spec.types = reader.optionalTexts("rigs");
+    spec.zone = reader.optionalText("hall");
+    spec.sameZone = reader.flag("together");
+    spec.spread = reader.flag("spread");
+    spec.spotAllowed = reader.flag("loaners");
+    spec.estimateS = reader.amount("parS");
+    spec.checkpointS = reader.amount("savepointS");
+    spec.saveS = reader.amount("flushS");
+    spec.deadlineS = reader.optionalAmount("cutoffS");
+    spec.dependencies = reader.ids("waitsOn");
+    if (!reader.wrongField().empty())
+        return SubmissionError{"missing or invalid: " + reader.wrongField()};
+    return spec;
 }
 
-void writeSpec(json::Out& o, const JobSpec& s) {
-    const auto p = std::find_if(priorities.begin(), priorities.end(),
-                                [&](const auto& e) { return s.priority == e.second; });
-    const auto shape = std::find_if(shapes.begin(), shapes.end(),
-                                    [&](const auto& e) { return s.shape == e.second; });
-    o.open().field("ref", s.id).field("category", s.jobClass).field("crew", s.team);
-    o.field("shape", shape->first).field("rank", p->first);
-    o.field("splits", s.tasks).field("cores", s.demand.cores).field("gpus", s.demand.gpus);
-    o.field("ramGb", s.demand.ramGb).field("build", s.image).field("sizeGb", s.imageGb);
-    if (s.types) {
-        o.key("rigs").openArray();
-        for (const auto& t : *s.types) o.value(t);
-        o.closeArray();
-    }
-    if (s.zone) o.field("hall", *s.zone);
-    o.field("together", s.sameZone).field("spread", s.spread).field("loaners", s.spotAllowed);
-    o.field("parS", s.estimateS).field("savepointS", s.checkpointS).field("flushS", s.saveS);
-    if (s.deadlineS) o.field("cutoffS", *s.deadlineS);
-    if (!s.dependencies.empty()) {
-        o.key("waitsOn").openArray();
-        for (const auto& id : s.dependencies) o.value(id);
-        o.closeArray();
-    }
-    o.close();
+void writeTexts(json::Out& out, const char* name, const std::vector<std::string>& texts) {
+    out.key(name).openArray();
+    for (const auto& text : texts) out.value(text);
+    out.closeArray();
 }
 
-std::string specText(const JobSpec& s) {
-    json::Out o;
-    writeSpec(o, s);
-    return o.text();
+std::string specText(const JobSpec& spec) {
+    json::Out out;
+    out.open().field("ref", spec.id).field("category", spec.jobClass).field("crew", spec.team);
+    out.field("shape", nameOf(shapes, spec.shape)).field("rank", nameOf(priorities, spec.priority));
+    out.field("splits", spec.tasks);
+    out.field("cores", spec.demand.cores).field("gpus", spec.demand.gpus);
+    out.field("ramGb", spec.demand.ramGb).field("build", spec.image).field("sizeGb", spec.imageGb);
+    if (spec.types) writeTexts(out, "rigs", *spec.types);
+    if (spec.zone) out.field("hall", *spec.zone);
+    out.field("together", spec.sameZone).field("spread", spec.spread);
+    out.field("loaners", spec.spotAllowed);
+    out.field("parS", spec.estimateS).field("savepointS", spec.checkpointS);
+    out.field("flushS", spec.saveS);
+    if (spec.deadlineS) out.field("cutoffS", *spec.deadlineS);
+    if (!spec.dependencies.empty()) writeTexts(out, "waitsOn", spec.dependencies);
+    out.close();
+    return out.text();
 }
 
-/// What may change of the job itself.
-void writeState(json::Out& o, const Job& job) {
+/// The state of the job itself that changes after its submission.
+void writeState(json::Out& out, const Job& job) {
     if (job.cancelled && job.cancelledWith.empty())
-        o.field(job.cancelCommitted ? "cancelled" : "withdrawing", true);
-    if (job.released) o.field("released", static_cast<std::int64_t>(job.released->count()));
+        out.field(job.cancelCommitted ? "cancelled" : "withdrawing", true);
+    if (job.released) out.field("released", static_cast<std::int64_t>(job.released->count()));
 }
 
 void readState(const json::Value& v, Job& job) {
@@ -177,34 +201,61 @@
     job.cancelRecorded = job.cancelRecorded || json::boolean(v, "withdrawing").value_or(false);
     job.cancelled = job.cancelCommitted || job.cancelRecorded;
     job.cancelVersion = job.cancelCommitted ? 1 : 0;
-    // A former leader may have told it at any time.
+    // A former leader may have acknowledged it at any time.
     if (job.cancelCommitted) job.acknowledgedAt = TimePoint{};
     if (const auto at = json::number(v, "released"))
         job.released = WallMillis(static_cast<std::int64_t>(*at));
 }
 
 /// Done tasks as pairs of first and last, the rest as [task, attempt] or with its machine.
-void writeTasks(json::Out& o, const Job& job, std::uint32_t from, std::uint32_t to,
+void writeTasks(json::Out& out, const Job& job, std::uint32_t from, std::uint32_t to,
                 const MachineName& name) {
-    o.key("done").openArray();
+    out.key("done").openArray();
     for (std::uint32_t i = from; i < to; ++i) {
         if (job.tasks[i].state != TaskState::done) continue;
         const std::uint32_t first = i;
         while (i + 1 < to && job.tasks[i + 1].state == TaskState::done) ++i;
-        o.value(first).value(i);
+        out.value(first).value(i);
     }
-    o.closeArray().key("bound").openArray();
+    out.closeArray().key("bound").openArray();
     if (!job.cancelled || job.boundCount > 0) {
         for (std::uint32_t i = from; i < to; ++i) {
             const JobTask& t = job.tasks[i];
             if (t.state == TaskState::done || t.attempt == 0) continue;
-            o.openArray().value(i).value(t.attempt);
-            if (t.state == TaskState::bound) o.value(name(t.machine));
-            if (t.state == TaskState::bound && t.reserved) o.value(true);
-            o.closeArray();
+            out.openArray().value(i).value(t.attempt);
+            if (t.state == TaskState::bound) out.value(name(t.machine));
+            if (t.state == TaskState::bound && t.reserved) out.value(true);
+            out.closeArray();
         }
     }
-    o.closeArray();
+    out.closeArray();
+}
+
+/// Pairs of the first and last task of each run of done tasks.
+bool readDoneTasks(const json::Value& done, Job& job) {
+    for (unsigned i = 0; i + 1 < done.Size(); i += 2) {
+        if (!done[i].IsUint() || !done[i + 1].IsUint()) return false;
+        const std::uint32_t last = done[i + 1].GetUint();
+        for (std::uint32_t task = done[i].GetUint(); task <= last && task < job.spec.tasks; ++task)
+            job.tasks[task].state = TaskState::done;
+    }
+    return true;
+}
+
+/// Arrays of a task, its attempt, and for a bound one its machine and whether it is reserved.
+bool readBoundTasks(const json::Value& bound, Job& job, const MachineOf& machine) {
+    for (const auto& entry : bound.GetArray()) {
+        if (!entry.IsArray() || entry.Size() < 2 || !entry[0].IsUint() || !entry[1].IsUint64())
+            return false;
+        if (entry[0].GetUint() >= job.spec.tasks) return false;
+        JobTask& task = job.tasks[entry[0].GetUint()];
+        task.attempt = entry[1].GetUint64();
+        if (entry.Size() < 3 || !entry[2].IsString()) continue;
+        task.state = TaskState::bound;
+        task.machine = machine(entry[2].GetString());
+        task.reserved = entry.Size() > 3 && entry[3].IsTrue();
+    }
+    return true;
 }
 
 }  // namespace
@@ -212,45 +263,45 @@
 bool validId(std::string_view id) {
     // The published form is a word, a dash and a number. Only what would be unsafe in a key or
     // a path is refused, so that a longer number or another word still works.
-    return !id.empty() && id.size() <= 120 && std::all_of(id.begin(), id.end(), [](char c) {
+    return !id.empty() && id.size() <= maxIdBytes && std::all_of(id.begin(), id.end(), [](char c) {
         return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' || c == '_';
     });
 }
 
-std::variant<JobSpec, std::string> parseSubmission(const std::string& body) {
+std::variant<JobSpec, SubmissionError> parseSubmission(const std::string& body) {
     const auto doc = json::parse(body);
-    if (!doc) return std::string("not JSON");
-    return specOf(*doc);
+    if (!doc) return SubmissionError{"not JSON"};
+    return readSpec(*doc);
 }
 
 std::string statusText(const JobId& id, const char* status) {
-    json::Out o;
-    o.open().field("ref", id).field("status", status).close();
-    return o.text();
+    json::Out out;
+    out.open().field("ref", id).field("status", status).close();
+    return out.text();
 }
 std::string statusText(const Job& job, const char* status) {
-    json::Out o;
-    o.open().field("ref", job.spec.id).field("status", status);
-    o.field("done", job.doneCount).field("running", job.runningCount);
-    if (!job.cancelledWith.empty()) o.field("because", job.cancelledWith);
-    o.close();
-    return o.text();
+    json::Out out;
+    out.open().field("ref", job.spec.id).field("status", status);
+    out.field("done", job.doneCount).field("running", job.runningCount);
+    if (!job.cancelledWith.empty()) out.field("because", job.cancelledWith);
+    out.close();
+    return out.text();
 }
 
-JobState parseJobState(int status, const std::string& body) {
-    if (status == 404 || status == 422) return JobState::unknown;
-    if (status != 200 && status != 201) return JobState::none;
+JobState parseJobState(int httpStatus, const std::string& body) {
+    if (httpStatus == 404 || httpStatus == 422) return JobState::unknown;
+    if (httpStatus != 200 && httpStatus != 201) return JobState::none;
     const auto doc = json::parse(body);
-    const auto said = doc ? json::string(*doc, "status") : std::nullopt;
-    return said == "done" || said == "cancelled" ? JobState::ended : JobState::open;
+    const auto status = doc ? json::string(*doc, "status") : std::nullopt;
+    return status == "done" || status == "cancelled" ? JobState::ended : JobState::open;
 }
 
 std::unique_ptr<Job> makeJob(JobSpec spec, std::size_t valueBytes) {
     auto job = std::make_unique<Job>();
-    const std::size_t taken = headBytes + specText(spec).size();
-    const std::size_t room = valueBytes > taken ? valueBytes - taken : 0;
-    job->layout = RecordLayout(
-        spec.tasks, static_cast<std::uint32_t>(std::max(fewestPerBlock, room / bytesPerTask)));
+    const std::size_t jobBytes = headBytes + specText(spec).size();
+    const std::size_t taskBytes = valueBytes > jobBytes ? valueBytes - jobBytes : 0;
+    const std::size_t perBlock = std::max(minTasksPerBlock, taskBytes / bytesPerTask);
+    job->layout = RecordLayout(spec.tasks, static_cast<std::uint32_t>(perBlock));
     job->tasks.resize(spec.tasks);
     job->queue.resize(spec.tasks);
     std::iota(job->queue.rbegin(), job->queue.rend(), 0U);
@@ -260,58 +311,59 @@
 }
 
 std::string encodeBlock(const Job& job, std::uint32_t block, const MachineName& name) {
-    json::Out o;
-    o.open();
+    json::Out out;
+    out.open();
     const std::uint32_t per = job.layout.perBlock();
     if (block == 0) {
         if (job.layout.texts > 0)
-            o.field("texts", job.layout.texts);
+            out.field("texts", job.layout.texts);
         else
-            o.key("spec").raw(specText(job.spec));
-        o.field("at", static_cast<std::int64_t>(job.submitted.count())).field("per", per);
-        writeState(o, job);
+            out.key("spec").raw(specText(job.spec));
+        out.field("at", static_cast<std::int64_t>(job.submitted.count())).field("per", per);
+        writeState(out, job);
         if (job.layout.bare()) {
-            o.field("bare", true).close();
-            return o.text();
+            out.field("bare", true).close();
+            return out.text();
         }
     }
     const std::uint32_t from = block * per;
-    writeTasks(o, job, from, std::min(from + per, job.spec.tasks), name);
-    o.close();
-    return o.text();
+    writeTasks(out, job, from, std::min(from + per, job.spec.tasks), name);
+    out.close();
+    return out.text();
 }
 
-std::string encodePart(const Job& job, const TaskRange& part, const MachineName& name) {
-    json::Out o;
-    o.open();
-    writeTasks(o, job, part.from, part.end(), name);
-    o.close();
-    return o.text();
+std::string encodePage(const Job& job, const TaskRange& page, const MachineName& name) {
+    json::Out out;
+    out.open();
+    writeTasks(out, job, page.from, page.end(), name);
+    out.close();
+    return out.text();
 }
 
 std::string encodeHead(const Job& job) {
-    json::Out o;
-    o.open();
-    writeState(o, job);
-    o.close();
-    return o.text();
+    json::Out out;
+    out.open();
+    writeState(out, job);
+    out.close();
+    return out.text();
 }
 
 std::vector<std::string> encodeTexts(const Job& job, std::size_t valueBytes) {
     const std::string all = specText(job.spec);
     // Quoted, each byte takes two at most, as the text has no control characters.
-    const std::size_t each =
-        std::max<std::size_t>(16, (valueBytes - std::min(valueBytes, textBytes)) / 2);
-    std::vector<std::string> out;
+    const std::size_t sectionBytes =
+        std::max(minSectionBytes, (valueBytes - std::min(valueBytes, textFrameBytes)) / 2);
+    std::vector<std::string> records;
     for (std::size_t from = 0; from < all.size();) {
-        std::size_t to = std::min(all.size(), from + each);
+        std::size_t to = std::min(all.size(), from + sectionBytes);
+        // Not within a character.
         while (to < all.size() && (static_cast<unsigned char>(all[to]) & 0xC0U) == 0x80U) --to;
-        json::Out o;
-        o.open().field("text", std::string_view(all).substr(from, to - from)).close();
-        out.push_back(o.text());
+        json::Out out;
+        out.open().field("text", std::string_view(all).substr(from, to - from)).close();
+        records.push_back(out.text());
         from = to;
     }
-    return out;
+    return records;
 }
 
 std::optional<std::string> decodeText(const json::Value& record) {
@@ -325,16 +377,16 @@
 
 std::unique_ptr<Job> decodeJob(const json::Value& block, const std::string& texts,
                                std::size_t valueBytes) {
-    std::optional<json::Document> apart;
+    std::optional<json::Document> joinedTexts;
     const json::Value* spec = json::find(block, "spec");
     if (textsOf(block)) {
-        apart = json::parse(texts);
-        spec = apart ? &*apart : nullptr;
+        joinedTexts = json::parse(texts);
+        spec = joinedTexts ? &*joinedTexts : nullptr;
     }
     const auto at = json::number(block, "at");
     const auto per = json::count(block, "per");
     if (spec == nullptr || !at || !per || *per == 0 || *per > maxTasks) return nullptr;
-    auto parsed = specOf(*spec);
+    auto parsed = readSpec(*spec);
     if (!std::holds_alternative<JobSpec>(parsed)) return nullptr;
     auto job = makeJob(std::get<JobSpec>(std::move(parsed)), valueBytes);
     job->layout = RecordLayout(job->spec.tasks, static_cast<std::uint32_t>(*per));
@@ -351,35 +403,17 @@
 
 bool decodeTasks(const json::Value& record, const RecordName& name, Job& job,
                  const MachineOf& machine) {
-    const bool part = name.kind == RecordName::Kind::part;
     job.layout.restored(name);
-    if (part) {
-        // Newer than what other records say of these.
+    if (name.kind == RecordName::Kind::page) {
+        // Newer than what other records say of these tasks.
         const std::uint32_t end =
             std::min<std::uint64_t>(std::uint64_t{name.from} + name.count, job.spec.tasks);
-        for (std::uint32_t t = name.from; t < end; ++t) job.tasks[t] = JobTask{};
+        for (std::uint32_t task = name.from; task < end; ++task) job.tasks[task] = JobTask{};
     }
-    if (const auto* done = json::array(record, "done")) {
-        for (unsigned i = 0; i + 1 < done->Size(); i += 2) {
-            if (!(*done)[i].IsUint() || !(*done)[i + 1].IsUint()) return false;
-            for (std::uint32_t t = (*done)[i].GetUint();
-                 t <= (*done)[i + 1].GetUint() && t < job.spec.tasks; ++t)
-                job.tasks[t].state = TaskState::done;
-        }
-    }
-    if (const auto* bound = json::array(record, "bound")) {
-        for (const auto& b : bound->GetArray()) {
-            if (!b.IsArray() || b.Size() < 2 || !b[0].IsUint() || !b[1].IsUint64()) return false;
-            if (b[0].GetUint() >= job.spec.tasks) return false;
-            JobTask& t = job.tasks[b[0].GetUint()];
-            t.attempt = b[1].GetUint64();
-            if (b.Size() < 3 || !b[2].IsString()) continue;
-            t.state = TaskState::bound;
-            t.machine = machine(b[2].GetString());
-            t.reserved = b.Size() > 3 && b[3].IsTrue();
-        }
-    }
-    return true;
+    const auto* done = json::array(record, "done");
+    if (done != nullptr && !readDoneTasks(*done, job)) return false;
+    const auto* bound = json::array(record, "bound");
+    return bound == nullptr || readBoundTasks(*bound, job, machine);
 }
 
 }  // namespace basaltchute::jobs
--- a/src/jobs/codec.h
+++ b/src/jobs/codec.h
@@ -1,48 +1,73 @@
 #pragma once
+// The forms of a job outside this process: submissions and status responses of the user API, and
+// the stored records. The field names of both are mapped to this project's terms here and nowhere
+// else. Pure functions without state. Called by the Controller and LeaderTerm for the user API, and
+// by the scheduler's persistence for the records; record_layout.h explains what a record holds.
 #include <functional>
+#include <memory>
+#include <optional>
 #include <string>
+#include <string_view>
 #include <variant>
+#include <vector>
 
 #include "jobs/job.h"
 #include "json/json.h"
 
 namespace basaltchute::jobs {
 
-bool validId(std::string_view id);
-/// A submission as users write it, or what is wrong with it.
-std::variant<JobSpec, std::string> parseSubmission(const std::string& body);
+/// Whether the id is safe in a stored key and in a path of the user API.
+[[nodiscard]] bool validId(std::string_view id);
 
-/// `{"ref":…,"status":…}` with the counts where asked for.
-std::string statusText(const JobId& id, const char* status);
-std::string statusText(const Job& job, const char* status);
-/// What an answer tells its user of a job, each newer than the ones before: not there or refused,
-/// accepted, and done or cancelled for good; none: nothing at all.
-enum class JobState { none, unknown, open, ended };
-JobState parseJobState(int status, const std::string& body);
+/// Why a submission is refused, for its user.
+struct SubmissionError {
+    std::string message;
+};
+/// Parses the body of a submission.
+[[nodiscard]] std::variant<JobSpec, SubmissionError> parseSubmission(const std::string& body);
 
+/// Body of a status response: `{"ref":...,"status":...}`; for a job with its counts of tasks.
+[[nodiscard]] std::string statusText(const JobId& id, const char* status);
+[[nodiscard]] std::string statusText(const Job& job, const char* status);
+/// What a response says of a job, from oldest to newest.
+enum class JobState {
+    none,     // nothing, or that the service is unavailable
+    unknown,  // no such job, or refused
+    open,     // accepted
+    ended,    // durably done or cancelled
+};
+/// Reads the state from a response of the user API. `httpStatus`: its status code.
+[[nodiscard]] JobState parseJobState(int httpStatus, const std::string& body);
+
+/// Maps machines to the names that records hold, and back.
 using MachineName = std::function<const std::string&(MachineIndex)>;
 using MachineOf = std::function<MachineIndex(const std::string&)>;
 
-/// The job itself with its first tasks, or a further block of them.
-std::string encodeBlock(const Job& job, std::uint32_t block, const MachineName& name);
-std::string encodePart(const Job& job, const TaskRange& part, const MachineName& name);
-/// What changes of the job itself, where its first block must not be written again.
-std::string encodeHead(const Job& job);
-/// The description in as many records as values of that size need.
-std::vector<std::string> encodeTexts(const Job& job, std::size_t valueBytes);
-
-/// How many records beside it hold the description of the job that the block is the first of.
-std::optional<std::uint32_t> textsOf(const json::Value& block);
-std::optional<std::string> decodeText(const json::Value& record);
-/// The job whose first block it is, without its tasks; nullptr if it is malformed. `texts`: its
-/// description, if that is beside it.
-std::unique_ptr<Job> decodeJob(const json::Value& block, const std::string& texts,
-                               std::size_t valueBytes);
+/// The record of a block: the job itself with its first tasks (block 0), or further tasks.
+[[nodiscard]] std::string encodeBlock(const Job& job, std::uint32_t block, const MachineName& name);
+[[nodiscard]] std::string encodePage(const Job& job, const TaskRange& page,
+                                     const MachineName& name);
+/// The head record: the changing state of a job whose first block must not be written again.
+[[nodiscard]] std::string encodeHead(const Job& job);
+/// The text records of the job's description: as many as values of that size need.
+[[nodiscard]] std::vector<std::string> encodeTexts(const Job& job, std::size_t valueBytes);
+
+/// How many text records hold the description; nothing if it is in the first block itself.
+[[nodiscard]] std::optional<std::uint32_t> textsOf(const json::Value& block);
+/// The section of the description that a text record holds; nothing if it is malformed.
+[[nodiscard]] std::optional<std::string> decodeText(const json::Value& record);
+/// The job of a first block, without its tasks; nullptr if it is malformed. `texts`: the sections
+/// of its text records, joined.
+[[nodiscard]] std::unique_ptr<Job> decodeJob(const json::Value& block, const std::string& texts,
+                                             std::size_t valueBytes);
+/// Takes the state of a head record into the job.
 void decodeHead(const json::Value& record, Job& job);
-/// The tasks of a block or part; larger records come first. False if it is malformed.
-bool decodeTasks(const json::Value& record, const RecordName& name, Job& job,
-                 const MachineOf& machine);
+/// Takes the tasks of a block or page into the job; to be called for records of more tasks first.
+/// False if the record is malformed: then some tasks may have been taken.
+[[nodiscard]] bool decodeTasks(const json::Value& record, const RecordName& name, Job& job,
+                               const MachineOf& machine);
 
-std::unique_ptr<Job> makeJob(JobSpec spec, std::size_t valueBytes);
+/// A job of that description with all tasks waiting, laid out in blocks that fit into a value.
+[[nodiscard]] std::unique_ptr<Job> makeJob(JobSpec spec, std::size_t valueBytes);
 
 }  // namespace basaltchute::jobs
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -7,18 +7,13 @@
 #include <unordered_map>
 #include <vector>
 
+#include "common/ids.h"
 #include "jobs/record_layout.h"
 #include "runtime/clock.h"
 #include "runtime/loop.h"
 
 namespace basaltchute {
 
-using JobId = std::string;
-using Attempt = std::uint64_t;
-/// Where a machine stands in the registry; machines are never removed from it.
-using MachineIndex = std::uint32_t;
-inline constexpr MachineIndex noMachine = UINT32_MAX;
-
 enum class Shape { array, service, gang };  // a gang's tasks run all together or not at all
 enum class Priority { production, high, normal, low };
 
--- a/src/jobs/wire_format_test.cpp
+++ b/src/jobs/wire_format_test.cpp
@@ -54,7 +54,8 @@
 
 TEST(WireFormat, SubmissionWithAllFields) {
     const auto parsed = parseSubmission(fullSubmission);
-    ASSERT_TRUE(std::holds_alternative<JobSpec>(parsed)) << std::get<std::string>(parsed);
+    ASSERT_TRUE(std::holds_alternative<JobSpec>(parsed))
+        << std::get<SubmissionError>(parsed).message;
     const auto& spec = std::get<JobSpec>(parsed);
     EXPECT_EQ(spec.id, "run-000017");
     EXPECT_EQ(spec.jobClass, "render");
@@ -109,7 +110,7 @@
 
 TEST(WireFormat, SubmissionErrorTexts) {
     const auto error = [](const std::string& body) {
-        return std::get<std::string>(parseSubmission(body));
+        return std::get<SubmissionError>(parseSubmission(body)).message;
     };
     EXPECT_EQ(error("{"), "not JSON");
     EXPECT_EQ(error("[]"), "not an object");
@@ -142,13 +143,13 @@
 }
 
 TEST(WireFormat, StatusResponseParsing) {
-    const auto word = [](const std::string& status) {
+    const auto parsed = [](const std::string& status) {
         return parseJobState(200, R"({"ref":"run-000017","status":")" + status + R"("})");
     };
-    EXPECT_EQ(word("done"), JobState::ended);
-    EXPECT_EQ(word("cancelled"), JobState::ended);
-    EXPECT_EQ(word("running"), JobState::open);
-    EXPECT_EQ(word("pending"), JobState::open);
+    EXPECT_EQ(parsed("done"), JobState::ended);
+    EXPECT_EQ(parsed("cancelled"), JobState::ended);
+    EXPECT_EQ(parsed("running"), JobState::open);
+    EXPECT_EQ(parsed("pending"), JobState::open);
     EXPECT_EQ(parseJobState(404, R"({"error":"no such job"})"), JobState::unknown);
     EXPECT_EQ(parseJobState(422, R"({"error":"unknown team"})"), JobState::unknown);
     EXPECT_EQ(parseJobState(503, R"({"error":"not now"})"), JobState::none);
@@ -160,14 +161,14 @@
         {{"run-000017", Kind::block, 0, 0}, "jobs/run-000017"},
         {{"run-000017", Kind::block, 3, 0}, "jobs/run-000017/3"},
         {{"run-000017", Kind::head, 0, 0}, "parts/run-000017"},
-        {{"run-000017", Kind::part, 50, 25}, "parts/run-000017/50-25"},
+        {{"run-000017", Kind::page, 50, 25}, "parts/run-000017/50-25"},
         {{"run-000017", Kind::text, 2, 0}, "parts/run-000017/s2"}};
     for (const auto& [name, key] : all) {
         EXPECT_EQ(name.key(), key);
         EXPECT_EQ(RecordName::of(key), name) << key;
     }
     EXPECT_EQ(blockPrefix, "jobs/");
-    EXPECT_EQ(partPrefix, "parts/");
+    EXPECT_EQ(pagePrefix, "parts/");
 }
 
 TEST(WireFormat, JobRecordBytes) {
@@ -226,10 +227,10 @@
     EXPECT_EQ(encodeBlock(*job, 2, machineName), R"({"done":[],"bound":[]})");
 }
 
-TEST(WireFormat, PartRecordBytes) {
+TEST(WireFormat, PageRecordBytes) {
     auto job = jobOf(fullSubmission);
     setEveryTaskState(*job);
-    EXPECT_EQ(encodePart(*job, TaskRange{3, 3, 1, 0, true}, machineName),
+    EXPECT_EQ(encodePage(*job, TaskRange{3, 3, 1, 0, true}, machineName),
               R"({"done":[5,5],"bound":[[3,2,"n-0"],[4,1,"n-1",true]]})");
 }
 
--- a/src/scheduler/persistence.cpp
+++ b/src/scheduler/persistence.cpp
@@ -145,7 +145,7 @@
 void Cluster::markTaskDirty(Job& job, std::uint32_t task, kv_store::WritePriority urgency) {
     const TaskRange& s = job.layout.touch(task);
     // Nothing in parts stands before the job does: nobody would find it.
-    if (s.part && !job.accepted()) return;
+    if (s.page && !job.accepted()) return;
     effects_.dirtyRecords.emplace_back(job.layout.nameOf(job.spec.id, s).key(), urgency);
 }
 
@@ -159,8 +159,8 @@
     switch (name.kind) {
         case Kind::block:
             return jobs::encodeBlock(job, name.from, machine);
-        case Kind::part:
-            return jobs::encodePart(job, *job.layout.find(name), machine);
+        case Kind::page:
+            return jobs::encodePage(job, *job.layout.find(name), machine);
         case Kind::head:
             return jobs::encodeHead(job);
         case Kind::text:
@@ -269,8 +269,8 @@
     }
     const bool justAccepted = !before && job.accepted();
     if (justAccepted && l.bare())
-        for (const TaskRange& s : l.stretches())
-            if (s.part && s.durable < s.version)
+        for (const TaskRange& s : l.ranges())
+            if (s.page && s.durable < s.version)
                 effects_.dirtyRecords.emplace_back(l.nameOf(job.spec.id, s).key(),
                                                    WritePriority::bindings);
     if (dependencies_.contains(job.spec.id)) {
