--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -142,7 +142,7 @@
                   followerPeers_.erase(hello.node);
                   leaderSeenAt_ = loop_.now();
                   election_.onLeaderHeard({hello.node, hello.token});
-                  delegate_.onLeaderHeard(hello.token, loop_.now());
+                  delegate_.onLeaderContact(hello.token, loop_.now());
                   const auto known = election_.knownLeader();
                   if (hello.ready && known && known->token == hello.token)
                       peers_.retryPendingAt(hello.node);
--- a/src/lease_delegation/delegate.h
+++ b/src/lease_delegation/delegate.h
@@ -1,78 +1,100 @@
 #pragma once
+// Lease delegation, the side of the delegate.
+//
+// Agents run tasks as long as a leader renews their lease by answering their heartbeats. While the
+// leader is silent (an election, a network partition of a zone), another node of the agents' zone
+// may renew those leases in the leader's name, with the leader's token and without commands. The
+// leader gives it the right in advance, for a limited time (a *delegated lease*), and takes it into
+// account when it decides which machines are dead and which cancellations are final (Delegator).
+//
+// State: at most one delegation, in memory only, so that a node that has just started has none.
+// Called by the Controller, which sends the requests and answers the agents.
 #include <cstdint>
 #include <optional>
 #include <string>
 
-#include "leader_election/leader_election.h"
+#include "common/ids.h"
 #include "lease_delegation/delegation_limits.h"
 
 namespace basaltchute::lease_delegation {
 
-/// A holder's question for a delegation: what it holds, and when it last made use of one.
+/// Request of a node for a delegation. It names the one that the node has, and when it last
+/// answered an agent by one.
 struct DelegationRequest {
     std::string node;
-    FencingToken token = 0;    // of the last delegation that it took, and
-    std::uint64_t number = 0;  // that delegation's number; 0: none, or one that no leader gave it
+    FencingToken token = 0;    // of the last delegation that the node accepted, and
+    std::uint64_t number = 0;  // its number; 0: none, or one that no leader gave directly
     std::chrono::milliseconds sinceUse{};
 };
-/// A leader's answer. It replaces what the asker holds, also by nothing at all.
+
+/// A leader's answer. It replaces what the delegate has, also by nothing at all.
 struct Delegation {
     FencingToken token = 0;
-    std::uint64_t number = 0;              // rises with each answer of a leader; 0: handed on
-    std::chrono::milliseconds duration{};  // from when the question was sent; 0: nothing is lent
+    std::uint64_t number = 0;              // rises with each answer of a leader; 0: transferred
+    std::chrono::milliseconds duration{};  // from when the request was sent; 0: none
 };
 
-/// The borrower's side: the right to answer the reports of its zone's workers in the leader's
-/// name, without orders, while that leader is silent. It is kept in memory only, so that a node
-/// that has just started holds none.
+/// The right of one node to answer the heartbeats of its zone's agents while the leader is silent.
 class Delegate {
   public:
-    /// `startedAt` counts as a use: what the node's former process answered is not known. And as
-    /// hearing a leader: what that process told its leader holds for as long as it promised.
+    /// `startedAt` counts as a use, since what the node's former process answered is not known; and
+    /// as contact with a leader, since what that process reported holds for as long as it promised.
     Delegate(DelegationLimits bounds, std::string zone, TimePoint startedAt)
         : bounds_(bounds),
           zone_(std::move(zone)),
-          leaderHeardAt_(startedAt),
+          lastLeaderContact_(startedAt),
           lastUsedAt_(startedAt) {}
 
-    /// False if the delegation is longer than any leader may delegate: then it is not taken.
+    /// Takes a leader's answer to a request that was sent at `askedAt`. False if the delegation is
+    /// longer than any leader may delegate: then nothing has changed.
     bool accept(const Delegation& delegation, TimePoint askedAt, TimePoint now);
-    /// What a leader lent to itself, once its right has ended: until then it answered by that.
-    void retainOwn(FencingToken token, TimePoint until, TimePoint rightEndedAt);
-    /// Hands what this node holds on to another one of its zone, which was started again and holds
-    /// none: to its end, and only while this node would answer by it. The caller sees to it that
-    /// the other is in the zone, and that every leader to come reckons with it.
+    /// Takes what a leader delegated to its own node, once its lease has ended at `leaseEndedAt`:
+    /// until then it answered by that.
+    void retainOwn(FencingToken token, TimePoint until, TimePoint leaseEndedAt);
+    /// Transfers this node's delegation to another node of its zone, which was restarted and has
+    /// none: up to its end, and only while this node would answer by it. The caller sees to it that
+    /// the other node is in the zone, and that every future leader takes transfers into account.
     [[nodiscard]] std::optional<Delegation> transfer(FencingToken newest, TimePoint now) const;
-    /// Takes what another holder of the zone hands on.
+    /// Takes what another delegate of the zone transfers; ignored if this node has no use for it.
     void acceptTransfer(const Delegation& delegation, TimePoint askedAt, TimePoint now);
-    /// Long enough without a leader for a delegation to be used, and none is held.
+    /// Whether the leader has been silent for long enough for a delegation to be used, and there is
+    /// none.
     [[nodiscard]] bool needsDelegation(TimePoint now) const {
-        return !isValid(now) && now >= leaderHeardAt_ + bounds_.leaderSilence;
+        return !isValid(now) && leaderSilent(now);
     }
-    /// What it holds was handed on: whoever did so knew that every leader to come reckons with it.
+    /// Whether the present delegation was transferred: whoever did so knew that every future leader
+    /// takes transfers into account.
     [[nodiscard]] bool wasTransferred() const { return transferred_; }
-    /// A leader says something: this one's delegation is not needed, an older one's is over.
-    void onLeaderHeard(FencingToken token, TimePoint now);
-    /// This node leads.
+    /// Something came from the leader with that token. If it is the one that delegated, the
+    /// delegation is not needed now; if it is a newer one, the delegation is over.
+    void onLeaderContact(FencingToken token, TimePoint now);
+    /// Gives up the delegation: this node leads.
     void discard() { validUntil_ = TimePoint{}; }
-    /// Whether a report from that zone, of a worker that has seen `seen`, may be answered with
-    /// token(). To be asked right before the answer is made: it is then a use.
-    /// `newest`: the highest token that this node knows of.
+    /// Whether a heartbeat of an agent in `zone` that has seen the token `seen` may be answered
+    /// with token(). Ask right before the answer is made: true counts as a use. `newest`: the
+    /// highest token that this node knows of.
     bool mayAnswer(FencingToken seen, const std::string& zone, FencingToken newest, TimePoint now);
 
+    /// Of the leader in whose name this node may answer.
     [[nodiscard]] FencingToken token() const { return token_; }
     [[nodiscard]] bool isValid(TimePoint now) const { return now < validUntil_; }
+    /// The request to send now, in the name of this node.
     [[nodiscard]] DelegationRequest request(const std::string& node, TimePoint now) const;
     [[nodiscard]] Duration sinceUse(TimePoint now) const { return now - lastUsedAt_; }
     /// Answers under the present delegation so far; for the log.
     [[nodiscard]] std::uint64_t answerCount() const { return answerCount_; }
 
   private:
+    void replace(FencingToken token, std::uint64_t number, TimePoint validUntil, bool transferred);
+    [[nodiscard]] bool leaderSilent(TimePoint now) const {
+        return now >= lastLeaderContact_ + bounds_.leaderSilence;
+    }
+
     DelegationLimits bounds_;
     std::string zone_;
     FencingToken token_ = 0;
     std::uint64_t number_ = 0, answerCount_ = 0;
-    TimePoint validUntil_{}, leaderHeardAt_{};
+    TimePoint validUntil_{}, lastLeaderContact_{};
     bool transferred_ = false;
     TimePoint lastUsedAt_;
 };
--- a/src/lease_delegation/delegator.cpp
+++ b/src/lease_delegation/delegator.cpp
@@ -5,9 +5,9 @@
 Delegator::Delegator(DelegationLimits bounds, FencingToken token, const Node& self,
                      Duration sinceUse, const std::vector<Node>& others, TimePoint electedAt)
     : bounds_(bounds), token_(token), self_(self.name) {
-    const TimePoint assumed = electedAt + bounds.maxDuration;
-    for (const auto& n : others) delegates_[n.name] = {n.zone, assumed, {}, {}, {}};
-    // It leads, so it holds none of a former leader's; what it answered before still counts.
+    const TimePoint assumedEnd = electedAt + bounds.maxDuration;
+    for (const auto& node : others) delegates_[node.name] = {node.zone, assumedEnd, {}, {}, {}};
+    // It leads, so it has no delegation of a former leader; what it answered before still counts.
     delegates_[self.name] = {self.zone, electedAt, TimePoint::max(), electedAt - sinceUse, {}};
 }
 
@@ -16,60 +16,75 @@
     return it == delegates_.end() ? "" : it->second.zone;
 }
 
-Delegation Delegator::handleRequest(const DelegationRequest& q, TimePoint cap, TimePoint now) {
-    const auto it = delegates_.find(q.node);
-    if (it == delegates_.end() || q.node == self_) return {token_, 0, {}};
-    Held& h = it->second;
-    // Silent for so long that it may have handed on what it held, to whom this leader does not hear
-    // either: that one's answers may go on as long as those of the node that is back.
-    if (now >= h.unusedUntil)
-        for (auto& [name, other] : delegates_)
-            if (name != q.node && name != self_ && other.zone == h.zone && now >= other.unusedUntil)
-                other.until = std::max(other.until, h.until);
-    // However late the question arrives, the use was at least so long before.
-    const Duration since = std::max<Duration>(q.sinceUse, Duration::zero());
-    h.usedUntil = std::max(
-        h.usedUntil, now - since + DelegationLimits::maxDrift(since) + DelegationLimits::margin);
-    if (q.token == token_ && q.number != 0) {
-        while (!h.issued.empty() && h.issued.front().number < q.number) h.issued.pop_front();
-        if (!h.issued.empty() && h.issued.front().number == q.number) {
-            // It has this delegation, so none of before; and it had not used it when it took it.
-            const Duration quiet =
-                bounds_.leaderSilence - DelegationLimits::maxDrift(bounds_.leaderSilence);
-            h.unusedUntil = std::max(h.unusedUntil, h.issued.front().at + quiet);
-            h.until = TimePoint{};
-            for (const auto& g : h.issued) h.until = std::max(h.until, g.until);
-        }
-    }
-    const TimePoint until =
-        enabled_ ? std::max(now, std::min(cap, now + bounds_.maxDuration)) : now;
-    const auto span = std::chrono::duration_cast<std::chrono::milliseconds>(until - now);
-    h.issued.push_back({++lastNumber_, now, until});
-    h.until = std::max(h.until, until);
-    return {token_, lastNumber_, span};
+TimePoint Delegator::newEnd(TimePoint cap, TimePoint now) const {
+    return enabled_ ? std::max(now, std::min(cap, now + bounds_.maxDuration)) : now;
+}
+
+void Delegator::assumeTransfers(const std::string& node, const DelegateState& delegate,
+                                TimePoint now) {
+    // Silent for so long that it may have transferred its delegation to a node from which this
+    // leader hears nothing either: that node's answers may go on as long as those of the delegate
+    // that is back.
+    if (now < delegate.unusedUntil) return;
+    for (auto& [name, other] : delegates_)
+        if (name != node && name != self_ && other.zone == delegate.zone &&
+            now >= other.unusedUntil)
+            other.validUntil = std::max(other.validUntil, delegate.validUntil);
+}
+
+void Delegator::confirm(DelegateState& delegate, std::uint64_t number) const {
+    auto& issued = delegate.issued;
+    while (!issued.empty() && issued.front().number < number) issued.pop_front();
+    if (issued.empty() || issued.front().number != number) return;
+    // It has this delegation, so none of before; and it had not used it when it accepted it.
+    const Duration unused =
+        bounds_.leaderSilence - DelegationLimits::maxDrift(bounds_.leaderSilence);
+    delegate.unusedUntil = std::max(delegate.unusedUntil, issued.front().issuedAt + unused);
+    delegate.validUntil = TimePoint{};
+    for (const auto& delegation : issued)
+        delegate.validUntil = std::max(delegate.validUntil, delegation.validUntil);
+}
+
+Delegation Delegator::handleRequest(const DelegationRequest& request, TimePoint cap,
+                                    TimePoint now) {
+    const auto it = delegates_.find(request.node);
+    if (it == delegates_.end() || request.node == self_) return {token_, 0, {}};
+    DelegateState& delegate = it->second;
+    assumeTransfers(request.node, delegate, now);
+    // However late the request arrives, the use was at least so long before.
+    const Duration sinceUse = std::max<Duration>(request.sinceUse, Duration::zero());
+    delegate.usedUntil =
+        std::max(delegate.usedUntil,
+                 now - sinceUse + DelegationLimits::maxDrift(sinceUse) + DelegationLimits::margin);
+    if (request.token == token_ && request.number != 0) confirm(delegate, request.number);
+    const TimePoint end = newEnd(cap, now);
+    delegate.issued.push_back({++lastNumber_, now, end});
+    delegate.validUntil = std::max(delegate.validUntil, end);
+    return {token_, lastNumber_, std::chrono::duration_cast<std::chrono::milliseconds>(end - now)};
 }
 
 TimePoint Delegator::delegateSelf(TimePoint cap, TimePoint now) {
-    Held& h = delegates_.at(self_);
-    h.until = enabled_ ? std::max(now, std::min(cap, now + bounds_.maxDuration)) : now;
-    return h.until;
+    DelegateState& self = delegates_.at(self_);
+    self.validUntil = newEnd(cap, now);
+    return self.validUntil;
 }
 
 TimePoint Delegator::agentLeasesEnd(const std::string& zone, TimePoint now) const {
     TimePoint end{};
-    for (const auto& [name, h] : delegates_) {
-        if (!zone.empty() && h.zone != zone) continue;
-        end = std::max(end, h.usedUntil + bounds_.leaseUpperBound());
-        // What is told of a holder is as old as its question; it keeps silent for a while after.
-        if (now >= h.unusedUntil) end = std::max(end, h.until + bounds_.leaseUpperBound());
+    for (const auto& [name, delegate] : delegates_) {
+        if (!zone.empty() && delegate.zone != zone) continue;
+        end = std::max(end, delegate.usedUntil + bounds_.leaseUpperBound());
+        // What a delegate says is as old as its request; it does not answer for a while after.
+        if (now >= delegate.unusedUntil)
+            end = std::max(end, delegate.validUntil + bounds_.leaseUpperBound());
     }
     return end;
 }
 
 TimePoint Delegator::delegationsEnd(const std::string& zone) const {
     TimePoint end{};
-    for (const auto& [name, h] : delegates_)
-        if (zone.empty() || h.zone == zone) end = std::max(end, h.until);
+    for (const auto& [name, delegate] : delegates_)
+        if (zone.empty() || delegate.zone == zone) end = std::max(end, delegate.validUntil);
     return end;
 }
 
--- a/src/lease_delegation/delegator.h
+++ b/src/lease_delegation/delegator.h
@@ -1,4 +1,11 @@
 #pragma once
+// Lease delegation, the side of the leader; delegate.h explains what is delegated.
+//
+// State: what this leader delegated to each node and what each node said of its use. Answers from
+// it until when a delegate may renew an agent's lease, and so when a machine that is silent is
+// surely free of tasks. Built anew with each term: of every node that it has not heard from it
+// assumes the longest delegation that a former leader can have given. Called by LeaderTerm for the
+// requests, and by the scheduler for the ends of leases.
 #include <deque>
 #include <map>
 #include <string>
@@ -8,59 +15,65 @@
 
 namespace basaltchute::lease_delegation {
 
-/// The leader's side: what it lent to whom, and what follows for the leases of a zone's workers.
-/// Built anew with each term, it assumes of every node that it has not heard the longest delegation
-/// that a former leader can have given.
+/// See the top of this file. All times are by the leader's steady clock.
 class Delegator {
   public:
     struct Node {
         std::string name, zone;
     };
     /// `self`: the node that leads; `sinceUse`: how long ago it last answered by a delegation
-    /// itself.
+    /// itself; `others`: every other node.
     Delegator(DelegationLimits bounds, FencingToken token, const Node& self, Duration sinceUse,
               const std::vector<Node>& others, TimePoint electedAt);
 
-    /// A holder's question, and how late its answers may go on: nothing is lent beyond `cap`.
-    Delegation handleRequest(const DelegationRequest& question, TimePoint cap, TimePoint now);
-    /// Delegates to this node itself, for the time after its right has ended. Asked again before a
-    /// cancellation is told, so that a cap holds at once.
+    /// Answers a request. Nothing is delegated beyond `cap`.
+    Delegation handleRequest(const DelegationRequest& request, TimePoint cap, TimePoint now);
+    /// Delegates to this node itself, for the time after its own lease has ended; returns until
+    /// when. Called again before a cancellation is acknowledged, so that a cap holds at once.
     TimePoint delegateSelf(TimePoint cap, TimePoint now);
 
-    /// Off: nothing is lent, but what was lent still counts.
-    void setEnabled(bool delegates) { enabled_ = delegates; }
-    /// When a worker of the zone has surely no lease any more that a holder renewed. An empty zone:
-    /// in whichever zone it is.
+    /// If not enabled, nothing is delegated, but what was delegated still counts.
+    void setEnabled(bool enabled) { enabled_ = enabled; }
+    /// When an agent of the zone surely has no lease any more that a delegate renewed. An empty
+    /// zone: an agent of any zone.
     [[nodiscard]] TimePoint agentLeasesEnd(const std::string& zone, TimePoint now) const;
-    /// When the last holder in the zone has stopped answering, even if this leader falls silent
-    /// now. An empty zone: as above.
+    /// When the last delegate in the zone has stopped answering, even if this leader falls silent
+    /// now. An empty zone: in any zone.
     [[nodiscard]] TimePoint delegationsEnd(const std::string& zone) const;
-    /// How late that node may answer, of what this leader knows.
+    /// The latest that the node may answer agents, as far as this leader knows.
     [[nodiscard]] TimePoint delegationEndOf(const std::string& node) const {
         const auto it = delegates_.find(node);
-        return it == delegates_.end() ? TimePoint{} : it->second.until;
+        return it == delegates_.end() ? TimePoint{} : it->second.validUntil;
     }
     [[nodiscard]] const DelegationLimits& bounds() const { return bounds_; }
+    /// Empty for an unknown node.
     [[nodiscard]] std::string zoneOf(const std::string& node) const;
 
   private:
-    struct Given {
+    struct IssuedDelegation {
         std::uint64_t number;
-        TimePoint at, until;
+        TimePoint issuedAt, validUntil;
     };
-    struct Held {
+    struct DelegateState {
         std::string zone;
-        TimePoint until;           // the latest that it may answer, by our clock
-        TimePoint unusedUntil;     // it surely does not answer before this
-        TimePoint usedUntil;       // the latest that it has answered, of what it told
-        std::deque<Given> issued;  // since the one that it confirmed
+        TimePoint validUntil;                 // the latest that it may answer
+        TimePoint unusedUntil;                // it surely does not answer before this
+        TimePoint usedUntil;                  // the latest that it has answered, by what it said
+        std::deque<IssuedDelegation> issued;  // since the one that it confirmed
     };
+    /// A delegate that was silent may have transferred what it had; see the definition.
+    void assumeTransfers(const std::string& node, const DelegateState& delegate, TimePoint now);
+    /// The delegate has the delegation of that number.
+    void confirm(DelegateState& delegate, std::uint64_t number) const;
+    /// The end of a delegation that is made now.
+    [[nodiscard]] TimePoint newEnd(TimePoint cap, TimePoint now) const;
+
     DelegationLimits bounds_;
     FencingToken token_;
     std::string self_;
     std::uint64_t lastNumber_ = 0;
     bool enabled_ = true;
-    std::map<std::string, Held> delegates_;  // with this node
+    std::map<std::string, DelegateState> delegates_;  // by node, this one included
 };
 
 }  // namespace basaltchute::lease_delegation
--- a/src/lease_delegation/lease_delegation_test.cpp
+++ b/src/lease_delegation/lease_delegation_test.cpp
@@ -3,7 +3,7 @@
 
 #include "testing/world.h"
 
-// Every transition of a delegation, then a search through what can happen around one.
+// Every transition of a delegation, then an exhaustive search through the faults around one.
 
 namespace basaltchute::lease_delegation {
 namespace {
@@ -17,15 +17,15 @@
   protected:
     FakeClock clock;
     DelegationLimits bounds{60s, 30s, 56s, 4s};
-    Delegate holder{bounds, "b", clock.now() - 1h};
+    Delegate delegate{bounds, "b", clock.now() - 1h};
     Delegator delegator{bounds, 7, {"rig-0", "a"}, 1h, {{"rig-1", "b"}}, clock.now()};
     TimePoint cap = TimePoint::max();
 
     void renew() {
         const TimePoint asked = clock.now();
-        const DelegationRequest q = holder.request("rig-1", asked);
+        const DelegationRequest q = delegate.request("rig-1", asked);
         EXPECT_TRUE(
-            holder.accept(delegator.handleRequest(q, cap, clock.now()), asked, clock.now()));
+            delegate.accept(delegator.handleRequest(q, cap, clock.now()), asked, clock.now()));
     }
     void talk(Duration span) {
         for (Duration d{}; d < span; d += 500ms) {
@@ -34,61 +34,61 @@
         }
     }
     bool answers(FencingToken seen = 7, const std::string& zone = "b", FencingToken newest = 7) {
-        return holder.mayAnswer(seen, zone, newest, clock.now());
+        return delegate.mayAnswer(seen, zone, newest, clock.now());
     }
 };
 
-TEST_F(DelegationTest, IsUsedOnlyWhileTheLeaderIsSilentAndOnlyForItsOwnZone) {
-    EXPECT_FALSE(answers()) << "nothing was lent yet";
+TEST_F(DelegationTest, UsedOnlyWhileTheLeaderIsSilentAndOnlyForItsOwnZone) {
+    EXPECT_FALSE(answers()) << "nothing was delegated yet";
     talk(5s);
-    EXPECT_FALSE(answers()) << "the leader speaks";
+    EXPECT_FALSE(answers()) << "the leader is in contact";
     clock.advance(3s);
     EXPECT_FALSE(answers()) << "an election takes as long";
     clock.advance(1s);
     EXPECT_TRUE(answers());
     EXPECT_FALSE(answers(7, "a"));
-    EXPECT_TRUE(answers(6)) << "that worker had not found the delegator yet";
-    EXPECT_FALSE(answers(8)) << "that worker would drop the answer";
-    holder.onLeaderHeard(7, clock.now());
-    EXPECT_FALSE(answers()) << "the delegator is back";
+    EXPECT_TRUE(answers(6)) << "that agent had not found the delegating leader yet";
+    EXPECT_FALSE(answers(8)) << "that agent would drop the answer";
+    delegate.onLeaderContact(7, clock.now());
+    EXPECT_FALSE(answers()) << "the leader is back";
 }
 
-TEST_F(DelegationTest, RunsOutByTheHoldersClockHoweverLongItStoodStill) {
+TEST_F(DelegationTest, ExpiresByTheDelegatesClockEvenAfterALongPause) {
     talk(5s);
     clock.advance(59s);
     EXPECT_TRUE(answers());
-    clock.advance(1h);  // it stood still, and the next thing it does is to answer
+    clock.advance(1h);  // paused, and the next thing it does is to answer
     EXPECT_FALSE(answers());
 }
 
-TEST_F(DelegationTest, IsOverOnceANewerLeaderIsKnownAndReplacedByItsDelegation) {
+TEST_F(DelegationTest, EndsWhenANewerLeaderIsKnownAndIsReplacedByItsDelegation) {
     talk(5s);
     clock.advance(5s);
     ASSERT_TRUE(answers());
-    EXPECT_FALSE(answers(7, "b", 8)) << "known by the state service";
-    EXPECT_FALSE(holder.isValid(clock.now()));
+    EXPECT_FALSE(answers(7, "b", 8)) << "known from the state service";
+    EXPECT_FALSE(delegate.isValid(clock.now()));
     talk(5s);  // a late answer of the former leader delegates nothing again
     Delegator next{bounds, 8, {"rig-2", "a"}, 1h, {{"rig-1", "b"}}, clock.now()};
-    ASSERT_TRUE(
-        holder.accept(next.handleRequest(holder.request("rig-1", clock.now()), cap, clock.now()),
-                      clock.now(), clock.now()));
+    ASSERT_TRUE(delegate.accept(
+        next.handleRequest(delegate.request("rig-1", clock.now()), cap, clock.now()), clock.now(),
+        clock.now()));
     renew();
-    EXPECT_EQ(holder.token(), 8U);
+    EXPECT_EQ(delegate.token(), 8U);
 }
 
-TEST_F(DelegationTest, ADelegationLongerThanAnyMayBeIsNotTaken) {
-    EXPECT_FALSE(holder.accept({7, 1, 61s}, clock.now(), clock.now()));
-    EXPECT_FALSE(holder.isValid(clock.now()));
-    EXPECT_TRUE(holder.accept({7, 2, 0ms}, clock.now(), clock.now()));
-    EXPECT_FALSE(holder.isValid(clock.now()));
+TEST_F(DelegationTest, DelegationBeyondTheMaximumDurationIsRejected) {
+    EXPECT_FALSE(delegate.accept({7, 1, 61s}, clock.now(), clock.now()));
+    EXPECT_FALSE(delegate.isValid(clock.now()));
+    EXPECT_TRUE(delegate.accept({7, 2, 0ms}, clock.now(), clock.now()));
+    EXPECT_FALSE(delegate.isValid(clock.now()));
 }
 
-TEST_F(DelegationTest, AHolderThatSaysItHasNotUsedItKeepsNoDeadMachineWaiting) {
+TEST_F(DelegationTest, UnusedDelegationDelaysNoDeadMachine) {
     talk(70s);
     EXPECT_LE(delegator.agentLeasesEnd("b", clock.now()), clock.now());
     EXPECT_EQ(delegator.agentLeasesEnd("a", clock.now()),
               delegator.agentLeasesEnd("a", clock.now() + 1h));
-    // Silent for as long as it keeps still itself: nothing can have been answered yet.
+    // Silent for less time than a delegate waits: nothing can have been answered yet.
     EXPECT_LE(delegator.agentLeasesEnd("b", clock.now() + 2s), clock.now());
     // Longer: it may have been answering, up to the delegation's end and a lease after that.
     const TimePoint last = clock.now() - 500ms;
@@ -97,7 +97,7 @@
     EXPECT_LE(delegator.agentLeasesEnd("b", clock.now()), last + 60s + 32s);
 }
 
-TEST_F(DelegationTest, AHolderThatUsedItSaysSoWhenItIsBack) {
+TEST_F(DelegationTest, UsedDelegationIsReportedAfterThePartition) {
     talk(70s);
     clock.advance(10s);
     ASSERT_TRUE(answers());
@@ -108,19 +108,19 @@
     EXPECT_LE(delegator.agentLeasesEnd("b", clock.now()), used + 32s);
 }
 
-TEST_F(DelegationTest, AQuestionThatWasHeldBackProvesNothing) {
+TEST_F(DelegationTest, DelayedRequestProvesNothingAboutLaterUse) {
     talk(70s);
     const TimePoint left = clock.now();
-    const DelegationRequest held = holder.request("rig-1", left);
+    const DelegationRequest delayed = delegate.request("rig-1", left);
     clock.advance(10s);
     ASSERT_TRUE(answers());
     clock.advance(40s);
-    delegator.handleRequest(held, cap, clock.now());  // delivered when the cut ends
+    delegator.handleRequest(delayed, cap, clock.now());  // delivered when the partition ends
     EXPECT_GE(delegator.agentLeasesEnd("b", clock.now()), left + 10s + 30s)
-        << "it says nothing of later";
+        << "it proves nothing about later";
 }
 
-TEST_F(DelegationTest, AShorterDelegationCountsOnceItIsConfirmed) {
+TEST_F(DelegationTest, ShorterDelegationCountsOnceItIsConfirmed) {
     talk(5s);
     cap = clock.now() + 10s;
     renew();
@@ -132,10 +132,10 @@
     EXPECT_FALSE(answers());
 }
 
-TEST_F(DelegationTest, ARestartedHolderHoldsNoneAndItsFormerProcessMayHaveAnswered) {
+TEST_F(DelegationTest, RestartedDelegateHasNoneAndItsFormerProcessMayHaveAnswered) {
     talk(70s);
     clock.advance(6s);
-    holder = Delegate{bounds, "b", clock.now()};
+    delegate = Delegate{bounds, "b", clock.now()};
     clock.advance(4s);
     EXPECT_FALSE(answers());
     talk(2s);
@@ -143,7 +143,7 @@
     EXPECT_LE(delegator.agentLeasesEnd("b", clock.now()), clock.now() - 6s + 32s);
 }
 
-TEST_F(DelegationTest, ASuccessorAssumesTheLongestDelegationOfWhomItHasNotHeard) {
+TEST_F(DelegationTest, SuccessorAssumesTheLongestDelegationForSilentNodes) {
     talk(70s);
     clock.advance(3s);
     const TimePoint elected = clock.now();
@@ -152,18 +152,18 @@
         EXPECT_GE(next.agentLeasesEnd(zone, elected), elected + 60s + 30s) << zone;
         EXPECT_GE(next.delegationsEnd(zone), elected + 60s) << zone;
     }
-    // The holder of the former one's says that it has not used it, and gives it back by taking
-    // this.
+    // The delegate of the former leader reports that it has not used that delegation, and gives it
+    // up by accepting the new one.
     for (int i = 0; i < 2; ++i) {
-        const DelegationRequest q = holder.request("rig-1", clock.now());
-        holder.accept(next.handleRequest(q, TimePoint{}, clock.now()), clock.now(), clock.now());
+        const DelegationRequest q = delegate.request("rig-1", clock.now());
+        delegate.accept(next.handleRequest(q, TimePoint{}, clock.now()), clock.now(), clock.now());
     }
     EXPECT_LE(next.agentLeasesEnd("b", clock.now()), clock.now());
     EXPECT_LE(next.delegationsEnd("b"), clock.now());
-    EXPECT_GE(next.delegationsEnd("a"), elected + 60s) << "the former leader lent to itself";
+    EXPECT_GE(next.delegationsEnd("a"), elected + 60s) << "the former leader delegated to itself";
 }
 
-TEST_F(DelegationTest, AFormerLeaderAnswersByWhatItLentToItself) {
+TEST_F(DelegationTest, FormerLeaderAnswersByItsDelegationToItself) {
     cap = clock.now() + 20s;
     const TimePoint until = delegator.delegateSelf(cap, clock.now());
     Delegate self{bounds, "a", clock.now() - 1h};
@@ -175,132 +175,134 @@
     EXPECT_FALSE(self.mayAnswer(7, "a", 8, clock.now() + 30s));
 }
 
-TEST_F(DelegationTest, AHolderHandsOnOnlyWhatItWouldAnswerBy) {
+TEST_F(DelegationTest, DelegateTransfersOnlyWhatItWouldAnswerBy) {
     Delegate other{bounds, "b", clock.now()};
-    EXPECT_FALSE(holder.transfer(7, clock.now())) << "it holds nothing";
+    EXPECT_FALSE(delegate.transfer(7, clock.now())) << "it has none";
     talk(5s);
-    EXPECT_FALSE(holder.transfer(7, clock.now())) << "the leader speaks";
+    EXPECT_FALSE(delegate.transfer(7, clock.now())) << "the leader is in contact";
     clock.advance(10s);
-    EXPECT_FALSE(holder.transfer(8, clock.now())) << "another leads";
-    const auto on = holder.transfer(7, clock.now());
-    ASSERT_TRUE(on);
+    EXPECT_FALSE(delegate.transfer(8, clock.now())) << "another leads";
+    const auto transferred = delegate.transfer(7, clock.now());
+    ASSERT_TRUE(transferred);
     ASSERT_TRUE(other.needsDelegation(clock.now()));
-    other.acceptTransfer(*on, clock.now(), clock.now());
+    other.acceptTransfer(*transferred, clock.now(), clock.now());
     EXPECT_TRUE(other.mayAnswer(7, "b", 7, clock.now()));
-    clock.advance(on->duration);
-    EXPECT_FALSE(other.mayAnswer(7, "b", 7, clock.now())) << "to the end of the first one's";
-    // Not a longer one than any, and none instead of what a leader gave.
+    clock.advance(transferred->duration);
+    EXPECT_FALSE(other.mayAnswer(7, "b", 7, clock.now()))
+        << "until the end of the first one's delegation";
+    // None beyond the maximum duration, and none in place of what a leader gave.
     other.acceptTransfer({7, 0, 61s}, clock.now(), clock.now());
     EXPECT_FALSE(other.isValid(clock.now()));
     clock.advance(60s);
-    holder.acceptTransfer({7, 0, 20s}, clock.now(), clock.now());
-    EXPECT_FALSE(holder.isValid(clock.now()));
+    delegate.acceptTransfer({7, 0, 20s}, clock.now(), clock.now());
+    EXPECT_FALSE(delegate.isValid(clock.now()));
 }
 
-TEST_F(DelegationTest, ANodeThatWasJustStartedTakesNothingOnBeforeItsFormerProcessesWordIsOver) {
-    // What that one told the leader last counts for as long as a holder keeps still.
+TEST_F(DelegationTest, RestartedNodeAcceptsNoTransferBeforeItsFormerProcessesReportsExpire) {
+    // What that process reported last holds for as long as a delegate waits for its leader.
     Delegate fresh{bounds, "b", clock.now()};
     fresh.acceptTransfer({7, 0, 20s}, clock.now(), clock.now());
     EXPECT_FALSE(fresh.isValid(clock.now()));
     clock.advance(4s);
     fresh.acceptTransfer({7, 0, 20s}, clock.now(), clock.now());
     EXPECT_TRUE(fresh.isValid(clock.now()));
-    fresh.onLeaderHeard(8, clock.now());
+    fresh.onLeaderContact(8, clock.now());
     EXPECT_FALSE(fresh.isValid(clock.now()));
-    EXPECT_FALSE(fresh.needsDelegation(clock.now())) << "a leader speaks";
+    EXPECT_FALSE(fresh.needsDelegation(clock.now())) << "a leader is in contact";
 }
 
-TEST_F(DelegationTest, WhoIsNotHeardMayAnswerByWhatAHolderThatIsBackHandedOn) {
-    Delegator books{bounds, 7, {"rig-0", "a"}, 1h, {{"rig-1", "b"}, {"rig-2", "b"}}, clock.now()};
+TEST_F(DelegationTest, SilentNodeMayAnswerByWhatAReturningDelegateTransferred) {
+    Delegator leader{bounds, 7, {"rig-0", "a"}, 1h, {{"rig-1", "b"}, {"rig-2", "b"}}, clock.now()};
     Delegate other{bounds, "b", clock.now() - 1h};
     const auto ask = [&](Delegate& h, const std::string& name) {
         const TimePoint asked = clock.now();
-        h.accept(books.handleRequest(h.request(name, asked), cap, asked), asked, asked);
+        h.accept(leader.handleRequest(h.request(name, asked), cap, asked), asked, asked);
     };
     for (int i = 0; i < 200; ++i) {
-        ask(holder, "rig-1");
-        if (i < 2) ask(other, "rig-2");  // and is gone for good after that
+        ask(delegate, "rig-1");
+        if (i < 2) ask(other, "rig-2");  // and then it is down for good
         clock.advance(500ms);
     }
-    EXPECT_LE(books.agentLeasesEnd("b", clock.now()), clock.now()) << "what it held is over";
+    EXPECT_LE(leader.agentLeasesEnd("b", clock.now()), clock.now()) << "its delegation has expired";
     const TimePoint last = clock.now() - 500ms;
     clock.advance(10s);
-    ask(holder, "rig-1");
+    ask(delegate, "rig-1");
     clock.advance(500ms);
-    ask(holder, "rig-1");
-    EXPECT_GE(books.agentLeasesEnd("b", clock.now()), last + 60s + 30s)
-        << "rig-2 may be back, unheard";
-    EXPECT_GE(books.delegationsEnd("b"), last + 60s);
-    // Heard, it gives that back by taking the leader's.
+    ask(delegate, "rig-1");
+    EXPECT_GE(leader.agentLeasesEnd("b", clock.now()), last + 60s + 30s)
+        << "rig-2 may be back, without contact to the leader";
+    EXPECT_GE(leader.delegationsEnd("b"), last + 60s);
+    // Once in contact, it gives that up by accepting the leader's delegation.
     Delegate back{bounds, "b", clock.now() - 1h};
     for (int i = 0; i < 2; ++i) ask(back, "rig-2");
-    EXPECT_LE(books.agentLeasesEnd("b", clock.now()), clock.now() + 32s);
+    EXPECT_LE(leader.agentLeasesEnd("b", clock.now()), clock.now() + 32s);
 }
 
-/// One machine in a zone that is cut off, one outside, a leader outside, and perhaps its successor.
-struct Story {
-    int cutFor = 0;                  // seconds, from the fifth on
+/// One machine in a zone that is partitioned, one outside, a leader outside, and perhaps its
+/// successor. Times in seconds.
+struct Scenario {
+    int partitionedFor = 0;          // from the fifth second on
     int cancelAt = -1;               // -1: never
     int takeOverAt = -1;             // the leader dies; its successor leads from then on
-    int pauseAt = -1, pauseFor = 0;  // the holder stands still
-    int restartAt = -1;              // the holder
-    bool answerLost = false;         // the leader's last answer before the cut
-    bool heeded = true;              // whether leaders reckon with delegations
-    // A second holder in the zone, and whether the leaders know that it is in it.
-    bool mate = false, mateKnown = true;
-    int mateCutAt = 5, mateCutFor = 0, mateRestartAt = -1;
+    int pauseAt = -1, pauseFor = 0;  // of the delegate's process
+    int restartAt = -1;              // of the delegate
+    bool answerLost = false;         // the leader's last one before the partition
+    bool delegationsTracked = true;  // whether leaders take delegations into account
+    // A second delegate in the zone, and whether the leaders know that it is in the zone.
+    bool second = false, secondKnown = true;
+    int secondPartitionedAt = 5, secondPartitionedFor = 0, secondRestartAt = -1;
 
     [[nodiscard]] std::string text() const {
         std::string out;
-        for (const int i : {cutFor, cancelAt, takeOverAt, pauseAt, pauseFor, restartAt, mateCutAt,
-                            mateCutFor, mateRestartAt})
+        for (const int i : {partitionedFor, cancelAt, takeOverAt, pauseAt, pauseFor, restartAt,
+                            secondPartitionedAt, secondPartitionedFor, secondRestartAt})
             out += std::to_string(i) + " ";
-        return out + (answerLost ? "lost" : "") + (mate ? "mate" : "");
+        return out + (answerLost ? "lost" : "") + (second ? "second" : "");
     }
 };
 
-class Play {
+class ScenarioRun {
   public:
-    explicit Play(const Story& story) : story_(story) {
+    explicit ScenarioRun(const Scenario& scenario) : scenario_(scenario) {
         settings_.lease = 4s;
         settings_.reportEvery = 1s;
         settings_.cancelWithin = 11s;
         bounds_ = DelegationLimits{8s, 4s, 11s, 2s};
         lead(1);
     }
-    /// What went wrong, or nothing.
+    /// Which guarantee was violated; empty if none.
     std::string run();
-    /// Seconds that the machine in the zone has kept its first session for.
-    [[nodiscard]] int kept() const { return kept_; }
+    /// For how many seconds the agent in the zone has kept its first incarnation.
+    [[nodiscard]] int uninterruptedFor() const { return uninterruptedFor_; }
 
   private:
-    static constexpr int cutAt = 5, seconds = 34;
+    static constexpr int partitionedAt = 5, seconds = 34;
     void lead(FencingToken token) {
         auto next = std::make_unique<Cluster>(settings_, token);
         next->setCatalogue(testing::someCatalogue());
         for (const auto& [key, data] : records_) next->load(key, data, clock_.now(), clock_.wall());
         std::vector<Delegator::Node> others{{"rig-1", "b"}};
-        if (story_.mate) others.push_back({"rig-2", story_.mateKnown ? "b" : "c"});
+        if (scenario_.second) others.push_back({"rig-2", scenario_.secondKnown ? "b" : "c"});
         delegator_ = std::make_unique<Delegator>(bounds_, token, Delegator::Node{"rig-0", "a"}, 1h,
                                                  others, clock_.now());
-        if (story_.heeded) next->setDelegator(*delegator_);
+        if (scenario_.delegationsTracked) next->setDelegator(*delegator_);
         next->loaded(clock_.now());
         cluster_ = std::move(next);
         leaderToken_ = token;
     }
-    void beat(Worker& w, TimePoint& renewed, bool reached) {
+    void heartbeat(Worker& w, TimePoint& renewed, bool reached) {
         if (!reached) return;
         w.execute(cluster_->onHeartbeat(w.next(), clock_.now()));
         w.report.token = leaderToken_;
         renewed = clock_.now();
     }
-    void borrow(Delegate& holder, const std::string& name, bool answered) {
-        const DelegationRequest q = holder.request(name, clock_.now());
+    void requestDelegation(Delegate& delegate, const std::string& name, bool answered) {
+        const DelegationRequest q = delegate.request(name, clock_.now());
         const Delegation delegation =
             delegator_->handleRequest(q, cluster_->delegationCap("b", clock_.now()), clock_.now());
-        if (answered) holder.accept(delegation, clock_.now(), clock_.now());
+        if (answered) delegate.accept(delegation, clock_.now(), clock_.now());
     }
-    void handOn(const Delegate& from, Delegate& to) {
+    void transfer(const Delegate& from, Delegate& to) {
         if (!to.needsDelegation(clock_.now())) return;
         if (const auto delegation = from.transfer(0, clock_.now()))
             to.acceptTransfer(*delegation, clock_.now(), clock_.now());
@@ -310,7 +312,7 @@
             return t.status != worker_api::TaskStatus::exited;
         });
     }
-    Story story_;
+    Scenario scenario_;
     FakeClock clock_;
     settings::Settings settings_ = testing::someSettings();
     DelegationLimits bounds_;
@@ -318,46 +320,53 @@
     std::unique_ptr<Cluster> cluster_;
     std::unique_ptr<Delegator> delegator_;
     FencingToken leaderToken_ = 0;
-    Delegate holder_{DelegationLimits{8s, 4s, 11s, 2s}, "b", clock_.now() - 1h};
-    Delegate mate_{DelegationLimits{8s, 4s, 11s, 2s}, "b", clock_.now() - 1h};
-    int kept_ = 0;
+    Delegate delegate_{DelegationLimits{8s, 4s, 11s, 2s}, "b", clock_.now() - 1h};
+    Delegate secondDelegate_{DelegationLimits{8s, 4s, 11s, 2s}, "b", clock_.now() - 1h};
+    int uninterruptedFor_ = 0;
 };
 
-std::string Play::run() {
+std::string ScenarioRun::run() {
     Worker inside("n-1", "b"), outside("n-2", "a");
     TimePoint renewedInside = clock_.now(), renewedOutside = clock_.now();
-    std::optional<TimePoint> told;
+    std::optional<TimePoint> acknowledged;
     for (int s = 0; s < seconds; ++s) {
-        const bool cut = s >= cutAt && s < cutAt + story_.cutFor;
-        const bool paused = s >= story_.pauseAt && s < story_.pauseAt + story_.pauseFor;
+        const bool partitioned = s >= partitionedAt && s < partitionedAt + scenario_.partitionedFor;
+        const bool paused = s >= scenario_.pauseAt && s < scenario_.pauseAt + scenario_.pauseFor;
         if (s == 1) {
             JobSpec spec = testing::spec("run-1", 1);
             spec.shape = Shape::service;
-            spec.zone = story_.cancelAt < 0 ? std::nullopt : std::optional<std::string>("b");
+            spec.zone = scenario_.cancelAt < 0 ? std::nullopt : std::optional<std::string>("b");
             cluster_->submit(spec, clock_.now(), clock_.wall());
         }
-        if (s == story_.takeOverAt) lead(2);
-        if (s == story_.restartAt) holder_ = Delegate{bounds_, "b", clock_.now()};
-        if (!paused && (!cut || (s == cutAt && story_.answerLost))) borrow(holder_, "rig-1", !cut);
-        const bool mateCut = s >= story_.mateCutAt && s < story_.mateCutAt + story_.mateCutFor;
-        if (story_.mate) {
-            if (s == story_.mateRestartAt) mate_ = Delegate{bounds_, "b", clock_.now()};
-            if (!mateCut) borrow(mate_, "rig-2", true);
-            if (!paused) handOn(mate_, holder_), handOn(holder_, mate_);
+        if (s == scenario_.takeOverAt) lead(2);
+        if (s == scenario_.restartAt) delegate_ = Delegate{bounds_, "b", clock_.now()};
+        if (!paused && (!partitioned || (s == partitionedAt && scenario_.answerLost)))
+            requestDelegation(delegate_, "rig-1", !partitioned);
+        const bool secondPartitioned =
+            s >= scenario_.secondPartitionedAt &&
+            s < scenario_.secondPartitionedAt + scenario_.secondPartitionedFor;
+        if (scenario_.second) {
+            if (s == scenario_.secondRestartAt)
+                secondDelegate_ = Delegate{bounds_, "b", clock_.now()};
+            if (!secondPartitioned) requestDelegation(secondDelegate_, "rig-2", true);
+            if (!paused) transfer(secondDelegate_, delegate_), transfer(delegate_, secondDelegate_);
         }
-        // The worker first: it sends its report, and then perhaps kills what it runs.
-        beat(inside, renewedInside, !cut);
-        if (cut && !paused && holder_.mayAnswer(inside.report.token, "b", 0, clock_.now()))
+        // The agent first: it sends its heartbeat, and then perhaps kills what it runs.
+        heartbeat(inside, renewedInside, !partitioned);
+        if (partitioned && !paused &&
+            delegate_.mayAnswer(inside.report.token, "b", 0, clock_.now()))
             renewedInside = clock_.now();
-        if (cut && story_.mate && mate_.mayAnswer(inside.report.token, "b", 0, clock_.now()))
+        if (partitioned && scenario_.second &&
+            secondDelegate_.mayAnswer(inside.report.token, "b", 0, clock_.now()))
             renewedInside = clock_.now();
-        beat(outside, renewedOutside, s > 2);  // so that the job goes to the zone
+        heartbeat(outside, renewedOutside, s > 2);  // later, so that the job is placed in the zone
         if (clock_.now() - renewedInside > settings_.lease) {
             inside.newSession();
             renewedInside = clock_.now();
         }
-        if (inside.report.incarnation == 1) kept_ = s;
-        if (story_.cancelAt >= 0 && s >= story_.cancelAt && !told)  // its user asks until told
+        if (inside.report.incarnation == 1) uninterruptedFor_ = s;
+        if (scenario_.cancelAt >= 0 && s >= scenario_.cancelAt &&
+            !acknowledged)  // repeated until it is acknowledged
             if (Job* job = cluster_->find("run-1")) cluster_->cancel(*job, clock_.now());
         cluster_->advanceTo(clock_.now());
         cluster_->place(clock_.now());
@@ -365,116 +374,118 @@
         Job* job = cluster_->find("run-1");
         if (job != nullptr && job->cancelDurable()) {
             cluster_->acknowledgeCancellation(*job, clock_.now());
-            if (!told) told = clock_.now();
+            if (!acknowledged) acknowledged = clock_.now();
         }
         if (runs(inside) && runs(outside)) return "ran twice";
-        if (told && runs(inside) && clock_.now() - *told > settings_.cancelWithin)
+        if (acknowledged && runs(inside) && clock_.now() - *acknowledged > settings_.cancelWithin)
             return "ran though cancelled";
         clock_.advance(1s);
     }
-    if (story_.cancelAt >= 0 && !told) return "never told";
+    if (scenario_.cancelAt >= 0 && !acknowledged) return "never acknowledged";
     return "";
 }
 
-std::vector<Story> stories(bool heeded) {
-    std::vector<Story> out;
-    for (const int cutFor : {0, 2, 4, 6, 9, 13, 18})
+std::vector<Scenario> scenarios(bool delegationsTracked) {
+    std::vector<Scenario> out;
+    for (const int partitionedFor : {0, 2, 4, 6, 9, 13, 18})
         for (const int cancelAt : {-1, 3, 4, 5, 6, 8, 10, 13, 16, 20})
             for (const int takeOverAt : {-1, 3, 5, 6, 8, 11, 15})
                 for (const auto& [pauseAt, pauseFor] :
                      std::vector<std::pair<int, int>>{{-1, 0}, {5, 3}, {6, 8}, {8, 4}, {8, 12}})
                     for (const int restartAt : {-1, 5, 9})
                         for (const bool lost : {false, true})
-                            out.push_back({cutFor, cancelAt, takeOverAt, pauseAt, pauseFor,
-                                           restartAt, lost, heeded});
+                            out.push_back({partitionedFor, cancelAt, takeOverAt, pauseAt, pauseFor,
+                                           restartAt, lost, delegationsTracked});
     return out;
 }
 
-/// Two holders in the zone, cut off and started again at different times.
-std::vector<Story> storiesOfTwo(bool known) {
-    std::vector<Story> out;
-    for (const int cutFor : {0, 9, 13, 18})
-        for (const auto& [mateCutAt, mateCutFor] : std::vector<std::pair<int, int>>{
+/// Two delegates in the zone, partitioned and restarted at different times.
+std::vector<Scenario> scenariosWithTwoDelegates(bool known) {
+    std::vector<Scenario> out;
+    for (const int partitionedFor : {0, 9, 13, 18})
+        for (const auto& [secondPartitionedAt, secondPartitionedFor] :
+             std::vector<std::pair<int, int>>{
                  {5, 0}, {5, 3}, {5, 9}, {5, 18}, {9, 3}, {9, 6}, {9, 14}})
             for (const int cancelAt : {-1, 4, 8, 13})
                 for (const int takeOverAt : {-1, 6, 11})
                     for (const int pauseFor : {0, 4})
                         for (const int restartAt : {-1, 5, 8, 12})
-                            for (const int mateRestartAt : {-1, 6, 9, 14}) {
-                                Story s{cutFor, cancelAt, takeOverAt, 8, pauseFor, restartAt};
-                                s.mate = true;
-                                s.mateKnown = known;
-                                s.mateCutAt = mateCutAt;
-                                s.mateCutFor = mateCutFor;
-                                s.mateRestartAt = mateRestartAt;
-                                out.push_back(s);
+                            for (const int secondRestartAt : {-1, 6, 9, 14}) {
+                                Scenario scenario{partitionedFor, cancelAt, takeOverAt, 8,
+                                                  pauseFor,       restartAt};
+                                scenario.second = true;
+                                scenario.secondKnown = known;
+                                scenario.secondPartitionedAt = secondPartitionedAt;
+                                scenario.secondPartitionedFor = secondPartitionedFor;
+                                scenario.secondRestartAt = secondRestartAt;
+                                out.push_back(scenario);
                             }
     return out;
 }
 
-/// The log of some thousand plays helps nobody.
-struct Quiet {
+/// Turns the log off: that of some thousand runs helps nobody.
+struct LogSilencer {
     spdlog::level::level_enum before = spdlog::get_level();
-    Quiet() { spdlog::set_level(spdlog::level::off); }
-    Quiet(const Quiet&) = delete;
-    Quiet& operator=(const Quiet&) = delete;
-    ~Quiet() { spdlog::set_level(before); }
+    LogSilencer() { spdlog::set_level(spdlog::level::off); }
+    LogSilencer(const LogSilencer&) = delete;
+    LogSilencer& operator=(const LogSilencer&) = delete;
+    ~LogSilencer() { spdlog::set_level(before); }
 };
 
-/// Plays them all; how many were played before one went wrong.
-std::size_t playAll(const std::vector<Story>& stories) {
-    const Quiet quiet;
-    std::size_t played = 0;
-    for (const Story& story : stories) {
-        const std::string wrong = Play(story).run();
-        EXPECT_EQ(wrong, "") << story.text();
-        if (!wrong.empty()) break;
-        ++played;
+/// Runs all scenarios; returns how many passed before one failed.
+std::size_t runAll(const std::vector<Scenario>& scenarios) {
+    const LogSilencer silencer;
+    std::size_t passed = 0;
+    for (const Scenario& scenario : scenarios) {
+        const std::string violation = ScenarioRun(scenario).run();
+        EXPECT_EQ(violation, "") << scenario.text();
+        if (!violation.empty()) break;
+        ++passed;
     }
-    return played;
+    return passed;
 }
 
-TEST(DelegationSearch, NothingRunsTwiceOrOutlivesItsCancellationWhateverHappensAroundADelegation) {
-    EXPECT_EQ(playAll(stories(true)), 14'700U);
+TEST(DelegationScenarios, NoTaskRunsTwiceOrOutlivesItsCancellationAroundADelegation) {
+    EXPECT_EQ(runAll(scenarios(true)), 14'700U);
 }
 
-TEST(DelegationSearch, NothingRunsTwiceOrOutlivesItsCancellationWhenHoldersHandOn) {
-    EXPECT_EQ(playAll(storiesOfTwo(true)), 10'752U);
+TEST(DelegationScenarios, NoTaskRunsTwiceOrOutlivesItsCancellationWithTransfers) {
+    EXPECT_EQ(runAll(scenariosWithTwoDelegates(true)), 10'752U);
 }
 
-TEST(DelegationSearch, FindsTheFaultsOfALeaderThatDoesNotReckonWithWhatIsHandedOn) {
-    const Quiet quiet;
+TEST(DelegationScenarios, FindsTheFaultsOfALeaderThatIgnoresTransfers) {
+    const LogSilencer silencer;
     std::set<std::string> found;
-    for (const Story& story : storiesOfTwo(false)) {
-        found.insert(Play(story).run());
+    for (const Scenario& scenario : scenariosWithTwoDelegates(false)) {
+        found.insert(ScenarioRun(scenario).run());
         if (found.contains("ran twice") && found.contains("ran though cancelled")) break;
     }
     EXPECT_TRUE(found.contains("ran twice"));
     EXPECT_TRUE(found.contains("ran though cancelled"));
 }
 
-TEST(DelegationSearch, AZoneKeepsItsTasksThoughItsNodesAreStartedAgainOneAfterTheOther) {
-    // Holders that were started again during a cut held nothing: once the last one had been, every
-    // lease of the zone ran out.
-    const Quiet quiet;
-    Story story;
-    story.cutFor = story.mateCutFor = 9;
-    story.mate = true;
-    story.restartAt = 5;
-    story.mateRestartAt = 9;
-    Play together(story);
+TEST(DelegationScenarios, ZoneKeepsItsTasksWhileItsNodesRestartOneAfterTheOther) {
+    // Delegates that were restarted during a partition had no delegation: once the last one had
+    // been, every lease of the zone expired.
+    const LogSilencer silencer;
+    Scenario scenario;
+    scenario.partitionedFor = scenario.secondPartitionedFor = 9;
+    scenario.second = true;
+    scenario.restartAt = 5;
+    scenario.secondRestartAt = 9;
+    ScenarioRun together(scenario);
     EXPECT_EQ(together.run(), "");
-    story.mate = false;
-    Play alone(story);
+    scenario.second = false;
+    ScenarioRun alone(scenario);
     EXPECT_EQ(alone.run(), "");
-    EXPECT_GT(together.kept(), 30) << "to the end";
-    EXPECT_LT(alone.kept(), 14);
+    EXPECT_GT(together.uninterruptedFor(), 30) << "until the end";
+    EXPECT_LT(alone.uninterruptedFor(), 14);
 }
 
-TEST(DelegationSearch, FindsBothFaultsOfALeaderThatForgetsWhatItLent) {
-    const Quiet quiet;
+TEST(DelegationScenarios, FindsBothFaultsOfALeaderThatForgetsItsDelegations) {
+    const LogSilencer silencer;
     std::set<std::string> found;
-    for (const Story& story : stories(false)) found.insert(Play(story).run());
+    for (const Scenario& scenario : scenarios(false)) found.insert(ScenarioRun(scenario).run());
     EXPECT_TRUE(found.contains("ran twice"));
     EXPECT_TRUE(found.contains("ran though cancelled"));
 }
