--- a/src/dependencies/dependency_graph.h
+++ b/src/dependencies/dependency_graph.h
@@ -83,7 +83,7 @@
     [[nodiscard]] std::string findInconsistency() const;
 
   private:
-    struct Node {
+    struct Node {  // a job in the graph
         JobId id;
         JobProperties properties;
         JobOutcome outcome = JobOutcome::open;
@@ -99,7 +99,7 @@
         InheritedUrgency passedOn;   // to its dependencies, as counted there
         bool counted = false;        // there
     };
-    struct DeepestFirst {
+    struct DeepestFirst {  // order in which urgency is passed on
         bool operator()(const Node* a, const Node* b) const {
             return a->depth != b->depth ? a->depth > b->depth : a->number < b->number;
         }
--- a/src/jobs/record_layout.h
+++ b/src/jobs/record_layout.h
@@ -27,7 +27,7 @@
 
 /// Identifies a record; key() and of() map it to its stored key and back.
 struct RecordName {
-    enum class Kind {
+    enum class Kind {  // of a record
         block,  // the job itself with its first tasks, or further ones: `from`, counted in blocks
         page,   // some tasks of a block: `from` and `count`; newer than what holds more of them
         head,   // the changing state of a job whose first block is split
--- a/src/lease_delegation/delegator.h
+++ b/src/lease_delegation/delegator.h
@@ -18,7 +18,7 @@
 /// See the top of this file. All times are by the leader's steady clock.
 class Delegator {
   public:
-    struct Node {
+    struct Node {  // a controller and its zone
         std::string name, zone;
     };
     /// `self`: the node that leads; `sinceUse`: how long ago it last answered by a delegation
@@ -50,11 +50,11 @@
     [[nodiscard]] std::string zoneOf(const std::string& node) const;
 
   private:
-    struct IssuedDelegation {
+    struct IssuedDelegation {  // one answer to a delegate
         std::uint64_t number;
         TimePoint issuedAt, validUntil;
     };
-    struct DelegateState {
+    struct DelegateState {  // what is known of one delegate
         std::string zone;
         TimePoint validUntil;                 // the latest that it may answer
         TimePoint unusedUntil;                // it surely does not answer before this
