--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -80,45 +80,7 @@
       operator_(std::move(operatorSettings)),
       scope_(loop),
       store_(loop, settings_),
-      election_(
-          loop, store_, settings_, incarnation,
-          {[this](FencingToken, kv_store::Precondition guard) {
-               term_ = std::make_shared<LeaderTerm>(
-                   loop_, settings_, operator_, store_, election_, std::move(guard),
-                   LeaderTerm::Hooks{
-                       [this](worker_api::CommandSender::Target t, http::Request r,
-                              Duration timeout,
-                              Scope& scope) -> Task<worker_api::CommandSender::RelayedOutcome> {
-                           auto over =
-                               co_await peers_.relayToAgent(std::move(t.zone), std::move(t.address),
-                                                            std::move(r), timeout, scope);
-                           co_return worker_api::CommandSender::RelayedOutcome{
-                               std::move(over.outcome), over.near};
-                       },
-                       [this] {
-                           // What waits for the former leader comes here now.
-                           peers_.announce();
-                           peers_.retryPendingAt(settings_.node);
-                       },
-                       [this](const std::string& node) { return peers_.connected(node); },
-                       delegate_.sinceUse(loop_.now()),
-                       [this](unsigned f) { return peers_.allSupportFormat(f, absentAfter); }});
-               delegate_.discard();
-               term_->start();
-               peers_.announce();
-           },
-           [this]() -> Task<void> {
-               const auto term = std::exchange(term_, nullptr);
-               delegate_.retainOwn(election_.token(), term->delegatedToSelf(), loop_.now());
-               peers_.announce();
-               co_await term->end();
-           },
-           [this](FencingToken token, Duration hold, const std::set<std::string>& absent) {
-               const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(hold);
-               return peers_.pledgeAll({token, ms}, absent, pledgeTimeout, scope_);
-           },
-           [this](const std::string& node) { return followerPeers_.contains(node); },
-           [this](Duration span) { return peers_.nodesSilentFor(span); }}),
+      election_(loop, store_, settings_, incarnation, *this, *this),
       peers_(loop, settings_,
              {[this, incarnation] {
                   const auto known = election_.knownLeader();
@@ -141,7 +103,7 @@
                   }
                   followerPeers_.erase(hello.node);
                   leaderSeenAt_ = loop_.now();
-                  election_.onLeaderHeard({hello.node, hello.token});
+                  election_.observeLeader({hello.node, hello.token});
                   delegate_.onLeaderContact(hello.token, loop_.now());
                   const auto known = election_.knownLeader();
                   if (hello.ready && known && known->token == hello.token)
@@ -158,7 +120,7 @@
                   }
                   return serveAsLeader(std::move(r));
               },
-              [this](const peer_rpc::Pledge& p) { return election_.acceptPledge(p.token, p.hold); },
+              [this](const peer_rpc::Pledge& p) { return election_.grantPledge(p.token, p.hold); },
               [this](const lease_delegation::DelegationRequest& q)
                   -> std::optional<lease_delegation::Delegation> {
                   if (!term_) return transferDelegation(q);
@@ -179,6 +141,45 @@
     });
 }
 
+void Controller::onElected(FencingToken /*token*/, kv_store::Precondition fence) {
+    term_ = std::make_shared<LeaderTerm>(
+        loop_, settings_, operator_, store_, election_, std::move(fence),
+        LeaderTerm::Hooks{
+            [this](worker_api::CommandSender::Target target, http::Request request,
+                   Duration timeout,
+                   Scope& scope) -> Task<worker_api::CommandSender::RelayedOutcome> {
+                auto relayed =
+                    co_await peers_.relayToAgent(std::move(target.zone), std::move(target.address),
+                                                 std::move(request), timeout, scope);
+                co_return worker_api::CommandSender::RelayedOutcome{std::move(relayed.outcome),
+                                                                    relayed.near};
+            },
+            [this] {
+                // What waits for the former leader comes here now.
+                peers_.announce();
+                peers_.retryPendingAt(settings_.node);
+            },
+            [this](const std::string& node) { return peers_.connected(node); },
+            delegate_.sinceUse(loop_.now()),
+            [this](unsigned format) { return peers_.allSupportFormat(format, absentAfter); }});
+    delegate_.discard();
+    term_->start();
+    peers_.announce();
+}
+
+Task<void> Controller::onLeadershipLost() {
+    const auto term = std::exchange(term_, nullptr);
+    delegate_.retainOwn(election_.token(), term->delegatedToSelf(), loop_.now());
+    peers_.announce();
+    co_await term->end();
+}
+
+Task<bool> Controller::requestPledges(FencingToken token, Duration duration,
+                                      const std::set<std::string>& absent) {
+    const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(duration);
+    return peers_.pledgeAll({token, ms}, absent, pledgeTimeout, scope_);
+}
+
 void Controller::start() {
     peers_.start(scope_);
     server_.start(scope_);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -11,7 +11,7 @@
 namespace basaltchute::controller {
 
 /// One controller: serves users and workers, follows or leads, and speaks to its peers.
-class Controller {
+class Controller : private LeaderElectionListener, private ElectionPeers {
   public:
     Controller(EventLoop& loop, settings::Settings settings, settings::Operator operatorSettings,
                const std::string& incarnation);
@@ -21,6 +21,16 @@
     Task<void> abandon() { return scope_.cancelAndWait(); }
 
   private:
+    void onElected(FencingToken token, kv_store::Precondition fence) override;
+    Task<void> onLeadershipLost() override;
+    Task<bool> requestPledges(FencingToken token, Duration duration,
+                              const std::set<std::string>& absent) override;
+    [[nodiscard]] bool isKnownFollower(const std::string& node) const override {
+        return followerPeers_.contains(node);
+    }
+    [[nodiscard]] std::set<std::string> nodesSilentFor(Duration span) const override {
+        return peers_.nodesSilentFor(span);
+    }
     Task<http::Response> handleRequest(http::Request request);
     Task<http::Response> handleUserRequest(http::Request request);
     Task<http::Response> relayToStoreFor(http::Request request);
--- a/src/controller/controller_test.cpp
+++ b/src/controller/controller_test.cpp
@@ -2,6 +2,8 @@
 
 #include <gtest/gtest.h>
 
+#include "kv_store/fake_record_owner.h"
+#include "leader_election/fake_election_peers.h"
 #include "testing/world.h"
 
 // Whole controllers on a fake clock, with the state service, the cloud, users and workers
@@ -420,33 +422,26 @@
     EXPECT_NE(ask(other, "POST", "/agent/beat", beat(9)).response.status, 200) << "to its end";
 }
 
-TEST_F(ControllerTest, ANodeThatPledgedDoesNotCampaignUntilItsWordHasEnded) {
+TEST_F(ControllerTest, NodeThatPledgedDoesNotCampaignBeforeItsPledgeExpires) {
     start(1);
     kv_store::Client client(world.loop, nodes[0]->settings);
     Scope scope(world.loop);
-    bool elected = false;
     auto settings = nodes[0]->settings;
     settings.node = "rig-9";
-    LeaderElection other(world.loop, client, settings, "x",
-                         {[&](FencingToken, kv_store::Precondition) { elected = true; },
-                          []() -> Task<void> { co_return; },
-                          [](FencingToken, Duration, const std::set<std::string>&) -> Task<bool> {
-                              co_return false;
-                          },
-                          [](const std::string&) { return false; },
-                          [](Duration) { return std::set<std::string>{}; }});
+    testing::FakeElectionPeers peers;
+    LeaderElection other(world.loop, client, settings, "x", peers, peers);
     scope.spawn(other.run(scope));
     world.run(5s);
-    EXPECT_TRUE(other.acceptPledge(1, 3s));
-    EXPECT_FALSE(other.acceptPledge(1, 1h)) << "longer than a restarted node would wait";
+    EXPECT_TRUE(other.grantPledge(1, 3s));
+    EXPECT_FALSE(other.grantPledge(1, 1h)) << "longer than a restarted node would wait";
     bool left = false;
     world.scope.spawn(stop(*nodes[0]->controller, left));  // the leader's key is free now
     world.until([&] { return left; });
     nodes.clear();
     world.run(2500ms);
-    EXPECT_FALSE(elected);
+    EXPECT_FALSE(peers.elected);
     world.run(1500ms);
-    EXPECT_TRUE(elected);
+    EXPECT_TRUE(peers.elected);
     world.end(scope);
 }
 
@@ -797,18 +792,13 @@
     auto settings = nodes[0]->settings;
     kv_store::Client client(world.loop, settings);
     Scope scope(world.loop);
-    bool fenced = false, committed = false;
-    kv_store::TransactionWriter writer(
-        world.loop, client, 20, kv_store::Precondition{"lead/holder", 1},
-        {[](const std::string&) {
-             return kv_store::EncodedRecord{"{}", 1};
-         },
-         [&](const std::string&, std::uint64_t) { committed = true; }, [] {},
-         [&] { fenced = true; }});
+    testing::FakeRecordOwner owner;
+    kv_store::TransactionWriter writer(world.loop, client, 20,
+                                       kv_store::Precondition{"lead/holder", 1}, owner, owner);
     scope.spawn(writer.run(scope));
     writer.markDirty("jobs/run-1", kv_store::WritePriority::users);
-    world.until([&] { return fenced || committed; });
-    EXPECT_TRUE(fenced);
+    world.until([&] { return owner.fenced || owner.committed; });
+    EXPECT_TRUE(owner.fenced);
     EXPECT_FALSE(state.keys.contains("jobs/run-1"));
     world.end(scope);
 }
--- a/src/controller/leader_term.cpp
+++ b/src/controller/leader_term.cpp
@@ -49,21 +49,7 @@
       delegator_(lease_delegation::DelegationLimits::from(settings), leadership.token(),
                  {settings.node, settings.zone}, hooks.sinceUse, othersOf(settings), loop.now()),
       cluster_(settings, leadership.token()),
-      writer_(loop, state, settings.txnOps, std::move(guard),
-              {[this](const std::string& key) { return encode(key); },
-               [this](const std::string& key, std::uint64_t version) {
-                   cluster_.committed(key, version);
-                   recordWritten_.notify();
-                   wakeScheduler();
-               },
-               [this] { recordWritten_.notify(); },
-               [this] { election_.stepDown("another leader's key is in place"); },
-               {},
-               [this](const std::string& key, std::size_t bytes) {
-                   spdlog::warn("state service does not take {} bytes for {}", bytes, key);
-                   cluster_.tooLarge(key, bytes);
-                   wakeScheduler();
-               }}),
+      writer_(loop, state, settings.txnOps, std::move(guard), *this, *this),
       cloud_(loop, settings, [this] { return mayAct(); }),
       autoscaler_(cluster_, loop.now()),
       commandSender_(loop, settings.directSockets(), std::move(hooks.relay)),
@@ -75,6 +61,23 @@
     cluster_.setDelegator(delegator_);
 }
 
+void LeaderTerm::onCommitted(const std::string& key, std::uint64_t version) {
+    cluster_.committed(key, version);
+    recordWritten_.notify();
+    wakeScheduler();
+}
+
+void LeaderTerm::onFenced() {
+    election_.stepDown("another leader's key is in place");
+}
+
+kv_store::TooLargeAction LeaderTerm::onTooLarge(const std::string& key, std::size_t bytes) {
+    spdlog::warn("record too large for the state service key={} bytes={}", key, bytes);
+    cluster_.tooLarge(key, bytes);
+    wakeScheduler();
+    return kv_store::TooLargeAction::drop;
+}
+
 void LeaderTerm::start() {
     scope_.spawn(load());
 }
--- a/src/controller/leader_term.h
+++ b/src/controller/leader_term.h
@@ -12,7 +12,7 @@
 
 /// Everything that exists only while this node leads: made on election, ended on step-down.
 /// Requests that wait on it hold it, so it outlives its duties but never acts after them.
-class LeaderTerm {
+class LeaderTerm : private kv_store::RecordSource, private kv_store::WriteObserver {
   public:
     struct Hooks {
         worker_api::CommandSender::Relay relay;
@@ -66,8 +66,12 @@
     Task<void> runAutoscaler();
     /// Zones whose machines and controllers are silent alike.
     void detectAwayZones();
-    /// What stands under that key, of jobs or of what was learnt.
-    std::optional<kv_store::EncodedRecord> encode(const std::string& key);
+    /// The record of a job or of the runtime statistics.
+    std::optional<kv_store::EncodedRecord> encode(const std::string& key) override;
+    void onCommitted(const std::string& key, std::uint64_t version) override;
+    void onWriteFailed() override { recordWritten_.notify(); }
+    void onFenced() override;
+    kv_store::TooLargeAction onTooLarge(const std::string& key, std::size_t bytes) override;
     /// What was learnt goes on record now and then, for the next leader.
     Task<void> persistStatistics();
     Task<void> loadStatistics();
--- a/src/gateway/queue_owner/queue_owner.cpp
+++ b/src/gateway/queue_owner/queue_owner.cpp
@@ -59,24 +59,32 @@
       book_(services.settings.statePrefix + "q/" + queue.name + '/',
             static_cast<std::size_t>(static_cast<double>(services.settings.state.valueBytes) *
                                      pageShare)),
-      writer_(loop_, services.state, services.settings.state.txnOps, fence_,
-              {[this](const std::string& key) { return book_.encode(key); },
-               [this](const std::string& key, std::uint64_t version) {
-                   book_.committed(key, version);
-                   committed_.notify();
-                   pump();
-               },
-               [] {}, [this] { services_.fenced(queue_.name); },
-               [this](kv_store::WritePriority urgency, double available) {
-                   const Duration slack =
-                       urgency == kv_store::WritePriority::users ? Duration::zero() : resultSlack;
-                   return services_.turnstile.tryAcquire(serial_, slack, available);
-               }}),
+      writer_(loop_, services.state, services.settings.state.txnOps, fence_, *this, *this, this),
       pace_(services.settings.limits.credit),
       committed_(loop_),
       freed_(loop_),
       polled_(loop_) {}
 
+std::optional<kv_store::EncodedRecord> QueueOwner::encode(const std::string& key) {
+    return book_.encode(key);
+}
+
+void QueueOwner::onCommitted(const std::string& key, std::uint64_t version) {
+    book_.committed(key, version);
+    committed_.notify();
+    pump();
+}
+
+void QueueOwner::onFenced() {
+    services_.fenced(queue_.name);
+}
+
+double QueueOwner::allowance(kv_store::WritePriority mostUrgent, double available) {
+    const Duration slack =
+        mostUrgent == kv_store::WritePriority::users ? Duration::zero() : resultSlack;
+    return services_.turnstile.tryAcquire(serial_, slack, available);
+}
+
 void QueueOwner::start(std::function<void()> ready) {
     scope_.spawn(open(std::move(ready)));
 }
--- a/src/gateway/queue_owner/queue_owner.h
+++ b/src/gateway/queue_owner/queue_owner.h
@@ -55,7 +55,10 @@
 /// follows their jobs, and sends results in the order in which they became final. Each step stands
 /// in the ledger before the next one begins, so that whoever owns the queue next repeats at most
 /// one step, which has no further effect. `docs/amqp.md` has the reasoning.
-class QueueOwner : public std::enable_shared_from_this<QueueOwner> {
+class QueueOwner : public std::enable_shared_from_this<QueueOwner>,
+                   private kv_store::RecordSource,
+                   private kv_store::WriteObserver,
+                   private kv_store::SharedWriteBudget {
   public:
     QueueOwner(Services& services, const QueueSettings& queue, kv_store::Precondition fence,
                std::uint64_t serial);
@@ -108,6 +111,11 @@
     };
     using LaneKey = std::pair<std::string, std::string>;  // origin, reply-to
 
+    std::optional<kv_store::EncodedRecord> encode(const std::string& key) override;
+    void onCommitted(const std::string& key, std::uint64_t version) override;
+    void onFenced() override;
+    double allowance(kv_store::WritePriority mostUrgent, double available) override;
+
     Task<void> open(std::function<void()> ready);
     bool load(const std::vector<kv_store::KeyValue>& items);
     Task<amqp::Disposition> decide(const IncomingMessage& arrival, const std::string& origin);
--- a/src/kv_store/client.cpp
+++ b/src/kv_store/client.cpp
@@ -12,17 +12,24 @@
 
 namespace {
 
-constexpr Duration timeout = Client::defaultTimeout;
 constexpr Duration relayTimeout = 700ms;
-constexpr Duration probeEvery = 2s;  // of the own way while requests go over a peer
-constexpr double usedShare = 0.95;   // of the rate of changes
-constexpr double slower = 0.9, faster = 1.05, slowest = 0.2;
-constexpr Duration oneRefusal = 1s;  // those of one burst count once
-constexpr Duration tryAfter = 60s, tryAgain = 10s;
+constexpr Duration listTimeout = 4s;
+constexpr Duration watchGrace = 2s;  // for the answer of a watch, after the time that it waits
+constexpr Duration probeEvery = 2s;  // of the direct path while requests go through a peer
+constexpr std::size_t maxIdleConnections = 6;
+// The limit is the whole service's: one leader and its followers must fit in together.
+constexpr double requestRateShare = 0.7, requestBurstShare = 0.5;
+constexpr double writeRateShare = 0.95, writeBurstShare = 0.9;  // of the service's rate of writes
+// Factors on the rate of writes when the service refuses it and when it serves, and the least share
+// of the configured rate.
+constexpr double slowDown = 0.9, speedUp = 1.05, leastShare = 0.2;
+constexpr Duration refusalsCountOnce = 1s;  // those of one burst
+constexpr Duration speedUpAfter = 60s, speedUpEvery = 10s;
+constexpr std::size_t maxKeyBytes = 200;
 
-Status verdictOf(const http::RequestOutcome& o) {
-    if (!o.answered) return o.sent ? Status::outcomeUnknown : Status::refused;
-    switch (o.response.status) {
+Status statusOf(const http::RequestOutcome& outcome) {
+    if (!outcome.answered) return outcome.sent ? Status::outcomeUnknown : Status::refused;
+    switch (outcome.response.status) {
         case 200:
             return Status::ok;
         case 404:
@@ -30,7 +37,8 @@
         case 409:
             return Status::conflict;
         case 400:
-            spdlog::warn("state service calls a request malformed: {}", o.response.body);
+            spdlog::warn("state service rejects a request as malformed answer={}",
+                         outcome.response.body);
             return Status::malformed;
         case 429:
             return Status::rateLimited;
@@ -39,63 +47,91 @@
     }
 }
 
-std::optional<KeyValue> itemOf(const json::Value& v) {
-    auto key = json::string(v, "key");
-    const auto stamp = json::count(v, "stamp");
-    const auto* data = json::find(v, "data");
-    if (!key || !stamp || data == nullptr) return std::nullopt;
-    return KeyValue{std::move(*key), json::text(*data), *stamp};
+std::optional<KeyValue> decodeEntry(const json::Value& value) {
+    auto key = json::string(value, "key");
+    const auto revision = json::count(value, "stamp");
+    const auto* data = json::find(value, "data");
+    if (!key || !revision || data == nullptr) return std::nullopt;
+    return KeyValue{std::move(*key), json::text(*data), *revision};
+}
+
+std::string encode(const Transaction& txn) {
+    json::Out out;
+    out.open().key("guards").openArray();
+    for (const auto& precondition : txn.preconditions)
+        out.open().field("key", precondition.key).field("stamp", precondition.revision).close();
+    out.closeArray().key("then").openArray();
+    for (const auto& put : txn.puts) {
+        out.open().field("put", put.key).key("data").raw(put.data);
+        if (put.lease) out.field("hold", *put.lease);
+        out.close();
+    }
+    for (const auto& key : txn.deletes) out.open().field("delete", key).close();
+    out.closeArray().close();
+    return out.text();
+}
+
+std::int64_t toMillis(Duration span) {
+    return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
 }
 
 }  // namespace
 
 bool validKey(const std::string& key) {
-    return !key.empty() && key.size() <= 200 && key.find(' ') == std::string::npos;
+    return !key.empty() && key.size() <= maxKeyBytes && key.find(' ') == std::string::npos;
+}
+
+bool sameValue(const std::string& one, const std::string& other) {
+    const auto first = json::parse(one), second = json::parse(other);
+    return first && second && *first == *second;
 }
 
 Client::Client(EventLoop& loop, const settings::Settings& s)
     : loop_(loop),
-      http_(loop, s.state, 6),
-      // The limit is the whole service's: one leader and its followers must fit in together.
-      requestLimiter_(s.stateRps * 0.7, s.stateRps * 0.5, loop.now()),
-      writeLimiter_(s.stateWriteRps * usedShare, s.stateWriteRps * 0.9, loop.now()),
-      maxWriteRate_(s.stateWriteRps * usedShare),
-      nextWriteRate_(s.stateWriteRpsNext * usedShare) {}
+      http_(loop, s.state, maxIdleConnections),
+      requestLimiter_(s.stateRps * requestRateShare, s.stateRps * requestBurstShare, loop.now()),
+      writeLimiter_(s.stateWriteRps * writeRateShare, s.stateWriteRps * writeBurstShare,
+                    loop.now()),
+      maxWriteRate_(s.stateWriteRps * writeRateShare),
+      nextWriteRate_(s.stateWriteRpsNext * writeRateShare) {}
 
 void Client::adaptWriteRate(Status status) {
     const TimePoint now = loop_.now();
     const double rate = writeLimiter_.rate();
-    if (status == Status::rateLimited && now - rateLimitedAt_ >= oneRefusal) {
+    if (status == Status::rateLimited && now - rateLimitedAt_ >= refusalsCountOnce) {
         rateLimitedAt_ = now;
-        const bool fell = nextWriteRate_ > 0 && nextWriteRate_ < rate;
-        writeLimiter_.setRate(
-            fell ? nextWriteRate_ : std::max(rate * slower, maxWriteRate_ * slowest), now);
-        spdlog::info("state service refuses for its rate: {:.1f} changes a second from now on",
+        const bool announcedFall = nextWriteRate_ > 0 && nextWriteRate_ < rate;
+        const double slower = std::max(rate * slowDown, maxWriteRate_ * leastShare);
+        writeLimiter_.setRate(announcedFall ? nextWriteRate_ : slower, now);
+        spdlog::info("state service limits the write rate writes_per_second={:.1f}",
                      writeLimiter_.rate());
-    } else if (status == Status::ok && rate < maxWriteRate_ && now - rateLimitedAt_ >= tryAfter) {
+    } else if (status == Status::ok && rate < maxWriteRate_ &&
+               now - rateLimitedAt_ >= speedUpAfter) {
         // It may have been a burst of somebody else's.
-        rateLimitedAt_ = now - tryAfter + tryAgain;
-        writeLimiter_.setRate(std::min(rate * faster, maxWriteRate_), now);
+        rateLimitedAt_ = now - speedUpAfter + speedUpEvery;
+        writeLimiter_.setRate(std::min(rate * speedUp, maxWriteRate_), now);
     }
 }
 
-bool Client::isPlausible(Revision at, Revision since, const std::string& about) {
+bool Client::isPlausible(Revision at, Revision since, const std::string& subject) {
     if (at < since) {
-        spdlog::error("state service: an answer about {} is of revision {}, after {}: not heeded",
-                      about, at, since);
+        spdlog::error(
+            "answer of the state service ignored reason=\"revision went back\" "
+            "subject=\"{}\" revision={} after={}",
+            subject, at, since);
         return false;
     }
     newestRevision_ = std::max(newestRevision_, at);
     return true;
 }
 
-Task<http::RequestOutcome> Client::send(http::Request request, Duration wait, Scope& scope) {
-    // A refusal that only this node gets, or a cut that only it suffers, looks like an outage:
-    // a peer may still reach the service.
+Task<http::RequestOutcome> Client::send(http::Request request, Duration timeout, Scope& scope) {
+    // A refusal that only this node gets, or a partition that only it suffers, looks like an
+    // outage: a peer may still reach the service.
     http::RequestOutcome first;
     if (!relay_ || !directPathFailing_) {
         http::Request copy = request;
-        first = co_await direct(std::move(copy), wait, scope);
+        first = co_await direct(std::move(copy), timeout, scope);
         const bool served = first.answered && first.response.status != 503;
         if (served || !relay_ || scope.cancelled()) co_return first;
         directPathFailing_ = true;
@@ -104,10 +140,10 @@
         probing_ = true;
         scope.spawn(probe(scope));
     }
-    auto relayed = co_await relay_(std::move(request), std::min(wait, relayTimeout), scope);
+    auto relayed = co_await relay_(std::move(request), std::min(timeout, relayTimeout), scope);
     if (!relayed.answered) {
         directPathFailing_ = false;
-        // It may have been executed by either way.
+        // It may have been executed by either path.
         relayed.sent = relayed.sent || (first.sent && !first.answered);
         if (first.answered && !relayed.sent) co_return first;
     }
@@ -115,159 +151,157 @@
 }
 
 Task<void> Client::probe(Scope& scope) {
-    http::Request question{"GET", "/keys/lead/token", ""};
-    const auto o = co_await direct(std::move(question), timeout, scope);
-    if (o.answered && o.response.status != 503) directPathFailing_ = false;
+    http::Request request{"GET", "/keys/lead/token", ""};
+    const auto outcome = co_await direct(std::move(request), defaultTimeout, scope);
+    if (outcome.answered && outcome.response.status != 503) directPathFailing_ = false;
     nextProbe_ = loop_.now() + probeEvery;
     probing_ = false;
 }
 
-Task<http::RequestOutcome> Client::direct(http::Request request, Duration wait, Scope& scope) {
+Task<http::RequestOutcome> Client::direct(http::Request request, Duration timeout, Scope& scope) {
     while (!requestLimiter_.tryTake(loop_.now())) {
         const Wake woke = co_await loop_.sleep(requestLimiter_.timeUntil(loop_.now()), scope);
         if (woke == Wake::cancelled) co_return http::RequestOutcome{};
     }
-    auto outcome = co_await http_.request(std::move(request), wait, scope);
+    auto outcome = co_await http_.request(std::move(request), timeout, scope);
     co_return outcome;
 }
 
-Task<CommitResult> Client::commit(Transaction txn, Scope& scope, Duration wait) {
-    json::Out out;
-    out.open().key("guards").openArray();
-    for (const auto& g : txn.preconditions)
-        out.open().field("key", g.key).field("stamp", g.revision).close();
-    out.closeArray().key("then").openArray();
-    for (const auto& p : txn.puts) {
-        out.open().field("put", p.key).key("data").raw(p.data);
-        if (p.lease) out.field("hold", *p.lease);
-        out.close();
-    }
-    for (const auto& key : txn.deletes) out.open().field("delete", key).close();
-    out.closeArray().close();
-    http::Request request{"POST", "/multi", out.text()};
+Task<CommitResult> Client::commit(Transaction txn, Scope& scope, Duration timeout) {
+    const bool writes = !(txn.puts.empty() && txn.deletes.empty());
+    http::Request request{"POST", "/multi", encode(txn)};
     const Revision since = newestRevision_;
-    auto o = co_await send(std::move(request), wait, scope);
+    auto outcome = co_await send(std::move(request), timeout, scope);
     CommitResult result;
-    result.status = verdictOf(o);
+    result.status = statusOf(outcome);
     adaptWriteRate(result.status);
-    if (!o.answered || (o.response.status != 200 && o.response.status != 409)) co_return result;
-    const auto doc = json::parse(o.response.body);
-    const auto epoch = doc ? json::count(*doc, "epoch") : std::nullopt;
-    const bool changed = result.status == Status::ok && !(txn.puts.empty() && txn.deletes.empty());
+    if (!outcome.answered || (outcome.response.status != 200 && outcome.response.status != 409))
+        co_return result;
+    const auto doc = json::parse(outcome.response.body);
+    const auto revision = doc ? json::count(*doc, "epoch") : std::nullopt;
     const auto* failed = doc ? json::array(*doc, "failed") : nullptr;
-    if (!epoch || (result.status == Status::conflict && failed == nullptr)) {
-        spdlog::warn("state service: malformed answer to a transaction");
+    if (!revision || (result.status == Status::conflict && failed == nullptr)) {
+        spdlog::warn("malformed answer of the state service subject=transaction");
         result.status = Status::outcomeUnknown;
         co_return result;
     }
-    if (!isPlausible(*epoch, since + (changed ? 1 : 0), "a transaction")) {
+    // A write has a revision of its own.
+    const bool written = result.status == Status::ok && writes;
+    if (!isPlausible(*revision, since + (written ? 1 : 0), "transaction")) {
         result.status = Status::outcomeUnknown;
         co_return result;
     }
-    result.revision = *epoch;
+    result.revision = *revision;
     if (failed != nullptr)
-        for (const auto& k : failed->GetArray())
-            if (k.IsString()) result.failedKeys.emplace_back(k.GetString());
+        for (const auto& key : failed->GetArray())
+            if (key.IsString()) result.failedKeys.emplace_back(key.GetString());
     co_return result;
 }
 
 Task<GetResult> Client::get(std::string key, Scope& scope) {
     http::Request request{"GET", "/keys/" + key, ""};
     const Revision since = newestRevision_;
-    auto o = co_await send(std::move(request), timeout, scope);
+    auto outcome = co_await send(std::move(request), defaultTimeout, scope);
     GetResult found;
-    found.status = verdictOf(o);
-    if (!o.answered || (o.response.status != 200 && o.response.status != 404)) co_return found;
-    const auto doc = json::parse(o.response.body);
-    if (doc && found.status == Status::ok) found.entry = itemOf(*doc);
+    found.status = statusOf(outcome);
+    if (!outcome.answered || (outcome.response.status != 200 && outcome.response.status != 404))
+        co_return found;
+    const auto doc = json::parse(outcome.response.body);
     if (found.status == Status::notFound) {
-        const auto epoch = doc ? json::count(*doc, "epoch") : std::nullopt;
-        if (!epoch || !isPlausible(*epoch, since, key)) found.status = Status::outcomeUnknown;
-        found.at = epoch.value_or(0);
+        const auto revision = doc ? json::count(*doc, "epoch") : std::nullopt;
+        if (!revision || !isPlausible(*revision, since, key)) found.status = Status::outcomeUnknown;
+        found.at = revision.value_or(0);
+        co_return found;
     }
-    if (found.status == Status::ok && (!found.entry || found.entry->key != key)) {
-        spdlog::error("state service: malformed answer about {}", key);
+    if (doc) found.entry = decodeEntry(*doc);
+    if (!found.entry || found.entry->key != key) {
+        spdlog::error("malformed answer of the state service subject=\"{}\"", key);
         found.status = Status::outcomeUnknown;
         found.entry.reset();
+        co_return found;
     }
-    if (found.entry) found.at = found.entry->revision;
+    found.at = found.entry->revision;
     co_return found;
 }
 
 Task<ListResult> Client::list(std::string prefix, Scope& scope) {
     ListResult all;
-    std::string after;
-    while (true) {
+    bool more = true;
+    while (more) {
         http::Request request{"GET", "/keys?under=" + prefix + "&page=1000", ""};
-        if (!after.empty()) request.target += "&after=" + after;
+        if (!all.entries.empty()) request.target += "&after=" + all.entries.back().key;
         const Revision since = newestRevision_;
-        auto o = co_await send(std::move(request), 4s, scope);
-        all.status = verdictOf(o);
-        if (all.status != Status::ok) co_return all;
-        const auto doc = json::parse(o.response.body);
-        const auto* pairs = doc ? json::array(*doc, "pairs") : nullptr;
-        const auto more = doc ? json::boolean(*doc, "truncated") : std::nullopt;
-        const auto epoch = doc ? json::count(*doc, "epoch") : std::nullopt;
-        if (pairs == nullptr || !epoch || !isPlausible(*epoch, since, prefix)) {
+        auto outcome = co_await send(std::move(request), listTimeout, scope);
+        all.status = statusOf(outcome);
+        if (all.status != Status::ok) break;
+        more = addPage(outcome.response.body, prefix, since, all);
+    }
+    co_return all;
+}
+
+bool Client::addPage(const std::string& body, const std::string& prefix, Revision since,
+                     ListResult& all) {
+    const auto doc = json::parse(body);
+    const auto* entries = doc ? json::array(*doc, "pairs") : nullptr;
+    const auto more = doc ? json::boolean(*doc, "truncated") : std::nullopt;
+    const auto revision = doc ? json::count(*doc, "epoch") : std::nullopt;
+    if (entries == nullptr || !revision || !isPlausible(*revision, since, prefix)) {
+        all.status = Status::outcomeUnknown;
+        return false;
+    }
+    for (const auto& value : entries->GetArray()) {
+        auto entry = decodeEntry(value);
+        const bool ascending =
+            entry && (all.entries.empty() || entry->key > all.entries.back().key);
+        if (!ascending || !entry->key.starts_with(prefix) || entry->revision > *revision) {
+            spdlog::error("malformed answer of the state service subject=\"{}\"", prefix);
             all.status = Status::outcomeUnknown;
-            co_return all;
-        }
-        for (const auto& p : pairs->GetArray()) {
-            auto item = itemOf(p);
-            if (!item || !item->key.starts_with(prefix) || item->key <= after ||
-                item->revision > *epoch) {
-                spdlog::error("state service: malformed item under {}", prefix);
-                all.status = Status::outcomeUnknown;
-                co_return all;
-            }
-            after = item->key;
-            all.entries.push_back(std::move(*item));
+            return false;
         }
-        all.at = *epoch;
-        if (!more.value_or(false) || pairs->Empty()) co_return all;
+        all.entries.push_back(std::move(*entry));
     }
+    all.at = *revision;
+    return more.value_or(false) && !entries->Empty();
 }
 
-Task<LeaseResult> Client::grantLease(Duration life, Scope& scope) {
-    const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(life).count();
+Task<LeaseResult> Client::grantLease(Duration ttl, Scope& scope) {
     json::Out out;
-    out.open().field("lifeMs", static_cast<std::int64_t>(ms)).close();
+    out.open().field("lifeMs", toMillis(ttl)).close();
     http::Request request{"POST", "/grants", out.text()};
-    LeaseResult g;
-    g.sentAt = loop_.now();
-    auto o = co_await send(std::move(request), timeout, scope);
-    g.status = verdictOf(o);
-    if (g.status != Status::ok) co_return g;
-    const auto doc = json::parse(o.response.body);
+    LeaseResult lease;
+    lease.sentAt = loop_.now();
+    auto outcome = co_await send(std::move(request), defaultTimeout, scope);
+    lease.status = statusOf(outcome);
+    if (lease.status != Status::ok) co_return lease;
+    const auto doc = json::parse(outcome.response.body);
     const auto id = doc ? json::count(*doc, "hold") : std::nullopt;
-    if (!id) g.status = Status::outcomeUnknown;
-    g.id = id.value_or(0);
-    co_return g;
+    if (!id) lease.status = Status::outcomeUnknown;
+    lease.id = id.value_or(0);
+    co_return lease;
 }
 
-Task<LeaseResult> Client::keepAlive(LeaseId id, Duration wait, Scope& scope) {
+Task<LeaseResult> Client::keepAlive(LeaseId id, Duration timeout, Scope& scope) {
     http::Request request{"POST", "/grants/" + std::to_string(id) + "/touch", ""};
-    LeaseResult g;
-    g.id = id;
-    g.sentAt = loop_.now();
-    auto o = co_await send(std::move(request), wait, scope);
-    g.status = verdictOf(o);
-    co_return g;
+    LeaseResult lease;
+    lease.id = id;
+    lease.sentAt = loop_.now();
+    auto outcome = co_await send(std::move(request), timeout, scope);
+    lease.status = statusOf(outcome);
+    co_return lease;
 }
 
 Task<void> Client::revokeLease(LeaseId id, Scope& scope) {
     http::Request request{"DELETE", "/grants/" + std::to_string(id), ""};
-    co_await send(std::move(request), timeout, scope);
+    co_await send(std::move(request), defaultTimeout, scope);
 }
 
-Task<Status> Client::watch(std::string prefix, Revision after, Duration wait, Scope& scope) {
-    const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(wait).count();
+Task<Status> Client::watch(std::string prefix, Revision after, Duration timeout, Scope& scope) {
     http::Request request{"GET",
                           "/watch?under=" + prefix + "&after=" + std::to_string(after) +
-                              "&waitMs=" + std::to_string(ms),
+                              "&waitMs=" + std::to_string(toMillis(timeout)),
                           ""};
-    auto o = co_await direct(std::move(request), wait + 2s, scope);
-    co_return verdictOf(o);
+    auto outcome = co_await direct(std::move(request), timeout + watchGrace, scope);
+    co_return statusOf(outcome);
 }
 
 }  // namespace basaltchute::kv_store
--- a/src/kv_store/client_test.cpp
+++ b/src/kv_store/client_test.cpp
@@ -9,25 +9,25 @@
 
 using namespace std::chrono_literals;
 
-TEST(StateClient, OverAPeerNoWriteWaitsForTheOwnWayAndItIsFoundAgain) {
+TEST(KvStoreClient, RelayedWritesDoNotWaitForTheDirectPathWhichIsProbedAndUsedAgain) {
     testing::World world;
-    bool cut = false;
+    bool partitioned = false;
     int relayed = 0, epoch = 1;
-    // No two changes are of one revision.
-    const auto changed = [&] {
+    // Each write has a revision of its own.
+    const auto writeResponse = [&] {
         return http::Response{200, R"({"epoch":)" + std::to_string(++epoch) + '}'};
     };
-    http::Server way(world.loop, "127.0.0.1:0", {}, [&](http::Request) -> Task<http::Response> {
-        if (cut) co_await world.loop.sleep(1h, world.scope);
-        co_return changed();
+    http::Server service(world.loop, "127.0.0.1:0", {}, [&](http::Request) -> Task<http::Response> {
+        if (partitioned) co_await world.loop.sleep(1h, world.scope);
+        co_return writeResponse();
     });
-    way.start(world.scope);
+    service.start(world.scope);
     auto settings = testing::someSettings();
-    settings.state = way.address();
+    settings.state = service.address();
     Client client(world.loop, settings);
     client.setRelay([&](http::Request, Duration, Scope&) -> Task<http::RequestOutcome> {
         ++relayed;
-        co_return http::RequestOutcome{true, true, changed()};
+        co_return http::RequestOutcome{true, true, writeResponse()};
     });
     const auto write = [&] {
         bool done = false;
@@ -44,14 +44,14 @@
     };
     EXPECT_LT(write(), 100ms);
     EXPECT_EQ(relayed, 0);
-    cut = true;
-    EXPECT_GT(write(), 1s) << "the first one finds out";
+    partitioned = true;
+    EXPECT_GT(write(), 1s) << "the first one detects the partition";
     for (int i = 0; i < 20; ++i) {
         EXPECT_LT(write(), 100ms) << i;
         world.run(500ms);
     }
     EXPECT_EQ(relayed, 21);
-    cut = false;
+    partitioned = false;
     for (int i = 0; i < 8; ++i) {
         write();
         world.run(500ms);
@@ -62,14 +62,14 @@
     world.end(world.scope);
 }
 
-TEST(StateClient, AnAnswerThatCannotBeTrueIsNoAnswer) {
+TEST(KvStoreClient, ImplausibleAnswerCountsAsNone) {
     testing::World world;
     http::Response answer;
-    http::Server way(world.loop, "127.0.0.1:0", {},
-                     [&](http::Request) -> Task<http::Response> { co_return answer; });
-    way.start(world.scope);
+    http::Server service(world.loop, "127.0.0.1:0", {},
+                         [&](http::Request) -> Task<http::Response> { co_return answer; });
+    service.start(world.scope);
     auto settings = testing::someSettings();
-    settings.state = way.address();
+    settings.state = service.address();
     Client client(world.loop, settings);
     bool done = false;
     const auto commit = [&](int httpStatus, const std::string& body) {
@@ -117,9 +117,10 @@
     };
     EXPECT_EQ(commit(200, R"({"epoch":10})"), Status::ok);
     EXPECT_EQ(commit(200, R"({"epoch":10})"), Status::outcomeUnknown)
-        << "a change has a new revision";
+        << "a write has a new revision";
     EXPECT_EQ(commit(409, R"({"failed":["a"],"epoch":9})"), Status::outcomeUnknown);
-    EXPECT_EQ(commit(409, R"({"epoch":11})"), Status::outcomeUnknown) << "what failed is not said";
+    EXPECT_EQ(commit(409, R"({"epoch":11})"), Status::outcomeUnknown)
+        << "the failed keys are missing";
     EXPECT_EQ(commit(409, R"({"failed":["a"],"epoch":11})"), Status::conflict);
     EXPECT_EQ(get(404, R"({"epoch":10})"), Status::outcomeUnknown);
     EXPECT_EQ(get(404, "{}"), Status::outcomeUnknown);
--- a/src/kv_store/transaction_writer_test.cpp
+++ b/src/kv_store/transaction_writer_test.cpp
@@ -12,7 +12,7 @@
 using namespace std::chrono_literals;
 
 /// A writer against a state service with limits, and records that are as large as a test says.
-class WriterTest : public ::testing::Test {
+class TransactionWriterTest : public ::testing::Test, public RecordSource, public WriteObserver {
   protected:
     testing::World world;
     settings::Settings settings = testing::someSettings();
@@ -22,8 +22,8 @@
     std::map<std::string, std::size_t> sizes;
     std::map<std::string, std::uint64_t> versions, durable;
     std::map<std::string, int> encoded;
-    std::set<std::string> large;
-    int troubled = 0;
+    std::set<std::string> tooLarge;
+    int failedWrites = 0;
 
     void begin(simulator::StateService::Terms terms) {
         service = std::make_unique<simulator::StateService>(world.loop, world.scope, "127.0.0.1:0",
@@ -31,51 +31,53 @@
         service->keys["lead/holder"] = {"{}", 1, 0};
         settings.state = service->address();
         client = std::make_unique<Client>(world.loop, settings);
-        writer = std::make_unique<TransactionWriter>(
-            world.loop, *client, settings.txnOps, Precondition{"lead/holder", 1},
-            TransactionWriter::Hooks{
-                [this](const std::string& key) -> std::optional<EncodedRecord> {
-                    ++encoded[key];
-                    if (sizes[key] == 0) return std::nullopt;
-                    return EncodedRecord{'"' + std::string(sizes[key] - 2, 'x') + '"',
-                                         versions[key]};
-                },
-                [this](const std::string& key, std::uint64_t v) { durable[key] = v; },
-                [this] { ++troubled; },
-                [] { FAIL() << "nobody else leads"; },
-                {},
-                [this](const std::string& key, std::size_t bytes) {
-                    EXPECT_GE(bytes, 100U);
-                    large.insert(key);
-                }});
+        writer = std::make_unique<TransactionWriter>(world.loop, *client, settings.txnOps,
+                                                     Precondition{"lead/holder", 1}, *this, *this);
         world.scope.spawn(writer->run(world.scope));
     }
     void write(const std::string& key, std::size_t bytes,
-               WritePriority urgency = WritePriority::bindings) {
+               WritePriority priority = WritePriority::bindings) {
         sizes[key] = bytes;
         ++versions[key];
-        writer->markDirty(key, urgency);
+        writer->markDirty(key, priority);
     }
     void TearDown() override { world.end(world.scope); }
+
+  private:
+    std::optional<EncodedRecord> encode(const std::string& key) override {
+        ++encoded[key];
+        if (sizes[key] == 0) return std::nullopt;
+        return EncodedRecord{'"' + std::string(sizes[key] - 2, 'x') + '"', versions[key]};
+    }
+    void onCommitted(const std::string& key, std::uint64_t version) override {
+        durable[key] = version;
+    }
+    void onWriteFailed() override { ++failedWrites; }
+    void onFenced() override { FAIL() << "no other node leads"; }
+    TooLargeAction onTooLarge(const std::string& key, std::size_t bytes) override {
+        EXPECT_GE(bytes, 100U);
+        tooLarge.insert(key);
+        return TooLargeAction::drop;
+    }
 };
 
-TEST_F(WriterTest, ARecordThatIsTooLargeHoldsUpNoOthersAndIsNotRepeated) {
+TEST_F(TransactionWriterTest, TooLargeRecordBlocksNoOthersAndIsNotRepeated) {
     // Before, a batch that the service called malformed was sent again and again as it was, and
     // everything waited behind it.
     begin({1e9, 1e9, 100, 20, {}});
     for (int i = 0; i < 8; ++i) write("k" + std::to_string(i), i == 3 ? 101 : 50);
     world.run(2s);
-    EXPECT_EQ(large, std::set<std::string>{"k3"});
+    EXPECT_EQ(tooLarge, std::set<std::string>{"k3"});
     EXPECT_EQ(durable.size(), 7U);
-    EXPECT_LE(encoded["k3"], 2) << "in company, and once alone";
-    EXPECT_EQ(troubled, 0) << "users are not refused for it";
+    EXPECT_LE(encoded["k3"], 2) << "with others, and once alone";
+    EXPECT_EQ(failedWrites, 0) << "users are not refused for it";
     EXPECT_EQ(writer->backlog(), 0U);
     write("k3", 60);
     world.run(1s);
     EXPECT_EQ(durable["k3"], 2U);
 }
 
-TEST_F(WriterTest, TransactionsShrinkWhenTheServiceTakesFewerChangesAtOnce) {
+TEST_F(TransactionWriterTest, TransactionsShrinkWhenTheServiceTakesFewerWritesAtOnce) {
     begin({1e9, 1e9, 1000, 20, {}});
     for (int i = 0; i < 40; ++i) write("k" + std::to_string(i), 50);
     world.run(1s);
@@ -84,22 +86,22 @@
     for (int i = 0; i < 40; ++i) write("k" + std::to_string(i), 50);
     world.run(3s);
     for (const auto& [key, v] : durable) EXPECT_EQ(v, 2U) << key;
-    EXPECT_TRUE(large.empty());
+    EXPECT_TRUE(tooLarge.empty());
 }
 
-TEST_F(WriterTest, TheRateFollowsWhatIsRefusedAndTheMostUrgentGoesFirst) {
+TEST_F(TransactionWriterTest, RateFollowsRefusalsAndTheMostUrgentIsWrittenFirst) {
     settings.stateWriteRps = 25;
     settings.stateWriteRpsNext = 18;
     begin({1e9, 18, 1000, 20, {}});
     for (int i = 0; i < 200; ++i) write("rest-" + std::to_string(i), 50, WritePriority::progress);
     world.run(3s);
     write("user", 50, WritePriority::users);
-    const TimePoint asked = world.clock.now();
+    const TimePoint queuedAt = world.clock.now();
     world.until([&] { return durable.contains("user"); });
-    EXPECT_LT(world.clock.now() - asked, 400ms);
+    EXPECT_LT(world.clock.now() - queuedAt, 400ms);
     world.run(20s);
     EXPECT_EQ(durable.size(), 201U);
-    EXPECT_EQ(troubled, 0) << "a rate is no outage: users wait for their turn";
+    EXPECT_EQ(failedWrites, 0) << "a rate limit is no outage: users wait for their turn";
     EXPECT_NEAR(client->writeLimiter().rate(), 18 * 0.95, 0.01);
     // Where no limit was announced it goes down by steps, and comes back after a while.
     service->lower({0, 8, 0, 0, {}});
@@ -115,17 +117,17 @@
     EXPECT_GT(client->writeLimiter().rate(), 20);
 }
 
-TEST_F(WriterTest, AWriteThatIsCarriedOutLateUndoesNoNewerOne) {
-    // Creations and changes, alone and in company, given up without an answer: what stands in the
-    // end is the last of each, and the writer knows it.
+TEST_F(TransactionWriterTest, WriteThatIsExecutedLateUndoesNoNewerOne) {
+    // Creations and changes, alone and in company, given up without an answer: what is stored in
+    // the end is the last of each, and the writer knows it.
     begin({});
     std::map<std::string, std::size_t> least;
     std::mt19937 random(7);
-    const auto drawn = [&](unsigned n) { return random() % n; };
+    const auto draw = [&](unsigned n) { return random() % n; };
     service->fault = [&](const http::Request& r) -> simulator::StateService::Fault {
-        if (r.target != "/multi" || drawn(3) > 0) return {};
+        if (r.target != "/multi" || draw(3) > 0) return {};
         return {simulator::StateService::Fault::Kind::late,
-                std::chrono::milliseconds(2000 + drawn(10000))};
+                std::chrono::milliseconds(2000 + draw(10000))};
     };
     service->onPut = [&](const std::string& key, const std::string& data) {
         EXPECT_GE(data.size(), least[key]) << key << " went back";
@@ -133,18 +135,18 @@
     };
     for (std::size_t i = 0; i < 60; ++i) {
         for (const char* key : {"jobs/a", "jobs/b", "jobs/c", "jobs/d"})
-            if (drawn(2) == 0) write(key, 100 + i);
-        world.run(std::chrono::milliseconds(100 + drawn(900)));
+            if (draw(2) == 0) write(key, 100 + i);
+        world.run(std::chrono::milliseconds(100 + draw(900)));
     }
     world.run(20s);
     for (const auto& [key, bytes] : sizes) {
         EXPECT_EQ(service->keys.at(key).data.size(), bytes) << key;
         EXPECT_EQ(durable.at(key), versions.at(key)) << key;
     }
-    EXPECT_GT(troubled, 10);
+    EXPECT_GT(failedWrites, 10);
 }
 
-TEST_F(WriterTest, WhatStandsThoughItsAnswerWasLostIsNotWrittenAgain) {
+TEST_F(TransactionWriterTest, WriteWithLostAnswerIsNotRepeatedIfItWasExecuted) {
     // Sent again, it meets its own revision: no key of the batch is lost or written twice, nobody
     // steps down, and what changed meanwhile goes on from where the service is.
     begin({1e9, 1e9, 1000, 20, {}});
@@ -159,7 +161,7 @@
     for (int i = 0; i < 8; ++i) write("k" + std::to_string(i), 50 + i);
     world.run(1s);
     EXPECT_EQ(service->writes, 8);
-    EXPECT_TRUE(durable.empty()) << "nobody is told before it is known";
+    EXPECT_TRUE(durable.empty()) << "nothing is reported before it is known";
     write("k3", 90);  // changes before the answer is given up
     world.until([&] { return durable.size() == 8U && durable["k3"] == 2U; });
     EXPECT_EQ(service->writes, 9) << "only what has changed";
@@ -168,7 +170,7 @@
     EXPECT_EQ(writer->backlog(), 0U);
 }
 
-TEST_F(WriterTest, WhatIsWrittenUnderOtherKeysByNowIsLeftOut) {
+TEST_F(TransactionWriterTest, RecordsThatNeedNoWriteAnyMoreAreSkipped) {
     begin({1e9, 1e9, 1000, 20, {}});
     write("gone", 0);
     write("there", 50);
@@ -177,7 +179,7 @@
     EXPECT_EQ(writer->backlog(), 0U);
 }
 
-TEST_F(WriterTest, ResultsThatNobodyWaitsForGoInGroups) {
+TEST_F(TransactionWriterTest, ProgressIsCoalesced) {
     begin({1e9, 1e9, 1000, 20, {}});
     for (int i = 0; i < 14; ++i) {
         write("array", 50, WritePriority::progress);
@@ -189,7 +191,7 @@
     write("array", 50, WritePriority::progress);
     write("array", 50, WritePriority::bindings);
     world.run(50ms);
-    EXPECT_EQ(service->writes, 2) << "the last result is waited for";
+    EXPECT_EQ(service->writes, 2) << "the last result is not coalesced";
 }
 
 }  // namespace
--- a/src/kv_store/wire_format_test.cpp
+++ b/src/kv_store/wire_format_test.cpp
@@ -11,7 +11,7 @@
 using testing::finish;
 using Requests = std::vector<std::string>;
 
-class StateWireFormat : public ::testing::Test {
+class KvStoreWireFormat : public ::testing::Test {
   protected:
     testing::World world;
     testing::ScriptedService service{world};
@@ -26,7 +26,7 @@
     void TearDown() override { world.end(world.scope); }
 };
 
-TEST_F(StateWireFormat, TransactionRequestBytes) {
+TEST_F(KvStoreWireFormat, TransactionRequestBytes) {
     service.answer(200, R"({"epoch":12})");
     Transaction transaction;
     transaction.preconditions = {{"lead/holder", 7}, {"jobs/run-1", 0}};
@@ -45,7 +45,7 @@
     EXPECT_TRUE(committed.failedKeys.empty());
 }
 
-TEST_F(StateWireFormat, TransactionConflictResponse) {
+TEST_F(KvStoreWireFormat, TransactionConflictResponse) {
     service.answer(409, R"({"failed":["jobs/run-1","lead/holder"],"epoch":13})");
     const auto committed = finish(world, client.commit({}, world.scope));
     EXPECT_EQ(service.takeRequests(), Requests{R"(POST /multi {"guards":[],"then":[]})"});
@@ -54,7 +54,7 @@
     EXPECT_EQ(committed.failedKeys, (std::vector<std::string>{"jobs/run-1", "lead/holder"}));
 }
 
-TEST_F(StateWireFormat, ResponseStatuses) {
+TEST_F(KvStoreWireFormat, ResponseStatuses) {
     const std::pair<int, Status> all[] = {{200, Status::ok},          {404, Status::notFound},
                                           {409, Status::conflict},    {400, Status::malformed},
                                           {429, Status::rateLimited}, {503, Status::refused}};
@@ -64,7 +64,7 @@
     }
 }
 
-TEST_F(StateWireFormat, GetRequestAndResponse) {
+TEST_F(KvStoreWireFormat, GetRequestAndResponse) {
     service.answer(200, R"({"key":"lead/token","data":{"token":9,"x":[1,2.5,null]},"stamp":4})");
     const auto found = finish(world, client.get("lead/token", world.scope));
     EXPECT_EQ(service.takeRequests(), Requests{"GET /keys/lead/token"});
@@ -80,7 +80,7 @@
     EXPECT_EQ(none.at, 21U);
 }
 
-TEST_F(StateWireFormat, ListRequestsAndResponses) {
+TEST_F(KvStoreWireFormat, ListRequestsAndResponses) {
     service.setScript([](const http::Request& request) {
         if (request.target.find("&after=") == std::string::npos)
             return http::Response{
@@ -100,12 +100,12 @@
     EXPECT_EQ(listing.entries[2].revision, 21U);
 }
 
-TEST_F(StateWireFormat, GrantTouchAndEndRequests) {
+TEST_F(KvStoreWireFormat, LeaseGrantKeepAliveAndRevokeRequests) {
     service.answer(200, R"({"hold":42})");
-    const auto granted = finish(world, client.grantLease(1200ms, world.scope));
+    const auto lease = finish(world, client.grantLease(1200ms, world.scope));
     EXPECT_EQ(service.takeRequests(), Requests{R"(POST /grants {"lifeMs":1200})"});
-    EXPECT_EQ(granted.status, Status::ok);
-    EXPECT_EQ(granted.id, 42U);
+    EXPECT_EQ(lease.status, Status::ok);
+    EXPECT_EQ(lease.id, 42U);
     service.answer(200, "{}");
     EXPECT_EQ(finish(world, client.keepAlive(42, 1s, world.scope)).status, Status::ok);
     EXPECT_EQ(service.takeRequests(), Requests{"POST /grants/42/touch"});
@@ -113,7 +113,7 @@
     EXPECT_EQ(service.takeRequests(), Requests{"DELETE /grants/42"});
 }
 
-TEST_F(StateWireFormat, WatchRequest) {
+TEST_F(KvStoreWireFormat, WatchRequest) {
     service.answer(200, R"({"epoch":22})");
     EXPECT_EQ(finish(world, client.watch("lead/", 12, 10s, world.scope)), Status::ok);
     EXPECT_EQ(service.takeRequests(), Requests{"GET /watch?under=lead/&after=12&waitMs=10000"});
--- a/src/leader_election/leader_election.cpp
+++ b/src/leader_election/leader_election.cpp
@@ -12,343 +12,373 @@
 using kv_store::Status;
 
 namespace {
-const std::string prefix = "lead/";
-const std::string holderKey = "lead/holder";
-const std::string tokenKey = "lead/token";
-const std::string absentKey = "lead/absent";
-constexpr Duration margin = 120ms;
-constexpr Duration pledgeHold = 3s;
-/// Of a node, until a leader goes on without its pledge; and of one that is about to be elected:
-/// whoever led before is silent then, and an outage might come before the next write.
-constexpr Duration absentAfter = 2s, absentAtElection = 1s;
-
-const kv_store::KeyValue* itemAt(const kv_store::ListResult& all, const std::string& key) {
-    const auto it = std::find_if(all.entries.begin(), all.entries.end(),
-                                 [&](const auto& i) { return i.key == key; });
-    return it == all.entries.end() ? nullptr : &*it;
+/// Subtracted from the lease's TTL, beside the drift of clocks.
+constexpr Duration leaseMargin = 120ms;
+constexpr Duration pledgeDuration = 3s;
+/// Silence of a node until a leader goes on without its pledge.
+constexpr Duration absentAfter = 2s;
+/// The same for a node that is about to be elected: whoever led before is silent then, and an
+/// outage of the store might come before the next write.
+constexpr Duration absentAtElection = 1s;
+constexpr Duration campaignRetryDelay = 50ms;
+constexpr Duration retryDelay = 200ms;
+/// After a record that this version cannot use: only an operator or another node changes that.
+constexpr Duration unusableRecordDelay = 1s;
+constexpr Duration renewalRetryDelay = 100ms;
+constexpr Duration watchTimeout = 10s;
+
+/// The most that two steady clocks drift apart within `span`.
+Duration maxDrift(Duration span) {
+    return span / 1000;
+}
+
+const kv_store::KeyValue* findEntry(const kv_store::ListResult& listing, const std::string& key) {
+    const auto it = std::find_if(listing.entries.begin(), listing.entries.end(),
+                                 [&](const auto& entry) { return entry.key == key; });
+    return it == listing.entries.end() ? nullptr : &*it;
+}
+
+/// A precondition needs 0 where there is no record.
+kv_store::Revision revisionOf(const kv_store::KeyValue* entry) {
+    return entry != nullptr ? entry->revision : 0;
 }
 
 /// Who took the last token, `self` if nobody ever did; nothing if an older version took it, which
-/// does not say so.
-std::optional<std::string> electedBy(const kv_store::KeyValue* counter, const std::string& self) {
+/// does not record who did.
+std::optional<std::string> lastElectedNode(const kv_store::KeyValue* counter,
+                                           const std::string& self) {
     if (counter == nullptr) return self;
-    const auto doc = json::parse(counter->data);
-    return doc ? json::string(*doc, "node") : std::nullopt;
-}
-
-struct Counter {
-    FencingToken token = 0;
-    unsigned format = 1;
-};
-/// From format 2 on the last token has another name, so that versions that would lose what is
-/// stored call the counter malformed, and do not campaign.
-std::optional<Counter> counterIn(const kv_store::KeyValue& item) {
-    const auto doc = json::parse(item.data);
-    if (!doc || !doc->IsObject()) return std::nullopt;
-    const auto format = json::count(*doc, "format").value_or(1);
-    const auto token = json::count(*doc, format > 1 ? "last" : "token");
-    if (!token) return std::nullopt;
-    return Counter{*token, static_cast<unsigned>(format)};
-}
-std::string counterText(const Counter& c, const std::string& node) {
-    json::Out out;
-    out.open().field(c.format > 1 ? "last" : "token", c.token).field("node", node);
-    if (c.format > 1) out.field("format", c.format);
-    out.close();
-    return out.text();
-}
-
-std::string absentText(const std::set<std::string>& nodes) {
-    json::Out out;
-    out.open().key("nodes").openArray();
-    for (const auto& n : nodes) out.value(n);
-    out.closeArray().close();
-    return out.text();
-}
-/// Nothing if it cannot be read: then nobody may rely on what it says.
-std::optional<std::set<std::string>> absentIn(const kv_store::KeyValue* item) {
-    if (item == nullptr) return std::set<std::string>{};
-    const auto doc = json::parse(item->data);
-    const auto* nodes = doc && doc->IsObject() ? json::array(*doc, "nodes") : nullptr;
-    if (nodes == nullptr) {
-        spdlog::error("the record of absent nodes is malformed: {}", item->data);
-        return std::nullopt;
-    }
-    std::set<std::string> out;
-    for (const auto& n : nodes->GetArray())
-        if (n.IsString()) out.insert(n.GetString());
-    return out;
+    return election_records::decodeLastElected(counter->data);
+}
+
+/// Nothing if the record cannot be read: then nobody may rely on what it says.
+std::optional<std::set<std::string>> readAbsentNodes(const kv_store::KeyValue* entry) {
+    if (entry == nullptr) return std::set<std::string>{};
+    auto nodes = election_records::decodeAbsentNodes(entry->data);
+    if (!nodes) spdlog::error("malformed record key={} value={}", entry->key, entry->data);
+    return nodes;
 }
 }  // namespace
 
 LeaderElection::LeaderElection(EventLoop& loop, kv_store::Client& client,
-                               const settings::Settings& s, std::string incarnation, Hooks hooks)
+                               const settings::Settings& s, std::string incarnation,
+                               LeaderElectionListener& listener, ElectionPeers& peers)
     : loop_(loop),
       client_(client),
       node_(s.node),
       incarnation_(std::move(incarnation)),
       leaseTtl_(leaseTtlFor(s)),
-      hooks_(std::move(hooks)),
-      changed_(loop),
+      listener_(listener),
+      peers_(peers),
+      steppedDown_(loop),
       startedAt_(loop.now()) {
-    for (const auto& p : s.peers) otherNodes_.push_back(p.name);
+    for (const auto& peer : s.peers) otherNodes_.push_back(peer.name);
 }
 
 Duration LeaderElection::leaseTtlFor(const settings::Settings& s) {
-    // Short for quick take-over, long enough for a touch that is not answered, by the service and
-    // then by a peer, and for another peer after that; and a displaced leader's last answer plus a
-    // whole lease must end before a cancellation's time is up.
+    // Short for quick take-over, long enough for a keep-alive that is not answered, by the service
+    // and then by a peer, and for another peer after that; and a displaced leader's last answer
+    // plus a whole lease of an agent must end before a cancellation's time is up.
     const Duration byLease = s.lease / 6;
     const Duration byCancel = (s.cancelWithin - s.lease) / 4;
     return std::clamp(std::min(byLease, byCancel), Duration(1s), Duration(1200ms));
 }
 
-void LeaderElection::extendLease(TimePoint sentAt, Duration life) {
+void LeaderElection::extendLease(TimePoint sentAt, Duration ttl) {
     if (resign_) return;
-    leaseValidUntil_ = std::max(leaseValidUntil_, sentAt + life - life / 1000 - margin);
+    leaseValidUntil_ = std::max(leaseValidUntil_, sentAt + ttl - maxDrift(ttl) - leaseMargin);
 }
 
-bool LeaderElection::acceptPledge(FencingToken token, Duration hold) {
+bool LeaderElection::grantPledge(FencingToken token, Duration duration) {
     // Not while a campaign of this node may already be on its way, and only for the newest leader.
-    if (leading_ || campaigning_ || hold > pledgeHold ||
+    if (leading_ || campaigning_ || duration > pledgeDuration ||
         (knownLeader_ && knownLeader_->token > token))
         return false;
-    pledgedUntil_ = std::max(pledgedUntil_, loop_.now() + hold + hold / 1000);
+    pledgedUntil_ = std::max(pledgedUntil_, loop_.now() + duration + maxDrift(duration));
     return true;
 }
 
 bool LeaderElection::noEarlierPledgeOutstanding() const {
     // A node that has just started remembers no pledge, so it waits as long as one could last.
-    // Ended again each second it would wait for ever, and with it everyone: so it goes by evidence
-    // where there is some. Only who was elected last can act by pledges, since whoever was elected
-    // after that proves an earlier right to be over. If that was a former process of this node,
-    // nobody does; another one that says that it does not lead never goes on by the pledges of
-    // before.
-    if (loop_.now() >= startedAt_ + pledgeHold + pledgeHold / 1000) return true;
-    if (lastElected_) return *lastElected_ == node_ || hooks_.isKnownFollower(*lastElected_);
+    // Restarted every second it would wait for ever, and every other node with it: so it goes by
+    // evidence where there is some. Only who was elected last can act by pledges, since whoever was
+    // elected after that proves an earlier lease to be over. If that was a former process of this
+    // node, nobody acts by pledges; another node that says that it does not lead never goes on by
+    // the pledges of before.
+    if (loop_.now() >= startedAt_ + pledgeDuration + maxDrift(pledgeDuration)) return true;
+    if (lastElected_) return *lastElected_ == node_ || peers_.isKnownFollower(*lastElected_);
+    // An older version was elected, which does not record its node.
     return std::all_of(otherNodes_.begin(), otherNodes_.end(),
-                       hooks_.isKnownFollower);  // by an older version
+                       [&](const auto& node) { return peers_.isKnownFollower(node); });
 }
 
 bool LeaderElection::mayCampaign() const {
     return loop_.now() >= pledgedUntil_ && noEarlierPledgeOutstanding();
 }
 
-void LeaderElection::onLeaderHeard(const LeaderHint& hint) {
+void LeaderElection::observeLeader(const LeaderHint& hint) {
     if (!knownLeader_ || hint.token > knownLeader_->token) knownLeader_ = hint;
     if (leading_ && hint.token > token_) stepDown("a peer leads with a higher token");
 }
 
-void LeaderElection::stepDown(const std::string& why) {
+void LeaderElection::stepDown(const std::string& reason) {
     if (!leading_ || resign_) return;
-    spdlog::warn("stepping down from token {}: {}", token_, why);
+    spdlog::warn("stepping down token={} reason=\"{}\"", token_, reason);
     leaseValidUntil_ = TimePoint{};
     resign_ = true;
-    changed_.notify();
+    steppedDown_.notify();
 }
 
 void LeaderElection::resignForGood() {
     retired_ = true;
-    stepDown("this node is ending");
+    stepDown("this node is shutting down");
 }
 
 Task<void> LeaderElection::run(Scope& scope) {
     while (!scope.cancelled() && !retired_) {
         co_await follow(scope);
         if (scope.cancelled() || retired_) break;
-        const bool won = co_await campaign(scope);
-        if (won) co_await lead(scope);
+        const bool elected = co_await campaign(scope);
+        if (elected) co_await lead(scope);
     }
 }
 
 Task<void> LeaderElection::follow(Scope& scope) {
     while (!scope.cancelled()) {
         // Read as a list, which tells the revision of the whole store. A watch that begins at the
-        // key's own is refused once the service has forgotten that far back: after 10,000 changes
-        // every follower asked without a pause, and the service refused the leader's writes.
-        const kv_store::ListResult found = co_await client_.list(prefix, scope);
-        storeReachable_ = found.status == Status::ok;
-        if (found.status != Status::ok) {
-            co_await loop_.sleep(200ms, scope);
+        // key's own revision is refused once the service has forgotten that far back: after 10,000
+        // changes every follower asked without a pause, and the service refused the leader's
+        // writes.
+        const kv_store::ListResult listing = co_await client_.list(election_records::prefix, scope);
+        storeReachable_ = listing.status == Status::ok;
+        if (listing.status != Status::ok) {
+            co_await loop_.sleep(retryDelay, scope);
             continue;
         }
-        const kv_store::KeyValue* held = itemAt(found, holderKey);
-        if (held == nullptr) {
-            lastElected_ = electedBy(itemAt(found, tokenKey), node_);
+        const auto* leader = findEntry(listing, election_records::leaderKey);
+        if (leader == nullptr) {
+            lastElected_ =
+                lastElectedNode(findEntry(listing, election_records::tokenCounterKey), node_);
             co_return;
         }
-        const auto doc = json::parse(held->data);
-        const auto node = doc ? json::string(*doc, "node") : std::nullopt;
-        const auto token = doc ? json::count(*doc, "token") : std::nullopt;
-        if (!node || !token) {
-            spdlog::error("the leader's key is malformed: {}", held->data);
-            co_await loop_.sleep(1s, scope);
-            continue;
-        }
-        knownLeader_ = LeaderHint{*node, *token};
-        if (*node == node_) {
-            // Held by this node's former process, which is surely gone, or by a campaign whose
-            // answer was lost. Either way nobody acts by it: give it back at once.
-            const auto grant = json::count(*doc, "grant");
-            if (grant) co_await client_.revokeLease(*grant, scope);
-            knownLeader_.reset();
-            continue;
-        }
-        const Status watched = co_await client_.watch(prefix, found.at, 10s, scope);
-        if (watched != Status::ok) co_await loop_.sleep(200ms, scope);
+        co_await followLeader(*leader, listing.at, scope);
     }
 }
 
+Task<void> LeaderElection::followLeader(const kv_store::KeyValue& leader,
+                                        kv_store::Revision listedAt, Scope& scope) {
+    const auto record = election_records::decodeLeader(leader.data);
+    if (!record) {
+        spdlog::error("malformed record key={} value={}", leader.key, leader.data);
+        co_await loop_.sleep(unusableRecordDelay, scope);
+        co_return;
+    }
+    knownLeader_ = LeaderHint{record->node, record->token};
+    if (record->node == node_) {
+        // Held by this node's former process, which is surely gone, or by a campaign whose
+        // answer was lost. Either way nobody acts by it: it is given back at once.
+        if (record->lease) co_await client_.revokeLease(*record->lease, scope);
+        knownLeader_.reset();
+        co_return;
+    }
+    const Status watched =
+        co_await client_.watch(election_records::prefix, listedAt, watchTimeout, scope);
+    if (watched != Status::ok) co_await loop_.sleep(retryDelay, scope);
+}
+
 Task<bool> LeaderElection::campaign(Scope& scope) {
     if (!mayCampaign()) {
-        co_await loop_.sleep(50ms, scope);
+        co_await loop_.sleep(campaignRetryDelay, scope);
         co_return false;
     }
     campaigning_ = true;
-    const bool won = co_await tryCampaign(scope);
+    const bool elected = co_await tryCampaign(scope);
     campaigning_ = false;
-    co_return won;
+    co_return elected;
 }
 
 Task<bool> LeaderElection::tryCampaign(Scope& scope) {
-    const kv_store::ListResult all = co_await client_.list(prefix, scope);
-    if (all.status != Status::ok || itemAt(all, holderKey) != nullptr) co_return false;
-    const kv_store::KeyValue* absent = itemAt(all, absentKey);
-    const auto listed = absentIn(absent);
-    if (!listed || listed->contains(node_)) {
-        // A leader went on without this node's pledge and may act still. It, or the next one,
-        // strikes this node off once it hears it.
-        co_await loop_.sleep(200ms, scope);
+    const std::optional<StoredState> stored = co_await readStoredState(scope);
+    if (!stored) co_return false;
+    const kv_store::LeaseResult lease = co_await client_.grantLease(leaseTtl_, scope);
+    if (lease.status != Status::ok) co_return false;
+    const Candidacy candidacy = prepareCandidacy(*stored, lease);
+    const kv_store::CommitResult elected = co_await commitCandidacy(candidacy, *stored, scope);
+    if (elected.status != Status::ok) {
+        // If it is executed yet the key is ours; without the lease it cannot stay.
+        co_await client_.revokeLease(lease.id, scope);
         co_return false;
     }
-    const kv_store::KeyValue* last = itemAt(all, tokenKey);
-    lastElected_ = electedBy(last, node_);
-    if (!mayCampaign()) co_return false;  // somebody else was elected, and is gone, meanwhile
-    Counter counter;
-    if (last != nullptr) {
-        const auto used = counterIn(*last);
-        if (!used || used->format > knownFormat) {
-            if (!used)
-                spdlog::error("the token counter is malformed: {}", last->data);
-            else
-                spdlog::error(
-                    "the stored state is of format {}, and this version knows {}: it follows only",
-                    used->format, knownFormat);
-            co_await loop_.sleep(1s, scope);
-            co_return false;
-        }
-        counter = *used;
+    beginTerm(candidacy, *stored, elected.revision);
+    co_return true;
+}
+
+Task<std::optional<LeaderElection::StoredState>> LeaderElection::readStoredState(Scope& scope) {
+    const kv_store::ListResult listing = co_await client_.list(election_records::prefix, scope);
+    if (listing.status != Status::ok || findEntry(listing, election_records::leaderKey) != nullptr)
+        co_return std::nullopt;
+    const auto* absent = findEntry(listing, election_records::absentNodesKey);
+    auto absentNodes = readAbsentNodes(absent);
+    if (!absentNodes || absentNodes->contains(node_)) {
+        // A leader went on without this node's pledge and may act still. It, or the next one,
+        // removes this node from the record once it hears from it.
+        co_await loop_.sleep(retryDelay, scope);
+        co_return std::nullopt;
+    }
+    const auto* counterEntry = findEntry(listing, election_records::tokenCounterKey);
+    lastElected_ = lastElectedNode(counterEntry, node_);
+    // Somebody else may have been elected, and be gone, meanwhile.
+    if (!mayCampaign()) co_return std::nullopt;
+    const auto counter = readCounter(counterEntry);
+    if (!counter) {
+        co_await loop_.sleep(unusableRecordDelay, scope);
+        co_return std::nullopt;
     }
-    ++counter.token;
-    const kv_store::LeaseResult grant = co_await client_.grantLease(leaseTtl_, scope);
-    if (grant.status != Status::ok) co_return false;
-    json::Out holder;
-    holder.open().field("node", node_).field("incarnation", incarnation_);
-    holder.field("token", counter.token).field("grant", grant.id).close();
+    co_return StoredState{*counter, std::move(*absentNodes), revisionOf(counterEntry),
+                          revisionOf(absent)};
+}
+
+std::optional<election_records::TokenCounter> LeaderElection::readCounter(
+    const kv_store::KeyValue* entry) {
+    if (entry == nullptr) return election_records::TokenCounter{};
+    const auto counter = election_records::decodeTokenCounter(entry->data);
+    if (!counter) {
+        spdlog::error("malformed record key={} value={}", entry->key, entry->data);
+        return std::nullopt;
+    }
+    if (counter->format > knownFormat) {
+        spdlog::error("not campaigning reason=\"unknown stored format\" format={} known={}",
+                      counter->format, knownFormat);
+        return std::nullopt;
+    }
+    return counter;
+}
+
+LeaderElection::Candidacy LeaderElection::prepareCandidacy(
+    const StoredState& stored, const kv_store::LeaseResult& lease) const {
+    Candidacy candidacy;
+    candidacy.counter = {stored.counter.token + 1, stored.counter.format};
+    candidacy.leader = {node_, incarnation_, candidacy.counter.token, lease.id};
+    candidacy.absentNodes = silentMinority(absentAtElection);
+    candidacy.absentNodesChanged = candidacy.absentNodes != stored.absentNodes;
+    candidacy.leaseRequestedAt = lease.sentAt;
+    return candidacy;
+}
+
+Task<kv_store::CommitResult> LeaderElection::commitCandidacy(const Candidacy& candidacy,
+                                                             const StoredState& stored,
+                                                             Scope& scope) {
+    const std::string leaderText = encode(candidacy.leader);
     kv_store::Transaction txn;
-    // Guarded by what was read: a leader that has listed this node since is not displaced.
-    txn.preconditions = {{holderKey, 0},
-                         {tokenKey, last != nullptr ? last->revision : 0},
-                         {absentKey, absent != nullptr ? absent->revision : 0}};
-    txn.puts = {{holderKey, holder.text(), grant.id},
-                {tokenKey, counterText(counter, node_), std::nullopt}};
-    const auto silent = silentMinority(absentAtElection);
-    const bool relist = silent != *listed;
-    if (relist) txn.puts.push_back({absentKey, absentText(silent), std::nullopt});
+    // Preconditions on all that was read: a leader that has recorded this node as absent since is
+    // not displaced.
+    txn.preconditions = {{election_records::leaderKey, 0},
+                         {election_records::tokenCounterKey, stored.counterRevision},
+                         {election_records::absentNodesKey, stored.absentNodesRevision}};
+    txn.puts = {
+        {election_records::leaderKey, leaderText, candidacy.leader.lease},
+        {election_records::tokenCounterKey, encode(candidacy.counter, node_), std::nullopt}};
+    if (candidacy.absentNodesChanged)
+        txn.puts.push_back({election_records::absentNodesKey,
+                            election_records::encodeAbsentNodes(candidacy.absentNodes),
+                            std::nullopt});
     // Not longer than leaves time to find out what became of it.
-    kv_store::CommitResult won = co_await client_.commit(std::move(txn), scope, leaseTtl_ / 2);
-    if (won.status == Status::conflict || won.status == Status::outcomeUnknown) {
-        // Perhaps it was carried out and only its answer was lost: then the others know this node
-        // as the leader already, and would be refused by it until its grant has ended.
-        const auto stands = co_await findOwnLeaderKey(holder.text(), scope);
-        if (stands) won = {Status::ok, *stands, {}};
+    kv_store::CommitResult result = co_await client_.commit(std::move(txn), scope, leaseTtl_ / 2);
+    if (result.status == Status::conflict || result.status == Status::outcomeUnknown) {
+        // Perhaps it was executed and only its answer was lost: then the others know this node
+        // as the leader already, and would be refused by it until its lease has ended.
+        const auto revision = co_await findOwnLeaderKey(leaderText, scope);
+        if (revision) result = {Status::ok, *revision, {}};
     }
-    if (won.status != Status::ok) {
-        // If it is carried out yet the key is ours; without the grant it cannot stay.
-        co_await client_.revokeLease(grant.id, scope);
-        co_return false;
-    }
-    token_ = counter.token;
-    format_ = counter.format;
-    leaseId_ = grant.id;
-    leaderKeyRevision_ = tokenCounterRevision_ = won.revision;
-    absentNodes_ = silent;
-    writtenAbsent_ = silent;
-    absentNodesRevision_ = relist ? won.revision : absent != nullptr ? absent->revision : 0;
-    recordingAbsent_ = false;
-    leaseValidUntil_ = TimePoint{};
-    resign_ = false;
-    extendLease(grant.sentAt, leaseTtl_);
-    co_return true;
+    co_return result;
 }
 
-Task<std::optional<kv_store::Revision>> LeaderElection::findOwnLeaderKey(std::string holder,
+Task<std::optional<kv_store::Revision>> LeaderElection::findOwnLeaderKey(std::string record,
                                                                          Scope& scope) {
-    const kv_store::GetResult found = co_await client_.get(holderKey, scope);
+    const kv_store::GetResult found = co_await client_.get(election_records::leaderKey, scope);
     if (found.status != Status::ok || scope.cancelled()) co_return std::nullopt;
-    // Token, grant and process are in it: nobody else's election, and no other one of this node's.
-    const auto mine = json::parse(holder), there = json::parse(found.entry->data);
-    if (!mine || !there || *mine != *there) co_return std::nullopt;
+    // Token, lease and process are in it: nobody else's election, and no other one of this node's.
+    if (!kv_store::sameValue(record, found.entry->data)) co_return std::nullopt;
     co_return found.entry->revision;
 }
 
+void LeaderElection::beginTerm(const Candidacy& candidacy, const StoredState& stored,
+                               kv_store::Revision revision) {
+    token_ = candidacy.counter.token;
+    format_ = candidacy.counter.format;
+    leaseId_ = candidacy.leader.lease.value_or(0);
+    leaderKeyRevision_ = tokenCounterRevision_ = revision;
+    absentNodes_ = candidacy.absentNodes;
+    writtenAbsentNodes_ = candidacy.absentNodes;
+    absentNodesRevision_ = candidacy.absentNodesChanged ? revision : stored.absentNodesRevision;
+    recordingAbsentNodes_ = false;
+    leaseValidUntil_ = TimePoint{};
+    resign_ = false;
+    extendLease(candidacy.leaseRequestedAt, leaseTtl_);
+}
+
 std::set<std::string> LeaderElection::silentMinority(Duration span) const {
+    std::set<std::string> silent = peers_.nodesSilentFor(span);
+    // A node that is recorded already stays so until something comes from it.
+    for (const auto& node : peers_.nodesSilentFor(absentAtElection))
+        if (absentNodes_.contains(node)) silent.insert(node);
     // Most must stay able to campaign; and where most are silent, the silent one is this node.
-    std::set<std::string> silent = hooks_.silentNodes(span);
-    // Who is listed already stays so until it speaks.
-    for (const auto& n : hooks_.silentNodes(absentAtElection))
-        if (absentNodes_.contains(n)) silent.insert(n);
     if (silent.size() * 2 >= otherNodes_.size() + 1) silent.clear();
     return silent;
 }
 
-Task<void> LeaderElection::recordAbsent(std::set<std::string> silent, Scope& scope) {
-    const FencingToken mine = token_;
-    recordingAbsent_ = true;
-    // Whoever is struck off is relied on from now on; whoever is added, once that stands.
-    std::erase_if(absentNodes_, [&](const auto& n) { return !silent.contains(n); });
+Task<void> LeaderElection::recordAbsentNodes(std::set<std::string> silent, Scope& scope) {
+    const FencingToken term = token_;
+    recordingAbsentNodes_ = true;
+    // The pledge of a node that leaves the record is needed from now on; that of a node that
+    // enters it is needed until the record is durable.
+    std::erase_if(absentNodes_, [&](const auto& node) { return !silent.contains(node); });
     kv_store::Transaction txn;
-    txn.preconditions = {{holderKey, leaderKeyRevision_}, {absentKey, absentNodesRevision_}};
-    txn.puts = {{absentKey, absentText(silent), std::nullopt}};
-    const kv_store::CommitResult done = co_await client_.commit(std::move(txn), scope);
-    kv_store::GetResult now;
-    if (done.status != Status::ok && !scope.cancelled())
-        now = co_await client_.get(absentKey, scope);
-    if (token_ != mine) co_return;  // another term of this node: it has read for itself
-    recordingAbsent_ = false;
-    if (done.status == Status::ok) {
-        spdlog::info("absent nodes on record: {}", silent.size());
+    txn.preconditions = {{election_records::leaderKey, leaderKeyRevision_},
+                         {election_records::absentNodesKey, absentNodesRevision_}};
+    txn.puts = {{election_records::absentNodesKey, election_records::encodeAbsentNodes(silent),
+                 std::nullopt}};
+    const kv_store::CommitResult committed = co_await client_.commit(std::move(txn), scope);
+    kv_store::GetResult present;
+    if (committed.status != Status::ok && !scope.cancelled())
+        present = co_await client_.get(election_records::absentNodesKey, scope);
+    if (token_ != term) co_return;  // another term of this node: it has read for itself
+    recordingAbsentNodes_ = false;
+    if (committed.status == Status::ok) {
+        spdlog::info("absent nodes recorded count={}", silent.size());
         absentNodes_ = silent;
-        writtenAbsent_ = std::move(silent);
-        absentNodesRevision_ = done.revision;
+        writtenAbsentNodes_ = std::move(silent);
+        absentNodesRevision_ = committed.revision;
         co_return;
     }
-    // Whether it stands is not known: written again, by the revision that is there now.
-    writtenAbsent_.reset();
-    if (now.status == Status::ok) absentNodesRevision_ = now.entry->revision;
-    if (now.status == Status::notFound) absentNodesRevision_ = 0;
+    // Whether it was written is not known: written again, with the present revision.
+    writtenAbsentNodes_.reset();
+    if (present.status == Status::ok) absentNodesRevision_ = present.entry->revision;
+    if (present.status == Status::notFound) absentNodesRevision_ = 0;
 }
 
 Task<bool> LeaderElection::raiseFormat(unsigned format, Scope& scope) {
     if (format_ >= format) co_return true;
-    const FencingToken mine = token_;
+    const FencingToken term = token_;
     kv_store::Transaction txn;
-    txn.preconditions = {{holderKey, leaderKeyRevision_}, {tokenKey, tokenCounterRevision_}};
-    txn.puts = {{tokenKey, counterText({mine, format}, node_), std::nullopt}};
-    const kv_store::CommitResult done = co_await client_.commit(std::move(txn), scope);
-    kv_store::GetResult now;
-    if (done.status == Status::conflict && !scope.cancelled())
-        now = co_await client_.get(tokenKey, scope);
-    if (token_ != mine || scope.cancelled()) co_return false;
-    if (done.status == Status::ok) {
-        tokenCounterRevision_ = done.revision;
+    txn.preconditions = {{election_records::leaderKey, leaderKeyRevision_},
+                         {election_records::tokenCounterKey, tokenCounterRevision_}};
+    txn.puts = {{election_records::tokenCounterKey,
+                 encode(election_records::TokenCounter{term, format}, node_), std::nullopt}};
+    const kv_store::CommitResult committed = co_await client_.commit(std::move(txn), scope);
+    kv_store::GetResult present;
+    if (committed.status == Status::conflict && !scope.cancelled())
+        present = co_await client_.get(election_records::tokenCounterKey, scope);
+    if (token_ != term || scope.cancelled()) co_return false;
+    if (committed.status == Status::ok) {
+        tokenCounterRevision_ = committed.revision;
         format_ = format;
-        spdlog::info("the stored state is of format {} from now on", format);
-    } else if (now.status == Status::ok) {
-        // An earlier try of this leader's stood after all, if it is this one's.
-        const auto counter = counterIn(*now.entry);
-        if (counter && counter->token == mine) {
-            tokenCounterRevision_ = now.entry->revision;
+        spdlog::info("stored format raised format={}", format);
+    } else if (present.status == Status::ok) {
+        // An earlier try was executed after all, if the record is of this term.
+        const auto counter = election_records::decodeTokenCounter(present.entry->data);
+        if (counter && counter->token == term) {
+            tokenCounterRevision_ = present.entry->revision;
             format_ = counter->format;
         }
     }
@@ -358,37 +388,56 @@
 Task<void> LeaderElection::lead(Scope& scope) {
     leading_ = true;
     knownLeader_ = LeaderHint{node_, token_};
-    spdlog::info("leading with token {}", token_);
-    hooks_.elected(token_, kv_store::Precondition{holderKey, leaderKeyRevision_});
-    Duration pause = leaseTtl_ / 6;
-    while (!scope.cancelled() && !resign_ && loop_.now() < leaseValidUntil_) {
-        co_await loop_.wait(changed_, std::min(loop_.now() + pause, leaseValidUntil_), scope);
-        if (resign_ || scope.cancelled() || loop_.now() >= leaseValidUntil_) break;
-        const kv_store::LeaseResult touched =
-            co_await client_.keepAlive(leaseId_, leaseTtl_ / 4, scope);
-        storeReachable_ = touched.status == Status::ok;
-        if (touched.status == Status::ok) {
-            extendLease(touched.sentAt, leaseTtl_);
-            auto silent = silentMinority(absentAfter);
-            if (!recordingAbsent_ && writtenAbsent_ != silent)
-                scope.spawn(recordAbsent(std::move(silent), scope));
-        } else if (touched.status != Status::notFound) {
-            // No node reaches the state service. While every other one pledges not to campaign,
-            // nobody can lead but this one: the workers' leases live on through the outage.
-            const TimePoint askedAt = loop_.now();
-            const bool all = co_await hooks_.pledgeAll(token_, pledgeHold, absentNodes_);
-            // A right that has lapsed stays lapsed: others may have been told so meanwhile.
-            if (all && loop_.now() < leaseValidUntil_) extendLease(askedAt, pledgeHold);
-        }
-        if (touched.status == Status::notFound) stepDown("the grant has ended");
-        pause = touched.status == Status::ok ? leaseTtl_ / 6 : Duration(100ms);
-    }
-    if (!resign_) spdlog::warn("the right to act ended: the grant could not be renewed");
+    spdlog::info("leader elected token={}", token_);
+    listener_.onElected(token_,
+                        kv_store::Precondition{election_records::leaderKey, leaderKeyRevision_});
+    co_await keepLeading(scope);
+    if (!resign_)
+        spdlog::warn("leadership lost token={} reason=\"lease could not be renewed\"", token_);
     leaseValidUntil_ = TimePoint{};
     leading_ = false;
     knownLeader_.reset();
-    co_await hooks_.deposed();
+    co_await listener_.onLeadershipLost();
     co_await client_.revokeLease(leaseId_, scope);
 }
 
+Task<void> LeaderElection::keepLeading(Scope& scope) {
+    const auto ended = [&] {
+        return scope.cancelled() || resign_ || loop_.now() >= leaseValidUntil_;
+    };
+    Duration pause = leaseTtl_ / 6;
+    while (!ended()) {
+        co_await loop_.wait(steppedDown_, std::min(loop_.now() + pause, leaseValidUntil_), scope);
+        if (ended()) break;
+        const Status renewed = co_await renewLease(scope);
+        pause = renewed == Status::ok ? leaseTtl_ / 6 : renewalRetryDelay;
+    }
+}
+
+Task<Status> LeaderElection::renewLease(Scope& scope) {
+    const kv_store::LeaseResult renewed =
+        co_await client_.keepAlive(leaseId_, leaseTtl_ / 4, scope);
+    storeReachable_ = renewed.status == Status::ok;
+    if (renewed.status == Status::ok) {
+        extendLease(renewed.sentAt, leaseTtl_);
+        auto silent = silentMinority(absentAfter);
+        if (!recordingAbsentNodes_ && writtenAbsentNodes_ != silent)
+            scope.spawn(recordAbsentNodes(std::move(silent), scope));
+    } else if (renewed.status == Status::notFound) {
+        stepDown("the lease has ended in the store");
+    } else {
+        co_await extendLeaseByPledges();
+    }
+    co_return renewed.status;
+}
+
+Task<void> LeaderElection::extendLeaseByPledges() {
+    // No node reaches the store. While every other one pledges not to campaign, nobody can lead
+    // but this one: the agents' leases live on through the outage.
+    const TimePoint askedAt = loop_.now();
+    const bool unanimous = co_await peers_.requestPledges(token_, pledgeDuration, absentNodes_);
+    // A lease that has lapsed stays lapsed: others may have been told so meanwhile.
+    if (unanimous && loop_.now() < leaseValidUntil_) extendLease(askedAt, pledgeDuration);
+}
+
 }  // namespace basaltchute
--- a/src/leader_election/wire_format_test.cpp
+++ b/src/leader_election/wire_format_test.cpp
@@ -2,7 +2,7 @@
 // stored format, and the absent nodes.
 #include <gtest/gtest.h>
 
-#include "leader_election/leader_election.h"
+#include "leader_election/fake_election_peers.h"
 #include "testing/scripted_service.h"
 
 namespace basaltchute {
@@ -11,18 +11,27 @@
 using namespace std::chrono_literals;
 using Requests = std::vector<std::string>;
 
+/// Peers of a node whose every election has the first write as its fence.
+class Peers : public testing::FakeElectionPeers {
+  public:
+    void onElected(FencingToken token, kv_store::Precondition fence) override {
+        EXPECT_EQ(fence.key, "lead/holder");
+        EXPECT_EQ(fence.revision, 21U);
+        FakeElectionPeers::onElected(token, std::move(fence));
+    }
+};
+
 class LeaderElectionWireFormat : public ::testing::Test {
   protected:
     testing::World world;
-    /// What stands under "lead/", as the items of a list.
+    /// What is stored under "lead/", as the items of a list.
     std::string storedItems;
     std::uint64_t revision = 20;
-    std::set<std::string> silentNodes;
-    bool elected = false;
+    Peers peers;
     testing::ScriptedService service{
         world, [this](const http::Request& request) { return respond(request); }};
     std::unique_ptr<kv_store::Client> client;
-    std::unique_ptr<LeaderElection> leadership;
+    std::unique_ptr<LeaderElection> election;
 
     http::Response respond(const http::Request& request) {
         if (request.target.starts_with("/keys?"))
@@ -38,21 +47,10 @@
         settings.state = service.address();
         settings.peers = {{"rig-1", "a", "127.0.0.1:1"}, {"rig-2", "b", "127.0.0.1:1"}};
         client = std::make_unique<kv_store::Client>(world.loop, settings);
-        LeaderElection::Hooks hooks;
-        hooks.elected = [this](FencingToken, kv_store::Precondition guard) {
-            elected = true;
-            EXPECT_EQ(guard.key, "lead/holder");
-            EXPECT_EQ(guard.revision, 21U);
-        };
-        hooks.deposed = []() -> Task<void> { co_return; };
-        hooks.pledgeAll = [](FencingToken, Duration, const std::set<std::string>&) -> Task<bool> {
-            co_return false;
-        };
-        hooks.isKnownFollower = [](const std::string&) { return true; };
-        hooks.silentNodes = [this](Duration) { return silentNodes; };
-        leadership =
-            std::make_unique<LeaderElection>(world.loop, *client, settings, "process-1", hooks);
-        world.scope.spawn(leadership->run(world.scope));
+        peers.othersAreKnownFollowers = true;
+        election = std::make_unique<LeaderElection>(world.loop, *client, settings, "process-1",
+                                                    peers, peers);
+        world.scope.spawn(election->run(world.scope));
     }
     void TearDown() override { world.end(world.scope); }
     /// The transactions sent so far.
@@ -66,7 +64,7 @@
 
 TEST_F(LeaderElectionWireFormat, FirstElectionRequests) {
     start();
-    ASSERT_TRUE(world.until([&] { return elected; }));
+    ASSERT_TRUE(world.until([&] { return peers.elected; }));
     EXPECT_EQ(
         service.takeRequests(),
         (Requests{"GET /keys?under=lead/&page=1000", "GET /keys?under=lead/&page=1000",
@@ -76,11 +74,11 @@
                   R"({"put":"lead/holder","data":{"node":"rig-0","incarnation":"process-1",)"
                   R"("token":1,"grant":42},"hold":42},)"
                   R"({"put":"lead/token","data":{"token":1,"node":"rig-0"}}]})"}));
-    EXPECT_EQ(leadership->token(), 1U);
-    EXPECT_EQ(leadership->format(), 1U);
+    EXPECT_EQ(election->token(), 1U);
+    EXPECT_EQ(election->format(), 1U);
     world.run(300ms);
     EXPECT_EQ(service.takeRequests().at(0), "POST /grants/42/touch");
-    leadership->resignForGood();
+    election->resignForGood();
     world.run(300ms);
     EXPECT_EQ(service.takeRequests().back(), "DELETE /grants/42");
 }
@@ -88,9 +86,9 @@
 TEST_F(LeaderElectionWireFormat, ElectionWithStoredRecordsRequest) {
     storedItems = R"({"key":"lead/absent","data":{"nodes":[]},"stamp":5},)"
                   R"({"key":"lead/token","data":{"last":9,"node":"rig-1","format":2},"stamp":7})";
-    silentNodes = {"rig-1"};
+    peers.silentNodes = {"rig-1"};
     start();
-    ASSERT_TRUE(world.until([&] { return elected; }));
+    ASSERT_TRUE(world.until([&] { return peers.elected; }));
     EXPECT_EQ(transactions(),
               Requests{R"(POST /multi {"guards":[{"key":"lead/holder","stamp":0},)"
                        R"({"key":"lead/token","stamp":7},{"key":"lead/absent","stamp":5}],"then":[)"
@@ -98,16 +96,16 @@
                        R"("token":10,"grant":42},"hold":42},)"
                        R"({"put":"lead/token","data":{"last":10,"node":"rig-0","format":2}},)"
                        R"({"put":"lead/absent","data":{"nodes":["rig-1"]}}]})"});
-    EXPECT_EQ(leadership->token(), 10U);
-    EXPECT_EQ(leadership->format(), 2U);
+    EXPECT_EQ(election->token(), 10U);
+    EXPECT_EQ(election->format(), 2U);
 }
 
 TEST_F(LeaderElectionWireFormat, RaiseOfStoredFormatRequest) {
     storedItems = R"({"key":"lead/token","data":{"token":3,"node":"rig-0"},"stamp":7})";
     start();
-    ASSERT_TRUE(world.until([&] { return elected; }));
+    ASSERT_TRUE(world.until([&] { return peers.elected; }));
     transactions();
-    EXPECT_TRUE(testing::finish(world, leadership->raiseFormat(2, world.scope)));
+    EXPECT_TRUE(testing::finish(world, election->raiseFormat(2, world.scope)));
     EXPECT_EQ(transactions(),
               Requests{R"(POST /multi {"guards":[{"key":"lead/holder","stamp":21},)"
                        R"({"key":"lead/token","stamp":21}],"then":[)"
@@ -116,14 +114,13 @@
 
 TEST_F(LeaderElectionWireFormat, AbsentNodesRecordRequest) {
     start();
-    ASSERT_TRUE(world.until([&] { return elected; }));
+    ASSERT_TRUE(world.until([&] { return peers.elected; }));
     transactions();
-    silentNodes = {"rig-2"};
+    peers.silentNodes = {"rig-2"};
     world.run(400ms);
-    EXPECT_EQ(transactions(),
-              Requests{R"(POST /multi {"guards":[{"key":"lead/holder","stamp":21},)"
-                       R"({"key":"lead/absent","stamp":0}],"then":[)"
-                       R"({"put":"lead/absent","data":{"nodes":["rig-2"]}}]})"});
+    EXPECT_EQ(transactions(), Requests{R"(POST /multi {"guards":[{"key":"lead/holder","stamp":21},)"
+                                       R"({"key":"lead/absent","stamp":0}],"then":[)"
+                                       R"({"put":"lead/absent","data":{"nodes":["rig-2"]}}]})"});
 }
 
 TEST_F(LeaderElectionWireFormat, LeaderRecordIsRead) {
@@ -131,16 +128,16 @@
         R"({"key":"lead/holder","data":{"node":"rig-1","incarnation":"process-8","token":9,)"
         R"("grant":41},"stamp":7})";
     start();
-    ASSERT_TRUE(world.until([&] { return leadership->knownLeader().has_value(); }));
-    EXPECT_EQ(leadership->knownLeader()->node, "rig-1");
-    EXPECT_EQ(leadership->knownLeader()->token, 9U);
+    ASSERT_TRUE(world.until([&] { return election->knownLeader().has_value(); }));
+    EXPECT_EQ(election->knownLeader()->node, "rig-1");
+    EXPECT_EQ(election->knownLeader()->token, 9U);
     world.run(50ms);
     const auto requests = service.takeRequests();
     ASSERT_GE(requests.size(), 2U);
     EXPECT_EQ(requests[1], "GET /watch?under=lead/&after=20&waitMs=10000");
 }
 
-TEST_F(LeaderElectionWireFormat, OwnFormerLeaderRecordEndsItsGrant) {
+TEST_F(LeaderElectionWireFormat, LeaderRecordOfFormerProcessHasItsLeaseRevoked) {
     storedItems =
         R"({"key":"lead/holder","data":{"node":"rig-0","incarnation":"process-0","token":9,)"
         R"("grant":41},"stamp":7})";
--- a/src/peer_rpc/peer_rpc.h
+++ b/src/peer_rpc/peer_rpc.h
@@ -6,8 +6,8 @@
 #include <set>
 #include <string>
 
+#include "common/ids.h"
 #include "http/client.h"
-#include "leader_election/leader_election.h"
 #include "lease_delegation/delegate.h"
 #include "runtime/socket.h"
 #include "settings/settings.h"
--- a/src/worker_api/status_report.h
+++ b/src/worker_api/status_report.h
@@ -3,8 +3,8 @@
 #include <string>
 #include <vector>
 
+#include "common/ids.h"
 #include "jobs/job.h"
-#include "leader_election/leader_election.h"
 
 namespace basaltchute::worker_api {
 
