--- a/src/lease_delegation/delegator.h
+++ b/src/lease_delegation/delegator.h
@@ -51,7 +51,7 @@
 
   private:
     struct IssuedDelegation {  // one answer to a delegate
-        std::uint64_t number;
+        std::uint64_t number = 0;
         TimePoint issuedAt, validUntil;
     };
     struct DelegateState {  // what is known of one delegate
