--- a/src/scheduler/dependency_tracking.cpp
+++ b/src/scheduler/dependency_tracking.cpp
@@ -176,7 +176,7 @@
 
 void Cluster::applyInheritedUrgency(Job& job) {
     const dependencies::InheritedUrgency inherited = dependencies_.inheritedUrgency(job.spec.id);
-    job.deadlines = inherited.ends;
+    job.deadlines = inherited.deadlines;
     hasNewWork_ = true;
     const Priority rank = std::min(job.spec.priority, inherited.priority);
     if (rank == job.rank) return;
--- a/src/simulator/checker.cpp
+++ b/src/simulator/checker.cpp
@@ -1,5 +1,7 @@
 #include "simulator/checker.h"
 
+#include <fmt/format.h>
+
 #include <algorithm>
 #include <deque>
 #include <functional>
--- a/src/worker_api/status_report.h
+++ b/src/worker_api/status_report.h
@@ -5,8 +5,8 @@
 #include <variant>
 #include <vector>
 
+#include "common/ids.h"
 #include "jobs/job.h"
-#include "leader_election/leader_election.h"
 
 namespace basaltchute::worker_api {
 
