--- a/src/http/server.h
+++ b/src/http/server.h
@@ -16,7 +16,7 @@
 
 struct ServerLimits {
     std::size_t connections = 1000;
-    std::size_t bodyBytes = 64 * 1024;
+    std::size_t bodyBytes = std::size_t{64} * 1024;
     Duration idle = std::chrono::minutes(2);
     Duration message = std::chrono::seconds(10);  // to receive or send one whole message
 };
