--- a/src/controller/controller_test.cpp
+++ b/src/controller/controller_test.cpp
@@ -123,7 +123,7 @@
     }
 };
 
-TEST_F(ControllerTest, FollowersWatchQuietlyAfterManyChangesElsewhere) {
+TEST_F(ControllerTest, FollowersDoNotRepeatWatchesAfterManyUnrelatedChanges) {
     // Once the state service had forgotten the revision of the leader's key, every follower asked
     // for it without a pause, and the leader's own writes were refused.
     start(3);
@@ -134,7 +134,7 @@
     EXPECT_LE(state.watches - before, 6) << "two followers, ten seconds a watch";
 }
 
-TEST_F(ControllerTest, AnyNodeTakesAJobOnceAndItStandsBeforeTheAnswer) {
+TEST_F(ControllerTest, AnyNodeAcceptsAJobOnceAndItIsDurableBeforeTheResponse) {
     start(3);
     for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(ask(i, "GET", "/up").response.status, 200);
     const auto first = ask(0, "POST", "/v1/jobs", testing::submission("run-1"));
@@ -156,7 +156,7 @@
     EXPECT_NE(state.keys["jobs/run-1"].data.find("cancelled"), std::string::npos);
 }
 
-TEST_F(ControllerTest, WhatCanNeverRunOrLacksAFieldIsRefusedWithAReasonByAnyNode) {
+TEST_F(ControllerTest, AnyNodeRejectsInvalidSubmissionsWithAReason) {
     start(3);
     ASSERT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
     const auto submit = [&](std::size_t node, const std::string& body) {
@@ -208,7 +208,7 @@
     EXPECT_EQ(status(2, "run-2"), "404") << "none of them was taken";
 }
 
-TEST_F(ControllerTest, AChainIsAcceptedThroughAnyNodeAndCancelledAsAWhole) {
+TEST_F(ControllerTest, DependentJobsAreAcceptedByAnyNodeAndCancelledTogether) {
     start(3);
     EXPECT_EQ(submit(0, "run-1", "null"), 201);
     EXPECT_EQ(submit(1, "run-2", R"(["run-1","run-1"])"), 201);
@@ -250,7 +250,7 @@
     EXPECT_EQ(status(next, "run-7"), "cancelled") << "it follows at any leader";
 }
 
-TEST_F(ControllerTest, NoChainIsTakenWhileANodeThatWouldLoseItIsThere) {
+TEST_F(ControllerTest, DependenciesAreRefusedWhileANodeOfAnOlderFormatIsPresent) {
     start(3);
     EXPECT_EQ(state.keys.at("lead/token").data.find("format"), std::string::npos);
     const std::size_t first = leader();
@@ -286,7 +286,7 @@
     EXPECT_GT(token(), before) << "counted on under its new name";
 }
 
-TEST_F(ControllerTest, AStateOfAFormatThatIsNotKnownIsNotLedOver) {
+TEST_F(ControllerTest, NoNodeLeadsOverAnUnknownStoredFormat) {
     start(1);
     kill(0);
     state.keys.erase("lead/holder");
@@ -301,7 +301,7 @@
     EXPECT_EQ(token(), 6U);
 }
 
-TEST_F(ControllerTest, AnOutageDuringAcceptanceIsRefusedAtOnceAndTheJobIsTakenAfterwards) {
+TEST_F(ControllerTest, SubmissionDuringAStoreOutageIsRefusedAtOnceAndAcceptedAfterwards) {
     start(1);
     state.down = true;
     const TimePoint asked = world.clock.now();
@@ -318,7 +318,7 @@
     EXPECT_TRUE(state.keys.contains("jobs/run-1"));
 }
 
-TEST_F(ControllerTest, AnotherNodeTakesOverWithAHigherTokenAndKnowsTheJobs) {
+TEST_F(ControllerTest, SuccessorHasAHigherTokenAndKnowsTheJobs) {
     start(2);
     ASSERT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
     const std::string before = state.keys.at("lead/holder").data;
@@ -331,33 +331,34 @@
         EXPECT_EQ(ask(i, "GET", "/v1/jobs/run-1").response.status, 200);
 }
 
-TEST_F(ControllerTest, BeatsReachTheLeaderThroughAnyNodeAndAHigherTokenDethronesIt) {
+TEST_F(ControllerTest, HeartbeatsAreRelayedToTheLeaderAndAHigherTokenDeposesIt) {
     start(2);
-    const auto beat = [](unsigned tick, unsigned token) {
+    const auto heartbeat = [](unsigned tick, unsigned token) {
         return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
                std::to_string(tick) + R"(,"baton":)" + std::to_string(token) +
                R"(,"recallS":null,"splits":[]})";
     };
     for (std::size_t i = 0; i < 2; ++i) {
-        const auto o = ask(i, "POST", "/agent/beat", beat(static_cast<unsigned>(i) + 1, 0));
+        const auto o = ask(i, "POST", "/agent/beat", heartbeat(static_cast<unsigned>(i) + 1, 0));
         EXPECT_EQ(o.response.status, 200);
         EXPECT_NE(o.response.body.find(R"("baton":1)"), std::string::npos);
     }
-    const auto o = ask(0, "POST", "/agent/beat", beat(9, 5));
+    const auto o = ask(0, "POST", "/agent/beat", heartbeat(9, 5));
     EXPECT_NE(o.response.status, 200) << "the worker would drop it and lose its lease";
 }
 
-TEST_F(ControllerTest, AnOutageThatAllNodesPledgeForKeepsTheLeaderActing) {
+TEST_F(ControllerTest, UnanimousPledgesKeepTheLeaderActingDuringAStoreOutage) {
     // An outage of 19 s once outlasted leases of 16 s, and every replica was killed.
     start(3);
     state.down = true;
-    const auto beat = [](unsigned tick) {
+    const auto heartbeat = [](unsigned tick) {
         return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
                std::to_string(tick) + R"(,"baton":1,"recallS":null,"splits":[]})";
     };
     for (unsigned s = 1; s <= 25; ++s) {
         world.run(1s);
-        EXPECT_EQ(ask(s % 3, "POST", "/agent/beat", beat(s)).response.status, 200) << s << " s";
+        EXPECT_EQ(ask(s % 3, "POST", "/agent/beat", heartbeat(s)).response.status, 200)
+            << s << " s";
     }
     EXPECT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 503);
     state.down = false;
@@ -366,15 +367,15 @@
     EXPECT_NE(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 503);
 }
 
-TEST_F(ControllerTest, AWorkerIsAnsweredInASilentLeadersNameUntilTheDelegationEnds) {
+TEST_F(ControllerTest, DelegateAnswersHeartbeatsForASilentLeaderUntilTheDelegationEnds) {
     // A zone cut off for longer than a lease lost all its tasks: nobody there could answer.
     start(2);
-    const auto beat = [](unsigned tick, unsigned token) {
+    const auto heartbeat = [](unsigned tick, unsigned token) {
         return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
                std::to_string(tick) + R"(,"baton":)" + std::to_string(token) +
                R"(,"recallS":null,"splits":[]})";
     };
-    ASSERT_EQ(ask(0, "POST", "/agent/beat", beat(1, 0)).response.status, 200);
+    ASSERT_EQ(ask(0, "POST", "/agent/beat", heartbeat(1, 0)).response.status, 200);
     const bool firstLeads = state.keys.at("lead/holder").data.find("rig-0") != std::string::npos;
     const std::size_t leader = firstLeads ? 0 : 1, holder = firstLeads ? 1 : 0;
     const auto terms = lease_delegation::DelegationLimits::from(nodes[holder]->settings);
@@ -383,23 +384,23 @@
     world.scope.spawn(stop(*nodes[leader]->controller, left));
     world.until([&] { return left; });
     unsigned tick = 1;
-    EXPECT_NE(ask(holder, "POST", "/agent/beat", beat(++tick, 1)).response.status, 200);
+    EXPECT_NE(ask(holder, "POST", "/agent/beat", heartbeat(++tick, 1)).response.status, 200);
     world.run(terms.leaderSilence + 500ms);
-    const auto lent = ask(holder, "POST", "/agent/beat", beat(++tick, 1));
-    EXPECT_EQ(lent.response.status, 200);
-    EXPECT_EQ(lent.response.body, R"({"baton":1,"orders":[]})");
-    EXPECT_NE(ask(holder, "POST", "/agent/beat", beat(++tick, 2)).response.status, 200)
+    const auto delegated = ask(holder, "POST", "/agent/beat", heartbeat(++tick, 1));
+    EXPECT_EQ(delegated.response.status, 200);
+    EXPECT_EQ(delegated.response.body, R"({"baton":1,"orders":[]})");
+    EXPECT_NE(ask(holder, "POST", "/agent/beat", heartbeat(++tick, 2)).response.status, 200)
         << "that worker would drop it";
     world.run(terms.maxDuration - terms.leaderSilence - 3s);
-    EXPECT_EQ(ask(holder, "POST", "/agent/beat", beat(++tick, 1)).response.status, 200);
+    EXPECT_EQ(ask(holder, "POST", "/agent/beat", heartbeat(++tick, 1)).response.status, 200);
     world.run(4s);
-    EXPECT_NE(ask(holder, "POST", "/agent/beat", beat(++tick, 1)).response.status, 200);
+    EXPECT_NE(ask(holder, "POST", "/agent/beat", heartbeat(++tick, 1)).response.status, 200);
     EXPECT_NE(ask(holder, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201)
         << "a delegation answers workers only";
     nodes.erase(nodes.begin() + static_cast<std::ptrdiff_t>(leader));
 }
 
-TEST_F(ControllerTest, AWorkerIsAnsweredInTheNameOfALeaderThatIsThereAndMayNotActAnyMore) {
+TEST_F(ControllerTest, DelegateAnswersHeartbeatsForAConnectedLeaderWhoseLeaseHasEnded) {
     // Another node ends in an outage, so that the leader lacks its pledge: connected as it was, it
     // refused what the others passed on, and they refused with it. All leases ran out, 5,050 tasks.
     start(3);
@@ -407,7 +408,7 @@
     state.down = true;
     world.run(2s);
     kill((led + 2) % 3);
-    const auto beat = [](unsigned tick) {
+    const auto heartbeat = [](unsigned tick) {
         return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
                std::to_string(tick) + R"(,"baton":1,"recallS":null,"splits":[]})";
     };
@@ -415,14 +416,15 @@
     world.run(4s + bounds.leaderSilence);
     EXPECT_EQ(ask(led, "GET", "/v1/jobs/run-9").response.status, 503) << "its right has ended";
     for (const std::size_t n : {other, led})
-        EXPECT_EQ(ask(n, "POST", "/agent/beat", beat(static_cast<unsigned>(n) + 1)).response.status,
-                  200)
+        EXPECT_EQ(
+            ask(n, "POST", "/agent/beat", heartbeat(static_cast<unsigned>(n) + 1)).response.status,
+            200)
             << n;
     world.run(bounds.maxDuration);
-    EXPECT_NE(ask(other, "POST", "/agent/beat", beat(9)).response.status, 200) << "to its end";
+    EXPECT_NE(ask(other, "POST", "/agent/beat", heartbeat(9)).response.status, 200) << "to its end";
 }
 
-TEST_F(ControllerTest, ANodeThatPledgedDoesNotCampaignUntilItsWordHasEnded) {
+TEST_F(ControllerTest, NodeDoesNotCampaignUntilItsPledgeHasEnded) {
     start(1);
     kv_store::Client client(world.loop, nodes[0]->settings);
     Scope scope(world.loop);
@@ -452,7 +454,7 @@
     world.end(scope);
 }
 
-TEST_F(ControllerTest, ANodeOnRecordAsAbsentIsNotNeededInAnOutage) {
+TEST_F(ControllerTest, RecordedAbsentNodeIsNotNeededInAStoreOutage) {
     // One silent controller and an outage together once ended every lease: on a day of 25 s
     // without the state service all replicas were killed.
     start(2, 1);
@@ -469,7 +471,7 @@
     EXPECT_EQ(token(), 1U) << "nobody had to take over";
 }
 
-TEST_F(ControllerTest, AFormerLeaderThatIsSilentIsNotNeededInAnOutageRightAfterTheElection) {
+TEST_F(ControllerTest, SilentFormerLeaderIsNotNeededInAStoreOutageRightAfterTheElection) {
     // Its pledge was missing until it had been on record for being silent, 8 s later: an outage
     // before that ended the successor's right, and 1,862 tasks were killed by their lease on a day
     // on which the leader was cut off and everybody lost the state service 4 s later.
@@ -494,7 +496,7 @@
     EXPECT_EQ(state.keys.at("lead/absent").data, R"({"nodes":[]})") << "it is back";
 }
 
-TEST_F(ControllerTest, ANodeThatIsCutOffFromAllButItsUsersSaysThatItCannotServe) {
+TEST_F(ControllerTest, IsolatedNodeReportsThatItIsUnhealthy) {
     // It called itself healthy for as long as that lasted: whoever kept a connection to it was
     // refused all the time, and their jobs counted as forgotten.
     start(3);
@@ -511,7 +513,7 @@
     EXPECT_EQ(ask(0, "GET", "/up").response.status, 200) << "it leads now";
 }
 
-TEST_F(ControllerTest, ANodeOnRecordAsAbsentDoesNotCampaign) {
+TEST_F(ControllerTest, RecordedAbsentNodeDoesNotCampaign) {
     // A leader may act by the pledges of the others alone.
     state.keys["lead/absent"] = {R"({"nodes":["rig-0"]})", 1, 0};
     start(1);
@@ -522,7 +524,7 @@
     EXPECT_TRUE(state.keys.contains("lead/holder"));
 }
 
-TEST_F(ControllerTest, MostNodesAreNeverOnRecordAsAbsent) {
+TEST_F(ControllerTest, MajorityIsNeverRecordedAsAbsent) {
     // Then the silent one is the leader, and those who could follow it must be free to.
     start(1, 3);
     world.run(15s);
@@ -530,7 +532,7 @@
     EXPECT_FALSE(state.keys.contains("lead/absent"));
 }
 
-TEST_F(ControllerTest, ProcessesThatEndEachSecondStillElectALeaderThoughOneNodeNeverSpeaks) {
+TEST_F(ControllerTest, RestartsEverySecondStillElectALeaderWithOneNodeSilent) {
     // Each fresh process waited for 3 s, since it remembers no pledge, or for the word of every
     // other node: with one node silent nobody led as long as the others ended more often than that.
     start(2, 1);
@@ -547,7 +549,7 @@
     }
 }
 
-TEST_F(ControllerTest, AFreshProcessWaitsForALeaderThatItMayHavePledgedTo) {
+TEST_F(ControllerTest, NewProcessWaitsForALeaderThatItMayHavePledgedTo) {
     // The one who was elected last may act by the pledge of this node's former process still.
     state.keys["lead/token"] = {R"({"token":4,"node":"gone-0"})", 1, 0};
     start(1, 1);
@@ -571,7 +573,7 @@
     EXPECT_EQ(token(), 21U);
 }
 
-TEST_F(ControllerTest, ASuccessorOfOnesOwnLeadsByATokenOfItsOwnAtOnce) {
+TEST_F(ControllerTest, RestartedLeaderLeadsAtOnceWithANewToken) {
     start(1, 2);
     ASSERT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
     kill(0);
@@ -582,7 +584,7 @@
     EXPECT_EQ(ask(0, "GET", "/v1/jobs/run-1").response.status, 200);
 }
 
-TEST_F(ControllerTest, ASuccessorRentsUnderNamesOfItsOwnAndIsHealthyFromItsStart) {
+TEST_F(ControllerTest, RestartedLeaderScalesOutUnderNewNamesAndIsHealthyFromItsStart) {
     // A rental of the former process that arrives late must not be answered by this one's name.
     start(1);
     ask(0, "POST", "/v1/jobs", testing::submission("run-1"));
@@ -598,7 +600,7 @@
     for (const auto& name : cloud.bookings) EXPECT_FALSE(before.contains(name)) << name;
 }
 
-TEST_F(ControllerTest, WhatAFormerProcessWroteArrivesTooLateOnceItsSuccessorLeads) {
+TEST_F(ControllerTest, WriteOfAFormerProcessFailsOnceItsSuccessorLeads) {
     start(1);
     state.fault = [](const http::Request& r) -> testing::StateService::Fault {
         if (r.body.find("jobs/run-1") == std::string::npos) return {};
@@ -620,7 +622,7 @@
     EXPECT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
 }
 
-TEST_F(ControllerTest, ALateCampaignOfAFormerProcessLeadsNobody) {
+TEST_F(ControllerTest, LateCampaignOfAFormerProcessElectsNobody) {
     start(1);
     kill(0);
     state.keys.erase("lead/holder");
@@ -639,7 +641,7 @@
     EXPECT_GE(token(), 2U);
 }
 
-TEST_F(ControllerTest, AnElectionStandsThoughItsAnswerIsLostWhileOthersReadIt) {
+TEST_F(ControllerTest, ElectionHoldsThoughItsResponseIsLost) {
     start(3);
     ASSERT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
     const FencingToken before = token();
@@ -664,7 +666,7 @@
     state.fault = nullptr;
 }
 
-TEST_F(ControllerTest, AnEndInAnyPhaseOfATakeOverCostsThatTakeOverOnly) {
+TEST_F(ControllerTest, CrashInAnyPhaseOfATakeoverCostsThatTakeoverOnly) {
     // Before the grant, between grant and key, between key and records, while they load, before the
     // first acceptance and just after: every request takes its time, and the process ends in steps
     // of less than that.
@@ -703,11 +705,11 @@
     EXPECT_LT(interrupted, 35U) << "and after";
 }
 
-TEST_F(ControllerTest, AHolderHandsItsDelegationOnToANodeOfItsZoneThatWasStartedAgain) {
+TEST_F(ControllerTest, DelegateTransfersItsDelegationToARestartedNodeOfItsZone) {
     // A node that has just started holds no delegation: nodes of a cut zone that were started again
     // one after the other left it without any.
     start(3);
-    const auto beat = [](unsigned tick) {
+    const auto heartbeat = [](unsigned tick) {
         return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
                std::to_string(tick) + R"(,"baton":1,"recallS":null,"splits":[]})";
     };
@@ -721,36 +723,36 @@
     kill(first);
     launch(*nodes[first]);
     world.run(terms.leaderSilence + 300ms);
-    EXPECT_EQ(ask(second, "POST", "/agent/beat", beat(++tick)).response.status, 200);
+    EXPECT_EQ(ask(second, "POST", "/agent/beat", heartbeat(++tick)).response.status, 200);
     world.run(1s);
-    EXPECT_EQ(ask(first, "POST", "/agent/beat", beat(++tick)).response.status, 200);
+    EXPECT_EQ(ask(first, "POST", "/agent/beat", heartbeat(++tick)).response.status, 200);
     kill(second);
     launch(*nodes[second]);
     world.run(terms.leaderSilence + 1s);
-    EXPECT_EQ(ask(second, "POST", "/agent/beat", beat(++tick)).response.status, 200);
-    EXPECT_EQ(ask(first, "POST", "/agent/beat", beat(++tick)).response.status, 200);
+    EXPECT_EQ(ask(second, "POST", "/agent/beat", heartbeat(++tick)).response.status, 200);
+    EXPECT_EQ(ask(first, "POST", "/agent/beat", heartbeat(++tick)).response.status, 200);
     EXPECT_NE(ask(first, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
     world.run(terms.maxDuration - terms.leaderSilence * 2 - 2s);
     for (const auto n : {first, second})
-        EXPECT_NE(ask(n, "POST", "/agent/beat", beat(++tick)).response.status, 200) << n;
+        EXPECT_NE(ask(n, "POST", "/agent/beat", heartbeat(++tick)).response.status, 200) << n;
 }
 
-TEST_F(ControllerTest, TheRightToActEndsBeforeTheGrantCan) {
+TEST_F(ControllerTest, LeaseValidityEndsBeforeTheLeaseInTheStore) {
     start(1, 1);  // the other node cannot pledge
-    const Duration life = LeaderElection::leaseTtlFor(nodes[0]->settings);
+    const Duration leaseTtl = LeaderElection::leaseTtlFor(nodes[0]->settings);
     state.down = true;
     const TimePoint from = world.clock.now();
     bool acted = true;
-    while (world.clock.now() - from < life + 1s) {
+    while (world.clock.now() - from < leaseTtl + 1s) {
         world.run(50ms);
         acted = ask(0, "GET", "/v1/jobs/run-9").response.status == 404;
         if (!acted) break;
     }
     EXPECT_FALSE(acted);
-    EXPECT_LT(world.clock.now() - from, life);
+    EXPECT_LT(world.clock.now() - from, leaseTtl);
 }
 
-TEST_F(ControllerTest, WhatWaitedForAnEarlierLeadershipOfTheSameProcessIsRefused) {
+TEST_F(ControllerTest, RequestsWaitingForAnEarlierTermOfTheSameProcessAreRefused) {
     // It leads again within a moment, and has the right to act again: what waited knows less.
     start(1);
     bool hold = true;
@@ -775,7 +777,7 @@
     state.fault = nullptr;  // it looks at what ends here
 }
 
-TEST_F(ControllerTest, ALateRecordOfAbsentNodesIsMendedByWhoeverLeads) {
+TEST_F(ControllerTest, LateAbsentNodesRecordIsCorrectedByTheLeader) {
     // Written without an answer, and carried out seconds later: the node that it names is back.
     start(3);
     const std::size_t away = (leader() + 1) % 3;
@@ -794,7 +796,7 @@
     EXPECT_EQ(token(), 1U);
 }
 
-TEST_F(ControllerTest, AFormerLeadersWriteIsRefused) {
+TEST_F(ControllerTest, FormerLeadersWriteIsRefused) {
     start(1);
     auto settings = nodes[0]->settings;
     kv_store::Client client(world.loop, settings);
@@ -815,7 +817,7 @@
     world.end(scope);
 }
 
-TEST_F(ControllerTest, TheStatusOfFourThousandMachinesHasNoLineOver64KiB) {
+TEST_F(ControllerTest, StatusOfFourThousandMachinesHasNoLineOver64KiB) {
     start(1);
     ASSERT_EQ(leader(), 0U);
     constexpr int count = 4000;
--- a/src/controller/leader_term.h
+++ b/src/controller/leader_term.h
@@ -1,106 +1,82 @@
 #pragma once
+// Everything that exists only while this node leads: made on election, ended on step-down. Owns the
+// cluster's state, the writer of its records, and the routines that schedule, scale, probe and
+// answer users and workers. Guarantees that nothing leaves once the node may not act any more.
+// Made, called and ended by `Controller`.
 #include <memory>
 
-#include "autoscaler/autoscaler.h"
-#include "autoscaler/cloud_client.h"
-#include "kv_store/transaction_writer.h"
-#include "leader_election/leader_election.h"
-#include "scheduler/cluster.h"
-#include "worker_api/command_sender.h"
+#include "controller/job_requests.h"
+#include "controller/term_autoscaling.h"
+#include "controller/term_effects.h"
 
 namespace basaltchute::controller {
 
-/// Everything that exists only while this node leads: made on election, ended on step-down.
-/// Requests that wait on it hold it, so it outlives its duties but never acts after them.
+/// One term of a leader. Requests that wait on it keep it alive, so it outlives its routines but
+/// never acts after them.
 class LeaderTerm {
   public:
-    struct Hooks {
-        worker_api::CommandSender::Relay relay;
-        std::function<void()> loaded;  // from now on requests can be answered
-        std::function<bool(const std::string&)> peerConnected;  // whether that node does
-        Duration sinceUse{};  // of a delegation that this node held
-        /// No node that might lead next is known not to read that format of the stored state.
-        std::function<bool(unsigned format)> allSupportFormat;
-    };
+    /// `guard`: holds only as long as this term's leader key stands. `sinceDelegationUse`: how long
+    /// ago this node last answered as a delegate. What is passed by reference outlives the term.
     LeaderTerm(EventLoop& loop, const settings::Settings& settings,
                const settings::Operator& operatorSettings, kv_store::Client& state,
-               LeaderElection& leadership, kv_store::Precondition guard, Hooks hooks);
+               LeaderElection& leadership, kv_store::Precondition guard,
+               Duration sinceDelegationUse, LeaderTermEnvironment& environment);
+    /// Loads all records, then starts every routine.
     void start();
+    /// Ends every routine. Requests that wait are refused.
     Task<void> end() { return scope_.cancelAndWait(); }
-    /// This process leads, and it is still by this election: elected again within a moment it has
-    /// the right to act, and what an earlier leadership of it knew is old.
-    [[nodiscard]] bool mayAct() const {
-        return election_.leaseValid() && election_.token() == cluster_.token();
-    }
-    [[nodiscard]] bool ready() const { return loaded_ && mayAct(); }
-    [[nodiscard]] bool loaded() const { return loaded_; }
+    /// This process leads, and still by the election that this term began with.
+    [[nodiscard]] bool mayAct() const { return context_.mayAct(); }
+    /// Requests can be answered: all records are loaded and this node may act.
+    [[nodiscard]] bool ready() const { return context_.ready(); }
+    [[nodiscard]] bool loaded() const { return context_.loaded; }
 
-    Task<http::Response> submit(std::string body);
-    Task<http::Response> query(JobId id);
-    Task<http::Response> cancel(JobId id);
+    /// Users' requests: see `JobRequests`.
+    Task<http::Response> submit(std::string body) { return requests_.submit(std::move(body)); }
+    Task<http::Response> query(JobId id) { return requests_.query(std::move(id)); }
+    Task<http::Response> cancel(JobId id) { return requests_.cancel(std::move(id)); }
+    /// 200 with the commands for the machine (none until all records are loaded); 503 if this node
+    /// may not act.
     http::Response handleHeartbeat(const worker_api::StatusReport& report);
-    /// The right to answer for this leader while it is silent; nothing as long as the records are
-    /// not loaded. `delegates`: every node understands what that means.
+    /// A delegation of the right to answer workers while this leader is silent; empty until all
+    /// records are loaded. `delegates`: every node understands delegations; otherwise nothing is
+    /// delegated, and what the request says still counts.
     std::optional<lease_delegation::Delegation> delegate(
-        const lease_delegation::DelegationRequest& question, bool delegates);
-    /// What this node lent to itself: how late it may answer its zone's workers without the right.
+        const lease_delegation::DelegationRequest& request, bool delegates);
+    /// What this node delegated to itself: how late it may answer its zone's workers after its
+    /// lease has ended.
     [[nodiscard]] TimePoint delegatedToSelf() const {
         return delegator_.delegationEndOf(settings_.node);
     }
     [[nodiscard]] const scheduler::Cluster& cluster() const { return cluster_; }
+    /// Records that wait to be written.
     [[nodiscard]] std::size_t backlog() const { return writer_.backlog(); }
-    [[nodiscard]] http::Response serviceUnavailable() const;
 
   private:
     Task<void> load();
+    void applyRecords(const std::vector<kv_store::KeyValue>& records);
+    void startRoutines();
     Task<void> runScheduler();
-    [[nodiscard]] worker_api::CommandSender::Target target(MachineIndex machine) const;
-    Task<void> sendDirectCommands(MachineIndex machine);
-    /// Takes in a report that came as an answer; false if it made this node step down.
-    bool applyAnsweredReport(const std::string& body);
-    /// Asks a silent machine for a report, several times in a row: dead ones are told from late
-    /// ones within a second or two.
-    Task<void> probe(MachineIndex machine);
-    /// Asks a machine that reports without hearing; its silence is no evidence that it is dead.
-    Task<void> probeInbound(MachineIndex machine);
-    Task<void> runAutoscaler();
-    /// Zones whose machines and controllers are silent alike.
-    void detectAwayZones();
-    /// What stands under that key, of jobs or of what was learnt.
+    /// One pass of the scheduler, and what follows from it.
+    void schedule();
+    /// The record of that key as it is to be written: of jobs, or of statistics.
     std::optional<kv_store::EncodedRecord> encode(const std::string& key);
-    /// What was learnt goes on record now and then, for the next leader.
-    Task<void> persistStatistics();
-    Task<void> loadStatistics();
-    Task<void> scaleOut(autoscaler::ScaleOutRequest wanted);
-    /// Keeps up with the cloud's catalogue and list of machines.
-    Task<void> pollCloud();
-    /// Waits for a fact to stand in the state service; false if it cannot soon.
-    template <typename Fact>
-    Task<bool> waitUntilDurable(Fact fact);
-    void wakeScheduler();
-    void flush();
-    /// May be written by now what only version 2 of the stored state holds.
-    Task<bool> enablePages();
-    Task<void> raiseFormat();
-    Task<std::optional<http::Response>> checkDependencies(const JobSpec& spec);
+    void wakeScheduler() { context_.wakeScheduler(); }
 
     EventLoop& loop_;
     const settings::Settings& settings_;
     kv_store::Client& store_;
     LeaderElection& election_;
     Scope scope_;
-    Event recordWritten_, schedulerWoken_, machineUnresponsive_;
+    Event recordWritten_, schedulerWoken_;
     lease_delegation::Delegator delegator_;
     scheduler::Cluster cluster_;
     kv_store::TransactionWriter writer_;
-    autoscaler::CloudClient cloud_;
-    autoscaler::Autoscaler autoscaler_;
-    worker_api::CommandSender commandSender_;
-    std::set<MachineIndex> probing_;
-    std::function<void()> onLoaded_;
-    std::function<bool(const std::string&)> peerConnected_;
-    std::function<bool(unsigned)> allSupportFormat_;
-    bool loaded_ = false, schedulePending_ = false, raisingFormat_ = false;
+    LeaderTermContext context_;
+    MachineCommands commands_;
+    TermEffects effects_;
+    JobRequests requests_;
+    TermAutoscaling autoscaling_;
 };
 
 }  // namespace basaltchute::controller
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -1,3 +1,6 @@
+// The program `basaltchute`: reads its command line and settings, and runs one controller until
+// SIGTERM or SIGINT. Ends with 0 after a shutdown or a successful check of settings, with 1 if the
+// controller cannot run, and with 2 if the command line or the settings are wrong.
 #include <spdlog/spdlog.h>
 
 #include <CLI/CLI.hpp>
@@ -8,8 +11,13 @@
 #include "controller/controller.h"
 #include "runtime/log.h"
 
+namespace settings = basaltchute::settings;
+
 namespace {
 
+constexpr int runFailed = 1;
+constexpr int badUsage = 2;
+
 volatile std::sig_atomic_t endRequested = 0;
 
 void requestEnd(int) {
@@ -22,64 +30,90 @@
         // The signal itself ends the wait in epoll; this looks at the flag now and then.
         co_await loop.sleep(std::chrono::milliseconds(500), scope);
     }
-    spdlog::info("ending on a signal");
+    spdlog::info("shutting down reason=signal");
     co_await controller.shutDown();
 }
 
-}  // namespace
+struct Options {
+    std::string configPath, checkPath, operatorPath;
+};
 
-namespace settings = basaltchute::settings;
-
-int main(int argc, char** argv) {
-    CLI::App cli{"basaltchute: a cluster scheduler. Runs one controller."};
-    std::string config, check, operatorPath;
-    cli.add_option("--config", config, "Run with this settings file (JSON)")->type_name("FILE");
-    cli.add_option("--check-config", check, "Check a settings file and exit")->type_name("FILE");
-    cli.add_option("--operator", operatorPath,
+void declareOptions(CLI::App& cli, Options& options) {
+    cli.add_option("--config", options.configPath, "Run with this settings file (JSON)")
+        ->type_name("FILE");
+    cli.add_option("--check-config", options.checkPath, "Check a settings file and exit")
+        ->type_name("FILE");
+    cli.add_option("--operator", options.operatorPath,
                    "The operators' own settings (JSON, by deploy/operator.schema.json)")
         ->type_name("FILE");
     cli.set_version_flag("--version", "basaltchute " BASALTCHUTE_VERSION);
-    CLI11_PARSE(cli, argc, argv);
-    if (config.empty() && check.empty()) {
-        std::cerr << cli.help();
-        return 2;
-    }
-    basaltchute::configureLogging("basaltchute");
-    const std::string path = config.empty() ? check : config;
+}
+
+/// The settings of that file; what is wrong with it goes to standard error.
+std::optional<settings::Settings> loadSettings(const std::string& path) {
     auto loaded = settings::load(path);
     if (const auto* error = std::get_if<settings::Error>(&loaded)) {
         std::cerr << path << ": " << *error << '\n';
-        return 2;
+        return std::nullopt;
     }
-    const auto& platform = std::get<settings::Settings>(loaded);
-    settings::Operator operatorSettings;
-    if (!operatorPath.empty()) {
-        auto own = settings::loadOperator(operatorPath, platform);
-        if (const auto* error = std::get_if<settings::Error>(&own)) {
-            std::cerr << operatorPath << ": " << *error << '\n';
-            return 2;
-        }
-        operatorSettings = std::get<settings::Operator>(std::move(own));
+    return std::get<settings::Settings>(std::move(loaded));
+}
+
+/// Likewise the operators' own settings; the defaults without a file.
+std::optional<settings::Operator> loadOperatorSettings(const std::string& path,
+                                                       const settings::Settings& platform) {
+    if (path.empty()) return settings::Operator{};
+    auto loaded = settings::loadOperator(path, platform);
+    if (const auto* error = std::get_if<settings::Error>(&loaded)) {
+        std::cerr << path << ": " << *error << '\n';
+        return std::nullopt;
     }
-    if (config.empty()) return 0;
+    return std::get<settings::Operator>(std::move(loaded));
+}
 
+void handleSignals() {
     std::signal(SIGTERM, requestEnd);
     std::signal(SIGINT, requestEnd);
     std::signal(SIGPIPE, SIG_IGN);
+}
+
+int run(settings::Settings platform, settings::Operator operatorSettings) {
+    handleSignals();
     try {
         const basaltchute::SystemClock clock;
         basaltchute::EventLoop loop(clock);
         basaltchute::Scope scope(loop);
         std::random_device random;
         const std::string incarnation = std::to_string(random()) + std::to_string(random());
-        basaltchute::controller::Controller controller(loop, platform, std::move(operatorSettings),
-                                                       incarnation);
+        basaltchute::controller::Controller controller(loop, std::move(platform),
+                                                       std::move(operatorSettings), incarnation);
         controller.start();
         loop.spawn(waitForEnd(loop, scope, controller));
         loop.run();
     } catch (const std::exception& e) {
-        spdlog::critical("cannot run: {}", e.what());
-        return 1;
+        spdlog::critical("controller failed error={}", e.what());
+        return runFailed;
     }
     return 0;
 }
+
+}  // namespace
+
+int main(int argc, char** argv) {
+    CLI::App cli{"basaltchute: a cluster scheduler. Runs one controller."};
+    Options options;
+    declareOptions(cli, options);
+    CLI11_PARSE(cli, argc, argv);
+    const bool checkOnly = options.configPath.empty();
+    if (checkOnly && options.checkPath.empty()) {
+        std::cerr << cli.help();
+        return badUsage;
+    }
+    basaltchute::configureLogging("basaltchute");
+    auto platform = loadSettings(checkOnly ? options.checkPath : options.configPath);
+    if (!platform) return badUsage;
+    auto operatorSettings = loadOperatorSettings(options.operatorPath, *platform);
+    if (!operatorSettings) return badUsage;
+    if (checkOnly) return 0;
+    return run(std::move(*platform), std::move(*operatorSettings));
+}
--- a/src/controller/wire_format_test.cpp
+++ b/src/controller/wire_format_test.cpp
@@ -59,7 +59,7 @@
     }
 };
 
-const std::string beatStart =
+const std::string heartbeatStart =
     R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,)";
 
 TEST_F(ControllerWireFormat, UserErrorResponses) {
@@ -102,27 +102,27 @@
     EXPECT_EQ(ask("POST", "/v1/jobs", testing::submission("run-1")), "201 " + pending);
     EXPECT_EQ(ask("POST", "/v1/jobs", testing::submission("run-1")), "200 " + pending);
     EXPECT_EQ(ask("GET", "/v1/jobs/run-1"), "200 " + pending);
-    EXPECT_EQ(ask("POST", "/agent/beat", beatStart + R"("tick":1,"splits":[]})"),
+    EXPECT_EQ(ask("POST", "/agent/beat", heartbeatStart + R"("tick":1,"splits":[]})"),
               R"(200 {"baton":1,"orders":[]})");
     world.run(1s);
-    EXPECT_EQ(ask("POST", "/agent/beat", beatStart + R"("tick":2,"splits":[]})"),
+    EXPECT_EQ(ask("POST", "/agent/beat", heartbeatStart + R"("tick":2,"splits":[]})"),
               R"(200 {"baton":1,"orders":[{"verb":"launch","split":"run-1/0","try":1},)"
               R"({"verb":"launch","split":"run-1/1","try":1}]})");
-    const auto beat = [&](int sequence, const std::string& first, const std::string& second) {
+    const auto heartbeat = [&](int sequence, const std::string& first, const std::string& second) {
         return ask("POST", "/agent/beat",
-                   beatStart + R"("tick":)" + std::to_string(sequence) +
+                   heartbeatStart + R"("tick":)" + std::to_string(sequence) +
                        R"(,"baton":1,"splits":[{"split":"run-1/0","try":1,)" + first +
                        R"(},{"split":"run-1/1","try":1,)" + second + "}]}");
     };
     const std::string running = R"("status":"running")";
     const std::string done = R"("status":"exited","cause":"done")";
-    EXPECT_EQ(beat(3, running, running), R"(200 {"baton":1,"orders":[]})");
+    EXPECT_EQ(heartbeat(3, running, running), R"(200 {"baton":1,"orders":[]})");
     EXPECT_EQ(ask("GET", "/v1/jobs/run-1"),
               R"(200 {"ref":"run-1","status":"running","done":0,"running":2})");
-    beat(4, done, running);
+    heartbeat(4, done, running);
     EXPECT_EQ(ask("GET", "/v1/jobs/run-1"),
               R"(200 {"ref":"run-1","status":"running","done":1,"running":1})");
-    beat(5, done, done);
+    heartbeat(5, done, done);
     world.run(2s);
     EXPECT_EQ(ask("GET", "/v1/jobs/run-1"),
               R"(200 {"ref":"run-1","status":"done","done":2,"running":0})");
@@ -152,7 +152,7 @@
     start();
     EXPECT_EQ(ask("GET", "/v1/jobs/run-1"),
               R"(503 Retry-After 1 {"error":"no leader at the moment"})");
-    EXPECT_EQ(ask("POST", "/agent/beat", beatStart + R"("tick":1,"splits":[]})"),
+    EXPECT_EQ(ask("POST", "/agent/beat", heartbeatStart + R"("tick":1,"splits":[]})"),
               R"(503 Retry-After 1 {"error":"no leader at the moment"})");
     EXPECT_EQ(ask("GET", "/status"), R"(200 {"node":"rig-0","leading":false,"connections":1})");
 }
@@ -181,7 +181,7 @@
     start();
     ask("POST", "/v1/jobs", testing::submission("run-1"));
     ask("POST", "/v1/jobs", testing::submission("run-2", R"(,"waitsOn":["run-1"])"));
-    ask("POST", "/agent/beat", beatStart + R"("tick":1,"splits":[]})");
+    ask("POST", "/agent/beat", heartbeatStart + R"("tick":1,"splits":[]})");
     world.run(1s);
     EXPECT_EQ(ask("GET", "/status"),
               R"(200 {"node":"rig-0","leading":true,"leader":"rig-0","token":1,"connections":1,)"
--- a/src/peer_rpc/peer_rpc.cpp
+++ b/src/peer_rpc/peer_rpc.cpp
@@ -153,8 +153,31 @@
     return DecodeStatus::message;
 }
 
-PeerRpc::PeerRpc(EventLoop& loop, const settings::Settings& s, Hooks hooks)
-    : loop_(loop), listen_(s.meshListen), peers_(s.peers), hooks_(std::move(hooks)) {}
+int relayFailureStatus(RelayFailure failure) {
+    switch (failure) {
+        case RelayFailure::targetUnreachable:
+            return 502;
+        case RelayFailure::noPeer:
+            return 503;
+        case RelayFailure::outcomeUnknown:
+            break;
+    }
+    return 504;
+}
+
+http::Response relayFailureResponse(RelayFailure failure) {
+    return {relayFailureStatus(failure), "{}"};
+}
+
+std::optional<RelayFailure> relayFailureOf(int status) {
+    for (const RelayFailure failure :
+         {RelayFailure::targetUnreachable, RelayFailure::noPeer, RelayFailure::outcomeUnknown})
+        if (relayFailureStatus(failure) == status) return failure;
+    return std::nullopt;
+}
+
+PeerRpc::PeerRpc(EventLoop& loop, const settings::Settings& s, PeerRequestHandler& handler)
+    : loop_(loop), listen_(s.meshListen), peers_(s.peers), handler_(handler) {}
 
 void PeerRpc::start(Scope& scope) {
     listener_ = std::make_unique<Listener>(loop_, listen_);
@@ -195,7 +218,7 @@
 
 void PeerRpc::sendHello(Link& link) {
     Message m;
-    m.hello = hooks_.hello();
+    m.hello = handler_.makeHello();
     send(link, m);
 }
 
@@ -249,7 +272,7 @@
                 if (m.hello) {
                     link->hello = *m.hello;
                     supportsTransfers_[m.hello->node] = m.hello->supportsTransfers;
-                    hooks_.helloReceived(*m.hello);
+                    handler_.helloReceived(*m.hello);
                 }
                 continue;
             }
@@ -294,7 +317,7 @@
         old.broken = true;
         old.socket->shutDown();
     }
-    hooks_.helloReceived(hello);
+    handler_.helloReceived(hello);
 }
 
 Task<void> PeerRpc::serve(std::shared_ptr<Link> link, Scope& scope) {
@@ -320,12 +343,12 @@
     Message m;
     m.id = asked.id;
     if (asked.delegationRequest) {
-        m.delegation = hooks_.handleDelegationRequest(*asked.delegationRequest);
+        m.delegation = handler_.handleDelegationRequest(*asked.delegationRequest);
         if (!m.delegation) co_return;
     } else if (asked.pledge) {
-        m.reply = http::Response{hooks_.handlePledge(*asked.pledge) ? 200 : 409, ""};
+        m.reply = http::Response{handler_.handlePledge(*asked.pledge) ? 200 : 409, ""};
     } else {
-        http::Response response = co_await hooks_.handleRequest(
+        http::Response response = co_await handler_.handleRequest(
             asked.purpose, std::move(*asked.request), std::move(asked.worker));
         m.reply = std::move(response);
     }
@@ -399,7 +422,7 @@
     co_return pending->delegation;
 }
 
-std::string PeerRpc::peersHearingLeader(FencingToken token) const {
+std::string PeerRpc::peerConnectedTo(FencingToken token) const {
     for (const auto& [node, link] : links_)
         if (connected(node) && link->hello && link->hello->knownLeaderToken == token) return node;
     return "";
@@ -420,7 +443,7 @@
     });
 }
 
-bool PeerRpc::allHandOn() const {
+bool PeerRpc::allSupportTransfers() const {
     return std::all_of(peers_.begin(), peers_.end(), [&](const auto& p) {
         const auto said = supportsTransfers_.find(p.name);
         return said != supportsTransfers_.end() && said->second;
@@ -435,9 +458,9 @@
     }
 }
 
-Task<PeerRpc::Detoured> PeerRpc::relayToAgent(std::string zone, std::string worker,
-                                              http::Request request, Duration timeout,
-                                              Scope& scope) {
+Task<PeerRpc::RelayedOutcome> PeerRpc::relayToAgent(std::string zone, std::string worker,
+                                                    http::Request request, Duration timeout,
+                                                    Scope& scope) {
     // One peer only: with a second one asked as well, the first one's copy might be executed late
     // although the answer seems to settle it.
     std::vector<std::string> near, all;
@@ -446,7 +469,10 @@
         all.push_back(p.name);
         if (p.zone == zone) near.push_back(p.name);
     }
-    if (all.empty()) co_return Detoured{{false, false, {503, ""}}, false};
+    if (all.empty()) {
+        const int status = relayFailureStatus(RelayFailure::noPeer);
+        co_return RelayedOutcome{{false, false, {status, ""}}, false};
+    }
     const auto& some = near.empty() ? all : near;
     const std::string by = some[nextId_ % some.size()];  // by turns: it is work for them
     Message m;
@@ -456,11 +482,11 @@
     auto pending = enqueueRequest(by, std::move(m));
     auto o = co_await await(pending, loop_.now() + timeout, scope);
     if (o.answered) {
-        // 502: it did not reach the worker at all; 504: the worker may have got it.
-        o.sent = o.response.status != 502;
-        o.answered = o.sent && o.response.status != 504;
+        const auto failure = relayFailureOf(o.response.status);
+        o.sent = failure != RelayFailure::targetUnreachable;
+        o.answered = o.sent && failure != RelayFailure::outcomeUnknown;
     }
-    co_return Detoured{std::move(o), !near.empty()};
+    co_return RelayedOutcome{std::move(o), !near.empty()};
 }
 
 Task<http::RequestOutcome> PeerRpc::relayToStore(http::Request request, Duration timeout,
@@ -470,8 +496,11 @@
         if (!connected(p.name)) continue;
         http::Request copy = request;
         auto o = co_await forward(p.name, std::move(copy), timeout, scope, Purpose::stateService);
-        // 502: that node did not get an answer either.
-        if (o.answered && o.response.status != 503 && o.response.status != 502) co_return o;
+        // Either of the two: that node did not get a response from the state service either.
+        const auto failure = relayFailureOf(o.response.status);
+        const bool failed =
+            failure == RelayFailure::noPeer || failure == RelayFailure::targetUnreachable;
+        if (o.answered && !failed) co_return o;
         last.sent = last.sent || o.sent;
     }
     co_return last;
--- a/src/peer_rpc/peer_rpc.h
+++ b/src/peer_rpc/peer_rpc.h
@@ -48,23 +48,46 @@
 enum class DecodeStatus { needMore, message, broken };
 DecodeStatus decode(std::string& data, Message& into);
 
+/// Why a peer's reply to a relayed request is not the target's. Each is one HTTP status on the
+/// wire, and a target that gives such a status itself is taken for one of them.
+enum class RelayFailure {
+    targetUnreachable,  // 502: the target did not get the request, or the relay got no response
+    noPeer,             // 503: no peer was connected to relay it; never sent by a peer
+    outcomeUnknown,     // 504: the target may have got the request, and did not respond
+};
+/// The status that stands for the failure.
+int relayFailureStatus(RelayFailure failure);
+/// The peer's reply that says so.
+http::Response relayFailureResponse(RelayFailure failure);
+/// The failure that a status stands for; empty for every other status.
+std::optional<RelayFailure> relayFailureOf(int status);
+
+/// Answers what other controllers send to this one. Implemented by the controller; it outlives the
+/// connections, and none of its functions is called before `PeerRpc::start`.
+class PeerRequestHandler {
+  public:
+    virtual ~PeerRequestHandler() = default;
+    /// What this node says of itself at this moment; called for each hello that is sent.
+    virtual Hello makeHello() = 0;
+    /// A peer has said hello, on a connection that either side dialled.
+    virtual void helloReceived(const Hello& hello) = 0;
+    /// A request that a peer forwards or has this node relay. `worker`: the address of the worker
+    /// that it is for, empty for the other purposes.
+    virtual Task<http::Response> handleRequest(Purpose purpose, http::Request request,
+                                               std::string worker) = 0;
+    /// True if this node pledges not to campaign for that long.
+    virtual bool handlePledge(const Pledge& pledge) = 0;
+    /// A delegation for the node that asks. Empty, and then not answered, if this node does not
+    /// lead, or not yet, and has none to transfer.
+    virtual std::optional<lease_delegation::Delegation> handleDelegationRequest(
+        const lease_delegation::DelegationRequest& request) = 0;
+};
+
 /// Connections between the controllers: each node dials every other and speaks on the
 /// connection it dialled; answers come back on the same one.
 class PeerRpc {
   public:
-    struct Hooks {
-        std::function<Hello()> hello;
-        std::function<void(const Hello&)> helloReceived;
-        /// `worker`: its address, for the purpose of that name.
-        std::function<Task<http::Response>(Purpose, http::Request, std::string worker)>
-            handleRequest;
-        std::function<bool(const Pledge&)> handlePledge;
-        /// Nothing if this node does not lead, or not yet, and has nothing to hand on.
-        std::function<std::optional<lease_delegation::Delegation>(
-            const lease_delegation::DelegationRequest&)>
-            handleDelegationRequest;
-    };
-    PeerRpc(EventLoop& loop, const settings::Settings& settings, Hooks hooks);
+    PeerRpc(EventLoop& loop, const settings::Settings& settings, PeerRequestHandler& handler);
     void start(Scope& scope);
     Task<http::RequestOutcome> forward(std::string node, http::Request request, Duration timeout,
                                        Scope& scope, Purpose purpose = Purpose::leader);
@@ -76,12 +99,12 @@
         std::string node, lease_delegation::DelegationRequest question, Duration timeout,
         Scope& scope);
     /// A connected node that said it hears the leader with that token; empty if there is none.
-    [[nodiscard]] std::string peersHearingLeader(FencingToken token) const;
+    [[nodiscard]] std::string peerConnectedTo(FencingToken token) const;
     /// Whether that node understands delegations, as it last said.
     [[nodiscard]] bool supportsDelegations(const std::string& node) const;
     /// Whether every other node has said, the last time that it was heard, that it reckons with
     /// delegations that are handed on: any of them may lead next.
-    [[nodiscard]] bool allHandOn() const;
+    [[nodiscard]] bool allSupportTransfers() const;
     /// Whether every other node has said that it knows that format of the stored state, but for
     /// those that have not been reached for so long.
     [[nodiscard]] bool allSupportFormat(unsigned format, Duration absentAfter) const;
@@ -90,14 +113,14 @@
     /// Through whichever other node reaches the state service.
     Task<http::RequestOutcome> relayToStore(http::Request request, Duration timeout, Scope& scope);
     /// Through a peer to a worker: one in that zone if there is one, since it may be cut off.
-    /// `sent` if the peer may have passed it on without an answer. The status of what is not
-    /// answered tells whether the worker was tried: 502 and 504 from a peer, 503 for want of one.
-    struct Detoured {
+    /// `sent` if the peer may have relayed it without a response. The status of what is not
+    /// answered tells whether the worker was tried (`RelayFailure`).
+    struct RelayedOutcome {
         http::RequestOutcome outcome;
-        bool near = false;  // by a node in the worker's zone: a cut of that zone is no excuse
+        bool sameZone = false;  // by a node in the worker's zone: a partition of it is no excuse
     };
-    Task<Detoured> relayToAgent(std::string zone, std::string worker, http::Request request,
-                                Duration timeout, Scope& scope);
+    Task<RelayedOutcome> relayToAgent(std::string zone, std::string worker, http::Request request,
+                                      Duration timeout, Scope& scope);
     /// Another node leads and is ready: what was passed on to a former leader is not waited for any
     /// longer.
     void retryPendingAt(const std::string& node);
@@ -144,7 +167,7 @@
     EventLoop& loop_;
     std::string listen_;
     std::vector<settings::Peer> peers_;
-    Hooks hooks_;
+    PeerRequestHandler& handler_;
     std::unique_ptr<Listener> listener_;
     std::map<std::string, std::shared_ptr<Link>> links_;
     std::map<std::string, TimePoint> lastHeardAt_;   // on connections that have ended
--- a/src/peer_rpc/peer_rpc_test.cpp
+++ b/src/peer_rpc/peer_rpc_test.cpp
@@ -9,6 +9,29 @@
 
 using namespace std::chrono_literals;
 
+/// Says hello, follows nobody, and keeps whoever forwards a request waiting for a minute.
+class SlowHandler final : public PeerRequestHandler {
+  public:
+    SlowHandler(testing::World& world, Hello hello) : world_(world), hello_(std::move(hello)) {}
+    Hello makeHello() override { return hello_; }
+    void helloReceived(const Hello&) override {}
+    Task<http::Response> handleRequest(Purpose, http::Request, std::string) override {
+        ++requests;
+        co_await world_.loop.sleep(60s, world_.scope);
+        co_return http::Response{};
+    }
+    bool handlePledge(const Pledge&) override { return false; }
+    std::optional<lease_delegation::Delegation> handleDelegationRequest(
+        const lease_delegation::DelegationRequest&) override {
+        return std::nullopt;
+    }
+    int requests = 0;
+
+  private:
+    testing::World& world_;
+    Hello hello_;
+};
+
 TEST(PeerRpc, FramesComeBackWholeHoweverTheyAreCut) {
     Message m;
     m.id = 7;
@@ -44,22 +67,10 @@
     }
     settings[0].peers = {{"rig-1", "a", settings[1].meshListen}};
     settings[1].peers = {{"rig-0", "a", settings[0].meshListen}};
-    int asked = 0;
+    std::vector<std::unique_ptr<SlowHandler>> handlers;
     for (auto& s : settings) {
-        nodes.push_back(std::make_unique<PeerRpc>(
-            world.loop, s,
-            PeerRpc::Hooks{
-                [&s] {
-                    return Hello{s.node, false, 0, false};
-                },
-                [](const Hello&) {},
-                [&](Purpose, http::Request, std::string) -> Task<http::Response> {
-                    ++asked;
-                    co_await world.loop.sleep(60s, world.scope);
-                    co_return http::Response{};
-                },
-                [](const Pledge&) { return false; },
-                [](const lease_delegation::DelegationRequest&) { return std::nullopt; }}));
+        handlers.push_back(std::make_unique<SlowHandler>(world, Hello{s.node, false, 0, false}));
+        nodes.push_back(std::make_unique<PeerRpc>(world.loop, s, *handlers.back()));
         nodes.back()->start(world.scope);
     }
     world.run(1s);
@@ -74,7 +85,7 @@
             flag = true;
         }(*nodes[0], world.scope, out, done));
     world.run(500ms);
-    EXPECT_EQ(asked, 1);
+    EXPECT_EQ(handlers[0]->requests + handlers[1]->requests, 1);
     nodes[0]->retryPendingAt("rig-1");
     world.run(100ms);
     EXPECT_FALSE(done) << "it leads still";
@@ -96,21 +107,16 @@
     far.meshListen = testing::freeAddress();
     near.peers = {{"rig-1", "a", far.meshListen}};
     far.peers = {{"rig-0", "a", near.meshListen}};
-    const auto hooks = [&](std::string node, std::string process) {
-        return PeerRpc::Hooks{
-            [=] { return Hello{node, false, 0, false, 0, true, true, process}; },
-            [](const Hello&) {},
-            [&](Purpose, http::Request, std::string) -> Task<http::Response> {
-                co_await world.loop.sleep(60s, world.scope);
-                co_return http::Response{};
-            },
-            [](const Pledge&) { return false; },
-            [](const lease_delegation::DelegationRequest&) { return std::nullopt; }};
+    const auto hello = [](const char* node, const char* process) {
+        return Hello{node, false, 0, false, 0, true, true, process};
     };
-    PeerRpc here(world.loop, near, hooks("rig-0", "1"));
+    SlowHandler handlerHere(world, hello("rig-0", "1"));
+    SlowHandler handlerBefore(world, hello("rig-1", "2"));
+    SlowHandler handlerAfter(world, hello("rig-1", "3"));
+    PeerRpc here(world.loop, near, handlerHere);
     here.start(world.scope);
     // The former process: its listener stays open, as a connection that was never reset does.
-    PeerRpc before(world.loop, far, hooks("rig-1", "2"));
+    PeerRpc before(world.loop, far, handlerBefore);
     before.start(world.scope);
     world.run(1s);
     ASSERT_TRUE(here.connected("rig-1"));
@@ -125,7 +131,7 @@
     world.run(100ms);
     auto again = far;
     again.meshListen = testing::freeAddress();
-    PeerRpc after(world.loop, again, hooks("rig-1", "3"));
+    PeerRpc after(world.loop, again, handlerAfter);
     const TimePoint since = world.clock.now();
     after.start(world.scope);
     world.until([&] { return done; });
