--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -93,7 +93,7 @@
     auto relayed = co_await peers_.relayToAgent(std::move(target.zone), std::move(target.address),
                                                 std::move(request), timeout, scope);
     co_return worker_api::CommandSender::RelayedOutcome{std::move(relayed.outcome),
-                                                        relayed.sameZone};
+                                                        relayed.sameZone, relayed.failure};
 }
 
 void Controller::recordsLoaded() {
--- a/src/controller/machine_commands.cpp
+++ b/src/controller/machine_commands.cpp
@@ -57,16 +57,16 @@
         "POST", "/commands",
         worker_api::encodeCommands(context_.cluster.token(), incarnation, commands)};
     auto to = target(machine);
-    auto result = co_await sender_.send(std::move(to), std::move(request), commandTimeout, false,
-                                        context_.scope);
+    auto result = co_await sender_.send(std::move(to), std::move(request), commandTimeout,
+                                        RelayPolicy::whenPathFails, context_.scope);
     co_return result;
 }
 
 Task<MachineCommands::SendResult> MachineCommands::requestReport(MachineIndex machine) {
     http::Request request{"GET", "/inspect", ""};
     auto to = target(machine);
-    auto result = co_await sender_.send(std::move(to), std::move(request), probeTimeout, true,
-                                        context_.scope);
+    auto result = co_await sender_.send(std::move(to), std::move(request), probeTimeout,
+                                        RelayPolicy::whenUnanswered, context_.scope);
     co_return result;
 }
 
--- a/src/controller/machine_commands.h
+++ b/src/controller/machine_commands.h
@@ -29,6 +29,7 @@
 
   private:
     using SendResult = worker_api::CommandSender::SendResult;
+    using RelayPolicy = worker_api::CommandSender::RelayPolicy;
     [[nodiscard]] worker_api::CommandSender::Target target(MachineIndex machine) const;
     Task<SendResult> sendCommands(MachineIndex machine, std::vector<worker_api::Command> commands);
     Task<SendResult> requestReport(MachineIndex machine);
--- a/src/peer_rpc/peer_rpc_test.cpp
+++ b/src/peer_rpc/peer_rpc_test.cpp
@@ -32,28 +32,27 @@
     Hello hello_;
 };
 
-TEST(PeerRpc, FramesComeBackWholeHoweverTheyAreCut) {
-    Message m;
-    m.id = 7;
-    m.request = http::Request{"POST", "/v1/jobs", std::string(5000, 'x')};
-    Message greeting;
-    greeting.hello = Hello{"rig-1", true, 9};
-    const std::string wire = encode(m) + encode(greeting);
+TEST(PeerRpc, FramesAreDecodedWhicheverWayTheyAreSplit) {
+    const RequestMessage request{7, {"POST", "/v1/jobs", std::string(5000, 'x')}};
+    const Hello hello{"rig-1", true, 9};
+    const std::string wire = encode(request) + encode(hello);
     std::string data;
-    std::vector<Message> got;
+    std::vector<Message> messages;
     for (const char c : wire) {
         data += c;
         Message out;
-        if (decode(data, out) == DecodeStatus::message) got.push_back(std::move(out));
+        if (decode(data, out) == DecodeStatus::message) messages.push_back(std::move(out));
     }
-    ASSERT_EQ(got.size(), 2U);
-    EXPECT_EQ(got[0].request->body.size(), 5000U);
-    EXPECT_EQ(got[0].id, 7U);
-    EXPECT_EQ(got[1].hello->token, 9U);
+    ASSERT_EQ(messages.size(), 2U);
+    ASSERT_TRUE(std::holds_alternative<RequestMessage>(messages[0]));
+    EXPECT_EQ(std::get<RequestMessage>(messages[0]).request.body.size(), 5000U);
+    EXPECT_EQ(std::get<RequestMessage>(messages[0]).id, 7U);
+    ASSERT_TRUE(std::holds_alternative<Hello>(messages[1]));
+    EXPECT_EQ(std::get<Hello>(messages[1]).token, 9U);
     EXPECT_TRUE(data.empty());
 }
 
-TEST(PeerRpc, WhatASilentLeaderWasAskedIsNotWaitedForOnceAnotherOneIsReady) {
+TEST(PeerRpc, RequestsToASilentLeaderAreAbandonedOnceAnotherLeaderIsReady) {
     // A leader that stands still keeps its connections: requests passed on to it timed out with
     // their users, long after another node had taken over.
     testing::World world;
@@ -96,7 +95,7 @@
     world.end(world.scope);
 }
 
-TEST(PeerRpc, AConnectionToAProcessThatIsGoneIsGivenUpOnceItsSuccessorGreets) {
+TEST(PeerRpc, ConnectionToAFormerProcessIsClosedOnceItsSuccessorSaysHello) {
     // In a cut the end of a process does not come through. Its successor is back within a fraction
     // of a second, but what was passed on to the former one waited for its silence to be noticed.
     testing::World world;
@@ -141,29 +140,30 @@
     world.end(world.scope);
 }
 
-TEST(PeerRpc, DelegationsComeBackAsTheyWereAndAGreetingWithoutThemIsAnOlderNodes) {
-    Message ask, give, old, out;
-    ask.id = give.id = 3;
-    ask.delegationRequest = lease_delegation::DelegationRequest{"rig-1", 7, 41, 90s};
-    give.delegation = lease_delegation::Delegation{7, 42, 30s};
-    std::string data = encode(ask) + encode(give);
+TEST(PeerRpc, DelegationsAreDecodedAndAHelloWithoutThemIsAnOlderVersions) {
+    const DelegationRequestMessage request{3, {"rig-1", 7, 41, 90s}};
+    const DelegationMessage reply{3, {7, 42, 30s}};
+    std::string data = encode(request) + encode(reply);
+    Message out;
     ASSERT_EQ(decode(data, out), DecodeStatus::message);
-    ASSERT_TRUE(out.delegationRequest);
-    EXPECT_EQ(out.delegationRequest->node, "rig-1");
-    EXPECT_EQ(out.delegationRequest->number, 41U);
-    EXPECT_EQ(out.delegationRequest->sinceUse, 90s);
+    ASSERT_TRUE(std::holds_alternative<DelegationRequestMessage>(out));
+    const auto& readRequest = std::get<DelegationRequestMessage>(out).request;
+    EXPECT_EQ(readRequest.node, "rig-1");
+    EXPECT_EQ(readRequest.number, 41U);
+    EXPECT_EQ(readRequest.sinceUse, 90s);
     ASSERT_EQ(decode(data, out), DecodeStatus::message);
-    ASSERT_TRUE(out.delegation);
-    EXPECT_EQ(out.delegation->number, 42U);
-    EXPECT_EQ(out.delegation->duration, 30s);
-    old.hello = Hello{"rig-2", true, 9, true};
-    data = encode(old);
+    ASSERT_TRUE(std::holds_alternative<DelegationMessage>(out));
+    EXPECT_EQ(std::get<DelegationMessage>(out).delegation.number, 42U);
+    EXPECT_EQ(std::get<DelegationMessage>(out).delegation.duration, 30s);
+    data = encode(Hello{"rig-2", true, 9, true});
     ASSERT_EQ(decode(data, out), DecodeStatus::message);
-    EXPECT_FALSE(out.hello->supportsDelegations);
-    EXPECT_FALSE(out.hello->supportsTransfers);
-    EXPECT_EQ(out.hello->incarnation, "");
-    EXPECT_EQ(out.hello->storedFormat, 1U);
-    EXPECT_EQ(out.hello->knownLeaderToken, 0U);
+    ASSERT_TRUE(std::holds_alternative<Hello>(out));
+    const auto& hello = std::get<Hello>(out);
+    EXPECT_FALSE(hello.supportsDelegations);
+    EXPECT_FALSE(hello.supportsTransfers);
+    EXPECT_EQ(hello.incarnation, "");
+    EXPECT_EQ(hello.storedFormat, 1U);
+    EXPECT_EQ(hello.knownLeaderToken, 0U);
 }
 
 TEST(PeerRpc, MalformedAndOversizedFramesAreBroken) {
@@ -183,18 +183,16 @@
     // Nothing in a frame grows with the number of machines: lists come in pages of 512 KiB at most,
     // requests and their responses are of 64 KiB at most.
     constexpr std::size_t largestPage = 512 * 1024, envelope = 64 * 1024;
-    Message reply;
-    reply.id = 1;
-    reply.reply = http::Response{200, std::string(largestPage + envelope, 'x')};
-    Message heartbeat;
-    heartbeat.id = 2;
-    heartbeat.request = http::Request{"POST", "/agent/beat", std::string(64 * 1024, 'x')};
+    const ReplyMessage reply{1, {200, std::string(largestPage + envelope, 'x')}};
+    const RequestMessage heartbeat{2, {"POST", "/agent/beat", std::string(64 * 1024, 'x')}};
     std::string data = encode(reply) + encode(heartbeat);
-    Message got;
-    ASSERT_EQ(decode(data, got), DecodeStatus::message);
-    EXPECT_EQ(got.reply->body.size(), largestPage + envelope);
-    ASSERT_EQ(decode(data, got), DecodeStatus::message);
-    EXPECT_EQ(got.request->body.size(), 64U * 1024);
+    Message out;
+    ASSERT_EQ(decode(data, out), DecodeStatus::message);
+    ASSERT_TRUE(std::holds_alternative<ReplyMessage>(out));
+    EXPECT_EQ(std::get<ReplyMessage>(out).response.body.size(), largestPage + envelope);
+    ASSERT_EQ(decode(data, out), DecodeStatus::message);
+    ASSERT_TRUE(std::holds_alternative<RequestMessage>(out));
+    EXPECT_EQ(std::get<RequestMessage>(out).request.body.size(), 64U * 1024);
     EXPECT_TRUE(data.empty());
 }
 
--- a/src/peer_rpc/wire_format_test.cpp
+++ b/src/peer_rpc/wire_format_test.cpp
@@ -3,7 +3,7 @@
 // fails here.
 #include <gtest/gtest.h>
 
-#include "peer_rpc/peer_rpc.h"
+#include "peer_rpc/message.h"
 
 namespace basaltchute::peer_rpc {
 namespace {
@@ -41,12 +41,12 @@
         "60000000000000000b0000000000000001000100000000000000000000000000030002000f000300"
         "0000000008070605040302011817161514131211050000003200000005000000520000007269672d"
         "3100000070726f636573732d3700000000000000";
-    Message message;
-    message.hello = Hello{"rig-1", true, 0x0102030405060708, true, 0x1112131415161718,
-                          true,    true, "process-7",        2};
+    const Hello message{"rig-1", true, 0x0102030405060708, true, 0x1112131415161718,
+                        true,    true, "process-7",        2};
     EXPECT_EQ(toHex(encode(message)), frame);
-    const auto hello = decoded(frame).hello;
-    ASSERT_TRUE(hello);
+    const Message read = decoded(frame);
+    const auto* hello = std::get_if<Hello>(&read);
+    ASSERT_NE(hello, nullptr);
     EXPECT_EQ(hello->node, "rig-1");
     EXPECT_TRUE(hello->leading);
     EXPECT_EQ(hello->token, 0x0102030405060708U);
@@ -60,9 +60,7 @@
 
 TEST(WireFormat, HelloFlagsAreSeparateBits) {
     const auto frameOf = [](bool leading, bool ready, bool delegations, bool handsOn) {
-        Message message;
-        message.hello = Hello{"a", leading, 0, ready, 0, delegations, handsOn, "", 1};
-        return toHex(encode(message));
+        return toHex(encode(Hello{"a", leading, 0, ready, 0, delegations, handsOn, "", 1}));
     };
     EXPECT_EQ(frameOf(false, false, false, false),
               "58000000000000000a00000000000000010001000000000000000000000000000300020000000000"
@@ -101,9 +99,7 @@
             "2423222102000000000000000d0000002a0000000d0000004a000000110000003a00000011000000"
             "7a000000504f5354000000002f76312f6a6f627300000000000000007b2261223a317d0031302e31"
             "2e302e31323a373030300000";
-    Message message;
-    message.id = 0x2122232425262728;
-    message.request = http::Request{"POST", "/v1/jobs", R"({"a":1})"};
+    RequestMessage message{0x2122232425262728, {"POST", "/v1/jobs", R"({"a":1})"}};
     EXPECT_EQ(toHex(encode(message)), toLeader);
     message.purpose = Purpose::stateService;
     EXPECT_EQ(toHex(encode(message)), toStateService);
@@ -112,48 +108,47 @@
     EXPECT_EQ(toHex(encode(message)), toWorker);
 
     for (const auto& frame : {toLeader, toStateService, toWorker}) {
-        const auto read = decoded(frame);
-        ASSERT_TRUE(read.request);
-        EXPECT_EQ(read.id, 0x2122232425262728U);
-        EXPECT_EQ(read.request->method, "POST");
-        EXPECT_EQ(read.request->target, "/v1/jobs");
-        EXPECT_EQ(read.request->body, R"({"a":1})");
+        const Message read = decoded(frame);
+        const auto* request = std::get_if<RequestMessage>(&read);
+        ASSERT_NE(request, nullptr);
+        EXPECT_EQ(request->id, 0x2122232425262728U);
+        EXPECT_EQ(request->request.method, "POST");
+        EXPECT_EQ(request->request.target, "/v1/jobs");
+        EXPECT_EQ(request->request.body, R"({"a":1})");
     }
-    EXPECT_EQ(decoded(toLeader).purpose, Purpose::leader);
-    EXPECT_EQ(decoded(toStateService).purpose, Purpose::stateService);
-    EXPECT_EQ(decoded(toWorker).purpose, Purpose::worker);
-    EXPECT_EQ(decoded(toWorker).worker, "10.1.0.12:7000");
+    EXPECT_EQ(std::get<RequestMessage>(decoded(toLeader)).purpose, Purpose::leader);
+    EXPECT_EQ(std::get<RequestMessage>(decoded(toStateService)).purpose, Purpose::stateService);
+    EXPECT_EQ(std::get<RequestMessage>(decoded(toWorker)).purpose, Purpose::worker);
+    EXPECT_EQ(std::get<RequestMessage>(decoded(toWorker)).worker, "10.1.0.12:7000");
 }
 
 TEST(WireFormat, ReplyFrameBytes) {
     const std::string frame =
         "48000000000000000800000000000000010001000200000000000000000000000200010028272625"
         "24232221f701000007000000010000006a0000007b226572726f72223a2278227d000000";
-    Message message;
-    message.id = 0x2122232425262728;
-    message.reply = http::Response{503, R"({"error":"x"})", 7};
+    const ReplyMessage message{0x2122232425262728, {503, R"({"error":"x"})", 7}};
     EXPECT_EQ(toHex(encode(message)), frame);
-    const auto read = decoded(frame);
-    ASSERT_TRUE(read.reply);
-    EXPECT_EQ(read.id, 0x2122232425262728U);
-    EXPECT_EQ(read.reply->status, 503);
-    EXPECT_EQ(read.reply->retryAfterS, 7);
-    EXPECT_EQ(read.reply->body, R"({"error":"x"})");
+    const Message read = decoded(frame);
+    const auto* found = std::get_if<ReplyMessage>(&read);
+    ASSERT_NE(found, nullptr);
+    EXPECT_EQ(found->id, 0x2122232425262728U);
+    EXPECT_EQ(found->response.status, 503);
+    EXPECT_EQ(found->response.retryAfterS, 7);
+    EXPECT_EQ(found->response.body, R"({"error":"x"})");
 }
 
 TEST(WireFormat, PledgeFrameBytes) {
     const std::string frame =
         "38000000000000000600000000000000010001000300000000000000000000000300000028272625"
         "242322210807060504030201b80b000000000000";
-    Message message;
-    message.id = 0x2122232425262728;
-    message.pledge = Pledge{0x0102030405060708, 3000ms};
+    const PledgeMessage message{0x2122232425262728, {0x0102030405060708, 3000ms}};
     EXPECT_EQ(toHex(encode(message)), frame);
-    const auto read = decoded(frame);
-    ASSERT_TRUE(read.pledge);
-    EXPECT_EQ(read.id, 0x2122232425262728U);
-    EXPECT_EQ(read.pledge->token, 0x0102030405060708U);
-    EXPECT_EQ(read.pledge->hold, 3000ms);
+    const Message read = decoded(frame);
+    const auto* found = std::get_if<PledgeMessage>(&read);
+    ASSERT_NE(found, nullptr);
+    EXPECT_EQ(found->id, 0x2122232425262728U);
+    EXPECT_EQ(found->pledge.token, 0x0102030405060708U);
+    EXPECT_EQ(found->pledge.hold, 3000ms);
 }
 
 TEST(WireFormat, DelegationQuestionFrameBytes) {
@@ -161,35 +156,33 @@
         "50000000000000000900000000000000010001000400000000000000000000000400010028272625"
         "2423222108070605040302013837363534333231941100000000000001000000320000007269672d"
         "31000000";
-    Message message;
-    message.id = 0x2122232425262728;
-    message.delegationRequest = lease_delegation::DelegationRequest{"rig-1", 0x0102030405060708,
-                                                                    0x3132333435363738, 4500ms};
+    const DelegationRequestMessage message{
+        0x2122232425262728, {"rig-1", 0x0102030405060708, 0x3132333435363738, 4500ms}};
     EXPECT_EQ(toHex(encode(message)), frame);
-    const auto read = decoded(frame);
-    ASSERT_TRUE(read.delegationRequest);
-    EXPECT_EQ(read.id, 0x2122232425262728U);
-    EXPECT_EQ(read.delegationRequest->node, "rig-1");
-    EXPECT_EQ(read.delegationRequest->token, 0x0102030405060708U);
-    EXPECT_EQ(read.delegationRequest->number, 0x3132333435363738U);
-    EXPECT_EQ(read.delegationRequest->sinceUse, 4500ms);
+    const Message read = decoded(frame);
+    const auto* found = std::get_if<DelegationRequestMessage>(&read);
+    ASSERT_NE(found, nullptr);
+    EXPECT_EQ(found->id, 0x2122232425262728U);
+    EXPECT_EQ(found->request.node, "rig-1");
+    EXPECT_EQ(found->request.token, 0x0102030405060708U);
+    EXPECT_EQ(found->request.number, 0x3132333435363738U);
+    EXPECT_EQ(found->request.sinceUse, 4500ms);
 }
 
 TEST(WireFormat, DelegationAnswerFrameBytes) {
     const std::string frame =
         "40000000000000000700000000000000010001000500000000000000000000000400000028272625"
         "2423222108070605040302013837363534333231803e000000000000";
-    Message message;
-    message.id = 0x2122232425262728;
-    message.delegation =
-        lease_delegation::Delegation{0x0102030405060708, 0x3132333435363738, 16000ms};
+    const DelegationMessage message{0x2122232425262728,
+                                    {0x0102030405060708, 0x3132333435363738, 16000ms}};
     EXPECT_EQ(toHex(encode(message)), frame);
-    const auto read = decoded(frame);
-    ASSERT_TRUE(read.delegation);
-    EXPECT_EQ(read.id, 0x2122232425262728U);
-    EXPECT_EQ(read.delegation->token, 0x0102030405060708U);
-    EXPECT_EQ(read.delegation->number, 0x3132333435363738U);
-    EXPECT_EQ(read.delegation->duration, 16000ms);
+    const Message read = decoded(frame);
+    const auto* found = std::get_if<DelegationMessage>(&read);
+    ASSERT_NE(found, nullptr);
+    EXPECT_EQ(found->id, 0x2122232425262728U);
+    EXPECT_EQ(found->delegation.token, 0x0102030405060708U);
+    EXPECT_EQ(found->delegation.number, 0x3132333435363738U);
+    EXPECT_EQ(found->delegation.duration, 16000ms);
 }
 
 }  // namespace
--- a/src/scheduler/upgrade_test.cpp
+++ b/src/scheduler/upgrade_test.cpp
@@ -2,7 +2,7 @@
 
 #include <random>
 
-#include "peer_rpc/peer_rpc.h"
+#include "peer_rpc/message.h"
 #include "scheduler/cluster.h"
 #include "testing/world.h"
 
@@ -216,11 +216,12 @@
             data += static_cast<char>(std::stoi(hex.substr(i, 2), nullptr, 16));
         peer_rpc::Message m;
         ASSERT_EQ(peer_rpc::decode(data, m), peer_rpc::DecodeStatus::message) << f.name.GetString();
-        if (!m.hello) continue;
-        EXPECT_EQ(m.hello->node, "rig-1");
-        EXPECT_EQ(m.hello->incarnation, "a-process");
-        EXPECT_TRUE(m.hello->supportsTransfers);
-        EXPECT_EQ(m.hello->storedFormat, 1U) << "nothing that it does not know may be written";
+        const auto* hello = std::get_if<peer_rpc::Hello>(&m);
+        if (hello == nullptr) continue;
+        EXPECT_EQ(hello->node, "rig-1");
+        EXPECT_EQ(hello->incarnation, "a-process");
+        EXPECT_TRUE(hello->supportsTransfers);
+        EXPECT_EQ(hello->storedFormat, 1U) << "nothing that it does not know may be written";
     }
 }
 
--- a/src/worker_api/command_sender_test.cpp
+++ b/src/worker_api/command_sender_test.cpp
@@ -8,8 +8,9 @@
 namespace {
 
 using namespace std::chrono_literals;
+using RelayPolicy = CommandSender::RelayPolicy;
 
-TEST(CommandSender, TakesADetourWhenItsOwnWayIsCutAndComesBack) {
+TEST(CommandSender, RelaysWhileItsOwnPathFailsAndReturnsToIt) {
     // A leader that had lost the workers alone waited for each direct order, then for the worker's
     // next report: with reports every 10 s no replica started in time for 65 s.
     testing::World world;
@@ -28,37 +29,38 @@
             co_return CommandSender::RelayedOutcome{{true, true, {200, "{}"}}, true};
         });
     CommandSender::SendResult last;
-    const auto order = [&](MachineIndex machine, bool insist) {
+    const auto sendCommand = [&](MachineIndex machine, RelayPolicy policy) {
         bool done = false;
         const std::string address = reachable ? worker.address() : "127.0.0.1:1";
-        world.loop.spawn([](CommandSender& r, CommandSender::Target t, bool again, Scope& scope,
+        world.loop.spawn([](CommandSender& r, CommandSender::Target t, RelayPolicy p, Scope& scope,
                             CommandSender::SendResult& out, bool& flag) -> Task<void> {
             http::Request request{"POST", "/commands", "{}"};
-            out = co_await r.send(std::move(t), std::move(request), 1s, again, scope);
+            out = co_await r.send(std::move(t), std::move(request), 1s, p, scope);
             flag = true;
-        }(sender, {machine, "a", address}, insist, world.scope, last, done));
+        }(sender, {machine, "a", address}, policy, world.scope, last, done));
         world.until([&] { return done; });
         return last.outcome.answered;
     };
-    EXPECT_FALSE(order(1, false)) << "one machine alone is its own fault";
-    EXPECT_FALSE(order(1, false));
+    EXPECT_FALSE(sendCommand(1, RelayPolicy::whenPathFails))
+        << "one machine alone is its own fault";
+    EXPECT_FALSE(sendCommand(1, RelayPolicy::whenPathFails));
     EXPECT_EQ(relayed, 0);
-    EXPECT_TRUE(order(1, true)) << "unless it is about to be given up";
-    EXPECT_TRUE(order(2, false));
+    EXPECT_TRUE(sendCommand(1, RelayPolicy::whenUnanswered)) << "unless it is about to be given up";
+    EXPECT_TRUE(sendCommand(2, RelayPolicy::whenPathFails));
     EXPECT_EQ(relayed, 2);
     EXPECT_TRUE(sender.directPathFailing("a"));
     EXPECT_FALSE(sender.directPathFailing("b"));
     reachable = true;
-    EXPECT_TRUE(order(3, false));
+    EXPECT_TRUE(sendCommand(3, RelayPolicy::whenPathFails));
     EXPECT_EQ(relayed, 3) << "orders do not try out the way";
     world.run(3s);
     EXPECT_EQ(direct, 1) << "but a question beside them does";
-    EXPECT_TRUE(order(4, false));
+    EXPECT_TRUE(sendCommand(4, RelayPolicy::whenPathFails));
     EXPECT_EQ(relayed, 3);
     world.end(world.scope);
 }
 
-TEST(CommandSender, MachinesThatDieTogetherAreNoCut) {
+TEST(CommandSender, MachinesThatDieTogetherAreNoFailingPath) {
     // A wave of dead machines once looked like a cut, and all orders to their zone took a detour.
     testing::World world;
     int relayed = 0;
@@ -77,7 +79,8 @@
         world.loop.spawn([](CommandSender& r, CommandSender::Target t, Scope& scope, bool& out,
                             bool& flag) -> Task<void> {
             http::Request request{"GET", "/inspect", ""};
-            const auto result = co_await r.send(std::move(t), std::move(request), 1s, false, scope);
+            const auto result = co_await r.send(std::move(t), std::move(request), 1s,
+                                                RelayPolicy::whenPathFails, scope);
             out = result.outcome.answered;
             flag = true;
         }(sender, {machine, "a", address}, world.scope, answered, done));
@@ -94,22 +97,22 @@
     world.end(world.scope);
 }
 
-TEST(CommandSender, APeerThatSaysNothingProvesNothingAgainstAMachine) {
+TEST(CommandSender, SilentPeerProvesNothingAgainstAMachine) {
     // A leader cut off from the workers asked for them over a node that stood still, and deleted
     // 386 sound machines.
     testing::World world;
-    CommandSender::RelayedOutcome told{{}, true};  // no answer at all
+    CommandSender::RelayedOutcome relayed{{}, true};  // no answer at all
     CommandSender sender(world.loop, 10,
                          [&](CommandSender::Target, http::Request, Duration,
-                             Scope&) -> Task<CommandSender::RelayedOutcome> { co_return told; });
+                             Scope&) -> Task<CommandSender::RelayedOutcome> { co_return relayed; });
     const auto proof = [&](MachineIndex machine) {
         bool done = false, out = false;
         world.loop.spawn([](CommandSender& r, MachineIndex m, Scope& scope, bool& flag,
                             bool& end) -> Task<void> {
             http::Request request{"GET", "/inspect", ""};
             CommandSender::Target target{m, "a", "127.0.0.1:1"};
-            const auto result =
-                co_await r.send(std::move(target), std::move(request), 1s, true, scope);
+            const auto result = co_await r.send(std::move(target), std::move(request), 1s,
+                                                RelayPolicy::whenUnanswered, scope);
             flag = result.machineUnreachable;
             end = true;
         }(sender, machine, world.scope, out, done));
@@ -118,14 +121,14 @@
     };
     EXPECT_FALSE(proof(1));
     EXPECT_FALSE(proof(2));
-    told.outcome.response.status = 502;
+    relayed.failure = peer_rpc::RelayFailure::targetUnreachable;
     EXPECT_TRUE(proof(1)) << "a peer in its zone has tried";
-    told.sameZone = false;
+    relayed.sameZone = false;
     EXPECT_FALSE(proof(1)) << "a cut of the zone explains as well that one outside fails";
     world.end(world.scope);
 }
 
-TEST(CommandSender, AMachineIsProvenSilentInAZoneWithoutNodesOnlyWhileOthersThereAnswer) {
+TEST(CommandSender, MachineInAZoneWithoutNodesIsUnreachableOnlyWhileOthersThereAnswer) {
     // 106 sound machines of a zone that had been cut off were given up within 8 s.
     testing::World world;
     bool cut = false;
@@ -134,19 +137,20 @@
         co_return http::Response{200, "{}"};
     });
     sound.start(world.scope);
-    CommandSender sender(
-        world.loop, 10,
-        [&](CommandSender::Target, http::Request, Duration,
-            Scope&) -> Task<CommandSender::RelayedOutcome> {
-            co_return CommandSender::RelayedOutcome{{false, false, {502, ""}}, false};
-        });
+    CommandSender sender(world.loop, 10,
+                         [&](CommandSender::Target, http::Request, Duration,
+                             Scope&) -> Task<CommandSender::RelayedOutcome> {
+                             co_return CommandSender::RelayedOutcome{
+                                 {}, false, peer_rpc::RelayFailure::targetUnreachable};
+                         });
     const auto ask = [&](MachineIndex machine, const std::string& address) {
         bool done = false;
         CommandSender::SendResult out;
         world.loop.spawn([](CommandSender& r, CommandSender::Target t, Scope& scope,
                             CommandSender::SendResult& result, bool& end) -> Task<void> {
             http::Request request{"GET", "/inspect", ""};
-            result = co_await r.send(std::move(t), std::move(request), 1s, true, scope);
+            result = co_await r.send(std::move(t), std::move(request), 1s,
+                                     RelayPolicy::whenUnanswered, scope);
             end = true;
         }(sender, {machine, "a", address}, world.scope, out, done));
         world.until([&] { return done; });
@@ -166,7 +170,7 @@
     world.end(world.scope);
 }
 
-TEST(CommandSender, ACopyThatWentUnansweredIsToldOfWhateverTheDetourBrings) {
+TEST(CommandSender, UnansweredCopyMayExecuteLaterWhateverTheRelayReturns) {
     // The first copy of a launch may be executed minutes later: its attempt must stay known.
     testing::World world;
     http::Server silent(world.loop, "127.0.0.1:0", {}, [&](http::Request) -> Task<http::Response> {
@@ -185,7 +189,8 @@
     world.loop.spawn([](CommandSender& r, CommandSender::Target t, Scope& scope,
                         CommandSender::SendResult& out, bool& flag) -> Task<void> {
         http::Request request{"POST", "/commands", "{}"};
-        out = co_await r.send(std::move(t), std::move(request), 1s, true, scope);
+        out = co_await r.send(std::move(t), std::move(request), 1s, RelayPolicy::whenUnanswered,
+                              scope);
         flag = true;
     }(sender, {1, "a", silent.address()}, world.scope, last, done));
     world.until([&] { return done; });
@@ -211,15 +216,15 @@
         [&](CommandSender::Target, http::Request, Duration,
             Scope&) -> Task<CommandSender::RelayedOutcome> {
             ++relayed;
-            co_return CommandSender::RelayedOutcome{{false, false, {503, ""}}, true};
+            co_return CommandSender::RelayedOutcome{{}, true, peer_rpc::RelayFailure::noPeer};
         });
     constexpr MachineIndex machines = 4000;
     std::size_t ended = 0, unsent = 0, proofs = 0;
     const auto command = [&](MachineIndex machine) -> Task<void> {
         http::Request request{"POST", "/commands", "{}"};
         CommandSender::Target target{machine, "a", worker.address()};
-        const auto result =
-            co_await sender.send(std::move(target), std::move(request), 2s, false, world.scope);
+        const auto result = co_await sender.send(std::move(target), std::move(request), 2s,
+                                                 RelayPolicy::whenPathFails, world.scope);
         ++ended;
         unsent += !result.outcome.sent && !result.mayExecuteLater ? 1 : 0;
         proofs += result.machineUnreachable ? 1 : 0;
