--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -77,29 +77,22 @@
     std::signal(SIGPIPE, SIG_IGN);
 }
 
-int run(settings::Settings platform, settings::Operator operatorSettings) {
+void run(settings::Settings platform, settings::Operator operatorSettings) {
     handleSignals();
-    try {
-        const basaltchute::SystemClock clock;
-        basaltchute::EventLoop loop(clock);
-        basaltchute::Scope scope(loop);
-        std::random_device random;
-        const std::string incarnation = std::to_string(random()) + std::to_string(random());
-        basaltchute::controller::Controller controller(loop, std::move(platform),
-                                                       std::move(operatorSettings), incarnation);
-        controller.start();
-        loop.spawn(waitForEnd(loop, scope, controller));
-        loop.run();
-    } catch (const std::exception& e) {
-        spdlog::critical("controller failed error={}", e.what());
-        return runFailed;
-    }
-    return 0;
+    const basaltchute::SystemClock clock;
+    basaltchute::EventLoop loop(clock);
+    basaltchute::Scope scope(loop);
+    std::random_device random;
+    const std::string incarnation = std::to_string(random()) + std::to_string(random());
+    basaltchute::controller::Controller controller(loop, std::move(platform),
+                                                   std::move(operatorSettings), incarnation);
+    controller.start();
+    loop.spawn(waitForEnd(loop, scope, controller));
+    loop.run();
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
+/// The whole program; its exit status.
+int runProgram(int argc, char** argv) {
     CLI::App cli{"basaltchute: a cluster scheduler. Runs one controller."};
     Options options;
     declareOptions(cli, options);
@@ -115,5 +108,19 @@
     auto operatorSettings = loadOperatorSettings(options.operatorPath, *platform);
     if (!operatorSettings) return badUsage;
     if (checkOnly) return 0;
-    return run(std::move(*platform), std::move(*operatorSettings));
+    run(std::move(*platform), std::move(*operatorSettings));
+    return 0;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+    try {
+        return runProgram(argc, argv);
+    } catch (const std::exception& e) {
+        spdlog::critical("controller failed error={}", e.what());
+    } catch (...) {
+        spdlog::critical("controller failed error=unknown");
+    }
+    return runFailed;
 }
--- a/src/peer_rpc/message.cpp
+++ b/src/peer_rpc/message.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 using FrameLength = std::uint32_t;
-constexpr std::size_t maxFrame = 1024 * 1024;
+constexpr std::size_t maxFrame = std::size_t{1024} * 1024;
 
 capnp::Data::Reader bytes(const std::string& s) {
     return {reinterpret_cast<const kj::byte*>(s.data()), s.size()};
@@ -123,7 +123,7 @@
 }
 DelegationRequestMessage read(wire::Borrow::Reader in) {
     // A use that was longer ago than any lease lasts says no more than that.
-    constexpr std::uint64_t longAgoMs = 24 * 3600 * 1000;
+    constexpr std::uint64_t longAgoMs = std::uint64_t{24} * 3600 * 1000;
     const auto sinceUseMs = std::min<std::uint64_t>(in.getSinceUseMs(), longAgoMs);
     return {
         in.getId(),
