--- a/src/gateway/amqp/connection.cpp
+++ b/src/gateway/amqp/connection.cpp
@@ -107,8 +107,8 @@
 
 template <typename T>
 void* tagOf(T id) {
-    // NOLINTNEXTLINE(performance-no-int-to-ptr): Proton's contexts are pointers; ids travel in them
-    // and are never dereferenced.
+    // Proton's contexts are pointers; ids travel in them and are never dereferenced.
+    // NOLINTNEXTLINE(performance-no-int-to-ptr)
     return reinterpret_cast<void*>(static_cast<std::uintptr_t>(id));
 }
 std::uint64_t idOfTag(void* context) {
--- a/src/gateway/amqp/tls.cpp
+++ b/src/gateway/amqp/tls.cpp
@@ -90,8 +90,8 @@
 bool Tls::received(std::string_view wire, std::string& plain) {
     auto& s = *session_;
     BIO_write(s.in, wire.data(), static_cast<int>(wire.size()));
-    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init): OpenSSL fills it; only what it wrote
-    // is read.
+    // OpenSSL fills it; only what it wrote is read.
+    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init)
     std::array<char, 16384> buffer;
     while (!s.broken) {
         ERR_clear_error();
--- a/src/gateway/app/main.cpp
+++ b/src/gateway/app/main.cpp
@@ -76,8 +76,8 @@
 
 }  // namespace
 
-// NOLINTNEXTLINE(bugprone-exception-escape): CLI11 throws while options are defined, which every
-// start shows.
+// CLI11 throws while options are defined, which every start shows.
+// NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
     CLI::App cli{"basaltchute-gateway: takes work from AMQP queues into basaltchute."};
     std::string config, check;
--- a/src/gateway/testing/gateway_fixture.h
+++ b/src/gateway/testing/gateway_fixture.h
@@ -12,8 +12,8 @@
 /// The gateway's surroundings on a fake clock, and instances that come and go.
 struct GatewayFixture {
     explicit GatewayFixture(std::uint64_t seed = 1);
-    // NOLINTNEXTLINE(bugprone-exception-escape): an instance that does not end has to end the test
-    // run.
+    // An instance that does not end has to end the test run.
+    // NOLINTNEXTLINE(bugprone-exception-escape)
     ~GatewayFixture();
     GatewayFixture(const GatewayFixture&) = delete;
     GatewayFixture& operator=(const GatewayFixture&) = delete;
--- a/src/kv_store/client_test.cpp
+++ b/src/kv_store/client_test.cpp
@@ -134,7 +134,7 @@
     world.end(world.scope);
 }
 
-TEST(StateClient, AWatchTakesInAsManyChangesAsTheServiceKeeps) {
+TEST(KvStoreClient, WatchResponseHoldsAsManyChangesAsTheServiceKeeps) {
     // A watch's answer has no size limit: it holds all changes under the prefix. The one that is
     // watched holds the leader's few keys, whose values do not grow with the machines.
     constexpr int keptChanges = 10'000;
--- a/src/kv_store/transaction_writer_test.cpp
+++ b/src/kv_store/transaction_writer_test.cpp
@@ -77,7 +77,7 @@
     EXPECT_EQ(durable["k3"], 2U);
 }
 
-TEST_F(TransactionWriterTest, TransactionsShrinkWhenTheServiceTakesFewerWritesAtOnce) {
+TEST_F(TransactionWriterTest, TransactionsShrinkWhenTheServiceAcceptsFewerWritesAtOnce) {
     begin({1e9, 1e9, 1000, 20, {}});
     for (int i = 0; i < 40; ++i) write("k" + std::to_string(i), 50);
     world.run(1s);
--- a/src/runtime/loop.cpp
+++ b/src/runtime/loop.cpp
@@ -128,8 +128,8 @@
     }
 }
 bool EventLoop::turn(Duration most) {
-    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init): the host fills it; only what it wrote
-    // is read.
+    // The host fills it; only what it wrote is read.
+    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init)
     std::array<Host::Ready, 64> events;
     fireTimers();
     bool busy = !ready_.empty();
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -56,8 +56,8 @@
 }
 
 Task<long> Socket::read(std::string& into, TimePoint until, Scope& scope) {
-    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init): the kernel fills it; only what it
-    // wrote is read.
+    // The kernel fills it; only what it wrote is read.
+    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init)
     std::array<char, 16384> buffer;
     while (true) {
         const ssize_t n = loop_.host().receive(fd_, buffer);
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -196,8 +196,8 @@
 
 }  // namespace
 
-// NOLINTNEXTLINE(bugprone-exception-escape): CLI11 throws while options are defined, which every
-// start shows.
+// CLI11 throws while options are defined, which every start shows.
+// NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
     CLI::App cli{"basaltchute-lab: controllers under any fault, from a seed."};
     cli.require_subcommand(1);
--- a/src/simulator/simulation.h
+++ b/src/simulator/simulation.h
@@ -14,8 +14,8 @@
 class Simulation {
   public:
     Simulation(Scenario scenario, std::uint64_t seed);
-    // NOLINTNEXTLINE(bugprone-exception-escape): a controller that does not end has to end the
-    // program.
+    // A controller that does not end has to end the program.
+    // NOLINTNEXTLINE(bugprone-exception-escape)
     ~Simulation();
     Simulation(const Simulation&) = delete;
     Simulation& operator=(const Simulation&) = delete;
