--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -110,7 +110,7 @@
                       true,
                       true,
                       incarnation,
-                      std::min(LeaderElection::knownFormat, operator_.storedFormat)};
+                      std::min(LeaderElection::newestSupportedFormat, operator_.storedFormat)};
               },
               [this](const peer_rpc::Hello& hello) {
                   if (!hello.leading) {
@@ -178,7 +178,7 @@
                 peers_.retryPendingAt(settings_.node);
             },
             [this](const std::string& node) { return peers_.connected(node); },
-            delegate_.sinceUse(loop_.now()),
+            delegate_.timeSinceUse(loop_.now()),
             [this](unsigned format) { return peers_.allSupportFormat(format, absentAfter); }});
     delegate_.discard();
     term_->start();
@@ -187,7 +187,7 @@
 
 Task<void> Controller::onLeadershipLost() {
     const auto term = std::exchange(term_, nullptr);
-    delegate_.retainOwn(election_.token(), term->delegatedToSelf(), loop_.now());
+    delegate_.adoptSelfDelegation(election_.token(), term->delegatedToSelf(), loop_.now());
     peers_.announce();
     co_await term->end();
 }
@@ -206,7 +206,7 @@
 }
 
 Task<void> Controller::shutDown() {
-    election_.resignForGood();
+    election_.resignPermanently();
     // Leave the resignation a moment to reach the state service: the next leader need not wait.
     Scope pause(loop_);
     co_await loop_.sleep(100ms, pause);
@@ -320,7 +320,7 @@
 }
 
 Task<http::Response> Controller::relayToStoreFor(http::Request r) {
-    auto o = co_await store_.direct(std::move(r), stateTimeout, scope_);
+    auto o = co_await store_.sendDirectly(std::move(r), stateTimeout, scope_);
     if (!o.answered) co_return plain(502, "{}");
     co_return std::move(o.response);
 }
@@ -442,7 +442,7 @@
 std::optional<http::Response> Controller::answerAsDelegate(const worker_api::StatusReport& report) {
     if (term_) return std::nullopt;
     const auto known = election_.knownLeader();
-    if (!delegate_.mayAnswer(report.token, report.zone, known ? known->token : 0, loop_.now()))
+    if (!delegate_.tryUse(report.token, report.zone, known ? known->token : 0, loop_.now()))
         return std::nullopt;
     if (!std::exchange(answeringAsDelegate_, true))
         spdlog::warn("the leader is silent: answering the workers of {} in its name, token {}",
--- a/src/controller/controller_test.cpp
+++ b/src/controller/controller_test.cpp
@@ -386,13 +386,13 @@
     world.until([&] { return left; });
     unsigned tick = 1;
     EXPECT_NE(ask(holder, "POST", "/agent/beat", beat(++tick, 1)).response.status, 200);
-    world.run(terms.leaderSilence + 500ms);
+    world.run(terms.leaderSilenceTimeout + 500ms);
     const auto lent = ask(holder, "POST", "/agent/beat", beat(++tick, 1));
     EXPECT_EQ(lent.response.status, 200);
     EXPECT_EQ(lent.response.body, R"({"baton":1,"orders":[]})");
     EXPECT_NE(ask(holder, "POST", "/agent/beat", beat(++tick, 2)).response.status, 200)
         << "that worker would drop it";
-    world.run(terms.maxDuration - terms.leaderSilence - 3s);
+    world.run(terms.maxDuration - terms.leaderSilenceTimeout - 3s);
     EXPECT_EQ(ask(holder, "POST", "/agent/beat", beat(++tick, 1)).response.status, 200);
     world.run(4s);
     EXPECT_NE(ask(holder, "POST", "/agent/beat", beat(++tick, 1)).response.status, 200);
@@ -414,7 +414,7 @@
                std::to_string(tick) + R"(,"baton":1,"recallS":null,"splits":[]})";
     };
     const auto bounds = lease_delegation::DelegationLimits::from(nodes[0]->settings);
-    world.run(4s + bounds.leaderSilence);
+    world.run(4s + bounds.leaderSilenceTimeout);
     EXPECT_EQ(ask(led, "GET", "/v1/jobs/run-9").response.status, 503) << "its right has ended";
     for (const std::size_t n : {other, led})
         EXPECT_EQ(ask(n, "POST", "/agent/beat", beat(static_cast<unsigned>(n) + 1)).response.status,
@@ -715,17 +715,17 @@
     unsigned tick = 0;
     kill(first);
     launch(*nodes[first]);
-    world.run(terms.leaderSilence + 300ms);
+    world.run(terms.leaderSilenceTimeout + 300ms);
     EXPECT_EQ(ask(second, "POST", "/agent/beat", beat(++tick)).response.status, 200);
     world.run(1s);
     EXPECT_EQ(ask(first, "POST", "/agent/beat", beat(++tick)).response.status, 200);
     kill(second);
     launch(*nodes[second]);
-    world.run(terms.leaderSilence + 1s);
+    world.run(terms.leaderSilenceTimeout + 1s);
     EXPECT_EQ(ask(second, "POST", "/agent/beat", beat(++tick)).response.status, 200);
     EXPECT_EQ(ask(first, "POST", "/agent/beat", beat(++tick)).response.status, 200);
     EXPECT_NE(ask(first, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
-    world.run(terms.maxDuration - terms.leaderSilence * 2 - 2s);
+    world.run(terms.maxDuration - terms.leaderSilenceTimeout * 2 - 2s);
     for (const auto n : {first, second})
         EXPECT_NE(ask(n, "POST", "/agent/beat", beat(++tick)).response.status, 200) << n;
 }
@@ -798,7 +798,7 @@
     kv_store::TransactionWriter writer(world.loop, client, 20,
                                        kv_store::Precondition{"lead/holder", 1}, owner, owner);
     scope.spawn(writer.run(scope));
-    writer.markDirty("jobs/run-1", kv_store::WritePriority::users);
+    writer.markDirty("jobs/run-1", kv_store::WritePriority::userRequest);
     world.until([&] { return owner.fenced || owner.committed; });
     EXPECT_TRUE(owner.fenced);
     EXPECT_FALSE(state.keys.contains("jobs/run-1"));
--- a/src/controller/leader_term.cpp
+++ b/src/controller/leader_term.cpp
@@ -47,7 +47,8 @@
       schedulerWoken_(loop),
       machineUnresponsive_(loop),
       delegator_(lease_delegation::DelegationLimits::from(settings), leadership.token(),
-                 {settings.node, settings.zone}, hooks.sinceUse, othersOf(settings), loop.now()),
+                 {settings.node, settings.zone}, hooks.timeSinceUse, othersOf(settings),
+                 loop.now()),
       cluster_(settings, leadership.token()),
       writer_(loop, state, settings.txnOps, std::move(guard), *this, *this),
       cloud_(loop, settings, [this] { return mayAct(); }),
@@ -100,7 +101,7 @@
                 writer_.setKnownRevision(item.key, item.revision);
             }
         cluster_.loaded(loop_.now());
-        if (election_.format() >= partedFormat) cluster_.enablePages();
+        if (election_.storedFormat() >= partedFormat) cluster_.enablePages();
         loaded_ = true;
         spdlog::info("loaded {} records", all.entries.size() + parts.entries.size());
         onLoaded_();
@@ -128,12 +129,12 @@
 }
 
 Task<bool> LeaderTerm::enablePages() {
-    if (election_.format() < partedFormat) {
+    if (election_.storedFormat() < partedFormat) {
         // A node that does not know it might lead next, and would lose what it cannot read.
         if (cluster_.operatorSettings().storedFormat < partedFormat ||
             !allSupportFormat_(partedFormat) || !mayAct())
             co_return false;
-        const bool stands = co_await election_.raiseFormat(partedFormat, scope_);
+        const bool stands = co_await election_.raiseStoredFormat(partedFormat, scope_);
         if (!stands || scope_.cancelled()) co_return false;
     }
     cluster_.enablePages();
@@ -328,7 +329,7 @@
         if (woke == Wake::cancelled) co_return;
         const auto& changed = autoscaler_.statistics().changed();
         for (const auto& type : changed)
-            if (const std::string key = experiencePrefix + type; kv_store::validKey(key))
+            if (const std::string key = experiencePrefix + type; kv_store::isValidKey(key))
                 writer_.markDirty(key, kv_store::WritePriority::progress);
     }
 }
--- a/src/controller/leader_term.h
+++ b/src/controller/leader_term.h
@@ -18,7 +18,7 @@
         worker_api::CommandSender::Relay relay;
         std::function<void()> loaded;  // from now on requests can be answered
         std::function<bool(const std::string&)> peerConnected;  // whether that node does
-        Duration sinceUse{};  // of a delegation that this node held
+        Duration timeSinceUse{};  // of a delegation that this node held
         /// No node that might lead next is known not to read that format of the stored state.
         std::function<bool(unsigned format)> allSupportFormat;
     };
--- a/src/gateway/membership/membership.cpp
+++ b/src/gateway/membership/membership.cpp
@@ -208,11 +208,11 @@
             continue;
         }
         read(listing.entries);
-        act(listing.at, scope);
+        act(listing.revision, scope);
         hooks_.changed();
         co_await loop_.sleep(lookPause, scope);
-        const auto status =
-            co_await client_.watch(settings_.statePrefix + "own/", listing.at, watchTimeout, scope);
+        const auto status = co_await client_.watch(settings_.statePrefix + "own/", listing.revision,
+                                                   watchTimeout, scope);
         if (status != Status::ok) co_await loop_.wait(changed_, loop_.now() + blindPause, scope);
     }
 }
--- a/src/gateway/queue_owner/queue_owner.cpp
+++ b/src/gateway/queue_owner/queue_owner.cpp
@@ -81,7 +81,7 @@
 
 double QueueOwner::allowance(kv_store::WritePriority mostUrgent, double available) {
     const Duration slack =
-        mostUrgent == kv_store::WritePriority::users ? Duration::zero() : resultSlack;
+        mostUrgent == kv_store::WritePriority::userRequest ? Duration::zero() : resultSlack;
     return services_.turnstile.tryAcquire(serial_, slack, available);
 }
 
@@ -292,10 +292,10 @@
         p.entry.ref = *ref;
         // Until its job is known to exist, the entry is worth no more than a repetition.
         p.entry.forget = forgetAt();
-        changed(book_.add(p.entry), kv_store::WritePriority::users);
+        changed(book_.add(p.entry), kv_store::WritePriority::userRequest);
     } else {
         p.entry.ref = known->ref;
-        change(key, kv_store::WritePriority::users, [&](JournalEntry& e) {
+        change(key, kv_store::WritePriority::userRequest, [&](JournalEntry& e) {
             ++e.attempts;
             e.forget = forgetAt();
         });
@@ -318,7 +318,7 @@
     }
     const bool refuse = answer.kind == Kind::refused && open;
     if (refuse) {
-        change(key, kv_store::WritePriority::users, [&](JournalEntry& e) {
+        change(key, kv_store::WritePriority::userRequest, [&](JournalEntry& e) {
             e.stage = Stage::refused;
             e.why = answer.text;
             e.forget = forgetAt();
@@ -326,7 +326,7 @@
     } else if (open) {
         // Custody has passed already: the ref stands here and the job with the controllers, so
         // that whoever owns the queue next finds it by a poll. This note of it takes its time.
-        change(key, kv_store::WritePriority::rest, [](JournalEntry& e) {
+        change(key, kv_store::WritePriority::background, [](JournalEntry& e) {
             e.stage = Stage::accepted;
             e.forget = WallMillis(0);
         });
@@ -404,7 +404,7 @@
             co_return;
         }
         if (e->stage == Stage::entered)
-            change(key, kv_store::WritePriority::rest, [](JournalEntry& entry) {
+            change(key, kv_store::WritePriority::background, [](JournalEntry& entry) {
                 entry.stage = Stage::accepted;
                 entry.forget = WallMillis(0);
             });
@@ -417,7 +417,7 @@
 void QueueOwner::finish(const std::string& key, const std::string& status) {
     ++services_.counters.finals;
     const std::uint64_t number = book_.nextNumber();
-    change(key, kv_store::WritePriority::bindings, [&](JournalEntry& e) {
+    change(key, kv_store::WritePriority::immediate, [&](JournalEntry& e) {
         e.status = status;
         e.number = number;
         e.stage = e.replyTo.empty() ? Stage::replied : Stage::final;
@@ -477,7 +477,7 @@
 }
 
 void QueueOwner::answered(const std::string& key, const std::string& why) {
-    change(key, kv_store::WritePriority::bindings, [&](JournalEntry& e) {
+    change(key, kv_store::WritePriority::immediate, [&](JournalEntry& e) {
         e.stage = Stage::replied;
         e.why = why;
         e.forget = forgetAt();
@@ -533,7 +533,7 @@
     if (e == nullptr) return "no such key in " + queue_.name;
     if (e->stage == Stage::refused) {
         // The message may be sent again, from the dead letters or anew, and goes on from here.
-        change(key, kv_store::WritePriority::users, [&](JournalEntry& entry) {
+        change(key, kv_store::WritePriority::userRequest, [&](JournalEntry& entry) {
             entry.stage = Stage::entered;
             entry.why.clear();
             entry.forget = forgetAt();
@@ -543,7 +543,7 @@
     if (e->stage != Stage::replied || e->replyTo.empty())
         return key + " is " + nameOf(e->stage) +
                (e->replyTo.empty() ? " and has no reply-to" : ": there is nothing to send again");
-    change(key, kv_store::WritePriority::users, [&](JournalEntry& entry) {
+    change(key, kv_store::WritePriority::userRequest, [&](JournalEntry& entry) {
         entry.stage = Stage::final;
         entry.why.clear();
         entry.forget = forgetAt();
@@ -561,7 +561,8 @@
         if (scope_.cancelled()) co_return;
         if (!services_.holds(queue_.name)) continue;
         const auto gone = book_.forget(loop_.clock().wall(), forgetAtOnce);
-        for (const auto& record : gone.changed) changed(record, kv_store::WritePriority::rest);
+        for (const auto& record : gone.changed)
+            changed(record, kv_store::WritePriority::background);
         for (const auto& key : gone.keys)
             if (const auto run = contentOf(key)) {
                 const auto last = runs_.find(run->first);
--- a/src/kv_store/client.cpp
+++ b/src/kv_store/client.cpp
@@ -77,11 +77,11 @@
 
 }  // namespace
 
-bool validKey(const std::string& key) {
+bool isValidKey(const std::string& key) {
     return !key.empty() && key.size() <= maxKeyBytes && key.find(' ') == std::string::npos;
 }
 
-bool sameValue(const std::string& one, const std::string& other) {
+bool equalAsJson(const std::string& one, const std::string& other) {
     const auto first = json::parse(one), second = json::parse(other);
     return first && second && *first == *second;
 }
@@ -131,7 +131,7 @@
     http::RequestOutcome first;
     if (!relay_ || !directPathFailing_) {
         http::Request copy = request;
-        first = co_await direct(std::move(copy), timeout, scope);
+        first = co_await sendDirectly(std::move(copy), timeout, scope);
         const bool served = first.answered && first.response.status != 503;
         if (served || !relay_ || scope.cancelled()) co_return first;
         directPathFailing_ = true;
@@ -152,13 +152,14 @@
 
 Task<void> Client::probe(Scope& scope) {
     http::Request request{"GET", "/keys/lead/token", ""};
-    const auto outcome = co_await direct(std::move(request), defaultTimeout, scope);
+    const auto outcome = co_await sendDirectly(std::move(request), defaultTimeout, scope);
     if (outcome.answered && outcome.response.status != 503) directPathFailing_ = false;
     nextProbe_ = loop_.now() + probeEvery;
     probing_ = false;
 }
 
-Task<http::RequestOutcome> Client::direct(http::Request request, Duration timeout, Scope& scope) {
+Task<http::RequestOutcome> Client::sendDirectly(http::Request request, Duration timeout,
+                                                Scope& scope) {
     while (!requestLimiter_.tryTake(loop_.now())) {
         const Wake woke = co_await loop_.sleep(requestLimiter_.timeUntil(loop_.now()), scope);
         if (woke == Wake::cancelled) co_return http::RequestOutcome{};
@@ -210,7 +211,7 @@
     if (found.status == Status::notFound) {
         const auto revision = doc ? json::count(*doc, "epoch") : std::nullopt;
         if (!revision || !isPlausible(*revision, since, key)) found.status = Status::outcomeUnknown;
-        found.at = revision.value_or(0);
+        found.revision = revision.value_or(0);
         co_return found;
     }
     if (doc) found.entry = decodeEntry(*doc);
@@ -220,7 +221,7 @@
         found.entry.reset();
         co_return found;
     }
-    found.at = found.entry->revision;
+    found.revision = found.entry->revision;
     co_return found;
 }
 
@@ -260,7 +261,7 @@
         }
         all.entries.push_back(std::move(*entry));
     }
-    all.at = *revision;
+    all.revision = *revision;
     return more.value_or(false) && !entries->Empty();
 }
 
@@ -300,7 +301,7 @@
                           "/watch?under=" + prefix + "&after=" + std::to_string(after) +
                               "&waitMs=" + std::to_string(toMillis(timeout)),
                           ""};
-    auto outcome = co_await direct(std::move(request), timeout + watchGrace, scope);
+    auto outcome = co_await sendDirectly(std::move(request), timeout + watchGrace, scope);
     co_return statusOf(outcome);
 }
 
--- a/src/kv_store/client.h
+++ b/src/kv_store/client.h
@@ -64,12 +64,12 @@
 struct GetResult {  // of a read of one key
     Status status = Status::outcomeUnknown;
     std::optional<KeyValue> entry;  // exactly if status is ok
-    Revision at = 0;                // the key's, or of the store if there is no such key
+    Revision revision = 0;          // the key's, or of the store if there is no such key
 };
 struct ListResult {  // of a listing
     Status status = Status::outcomeUnknown;
     std::vector<KeyValue> entries;  // by key; complete only if status is ok
-    Revision at = 0;                // of the store
+    Revision revision = 0;          // of the store
 };
 struct LeaseResult {  // of a grant or a keep-alive
     Status status = Status::outcomeUnknown;
@@ -78,11 +78,11 @@
 };
 
 /// Whether the service accepts such a key.
-[[nodiscard]] bool validKey(const std::string& key);
+[[nodiscard]] bool isValidKey(const std::string& key);
 
 /// Whether two values are equal as JSON. The service may return a value in another form than that
 /// in which it was written. False if one of them is not JSON.
-[[nodiscard]] bool sameValue(const std::string& one, const std::string& other);
+[[nodiscard]] bool equalAsJson(const std::string& one, const std::string& other);
 
 /// See the top of this file. Every call ends early, with an unspecified result, if its scope is
 /// cancelled.
@@ -112,7 +112,7 @@
     using Relay = std::function<Task<http::RequestOutcome>(http::Request, Duration, Scope&)>;
     void setRelay(Relay relay) { relay_ = std::move(relay); }
     /// Sends a request of a peer that cannot reach the service: from this node only, never relayed.
-    Task<http::RequestOutcome> direct(http::Request request, Duration timeout, Scope& scope);
+    Task<http::RequestOutcome> sendDirectly(http::Request request, Duration timeout, Scope& scope);
 
   private:
     /// Sends directly or through a peer, whichever works.
--- a/src/kv_store/transaction_writer.cpp
+++ b/src/kv_store/transaction_writer.cpp
@@ -23,10 +23,10 @@
     switch (priority) {
         case WritePriority::progress:
             return coalesceProgress;
-        case WritePriority::rest:
+        case WritePriority::background:
             return coalesceRest;
-        case WritePriority::users:
-        case WritePriority::bindings:
+        case WritePriority::userRequest:
+        case WritePriority::immediate:
             break;
     }
     return Duration::zero();
@@ -63,7 +63,8 @@
 
 double TransactionWriter::reservedFrom(WritePriority priority) {
     // What users wait for never finds the budget spent on what nobody waits for.
-    return priority >= WritePriority::rest ? client_.writeLimiter().burst() * reservedShare : 0;
+    return priority >= WritePriority::background ? client_.writeLimiter().burst() * reservedShare
+                                                 : 0;
 }
 
 double TransactionWriter::availableWrites(WritePriority mostUrgent, TimePoint now) {
@@ -72,7 +73,7 @@
     const double reserved = reservedFrom(mostUrgent);
     // What is not urgent asks for its share only when it can be paid for: it must not hold up
     // others.
-    if (mostUrgent >= WritePriority::rest && available - reserved < 1) return 0;
+    if (mostUrgent >= WritePriority::background && available - reserved < 1) return 0;
     return reserved + budget_->allowance(mostUrgent, available - reserved);
 }
 
@@ -203,7 +204,7 @@
         if (found.status != Status::ok) continue;
         revisions_[key] = found.entry->revision;
         const auto sent = batch.data.find(key);
-        if (sent != batch.data.end() && sameValue(sent->second, found.entry->data))
+        if (sent != batch.data.end() && equalAsJson(sent->second, found.entry->data))
             applied.insert(key);
     }
     co_return applied;
--- a/src/kv_store/transaction_writer.h
+++ b/src/kv_store/transaction_writer.h
@@ -23,10 +23,10 @@
 
 /// Smaller goes first.
 enum class WritePriority {
-    users,     // a user waits for it
-    bindings,  // where tasks run
-    rest,      // coalesced: waits a little for other records
-    progress,  // coalesced for longer: what a successor learns from agents as well
+    userRequest,  // a user waits for it
+    immediate,    // where tasks run
+    background,   // coalesced: waits a little for other records
+    progress,     // coalesced for longer: what a successor learns from agents as well
 };
 
 /// A record as it is to be written. `version`: the owner's; it rises with each change.
--- a/src/kv_store/transaction_writer_test.cpp
+++ b/src/kv_store/transaction_writer_test.cpp
@@ -36,7 +36,7 @@
         world.scope.spawn(writer->run(world.scope));
     }
     void write(const std::string& key, std::size_t bytes,
-               WritePriority priority = WritePriority::bindings) {
+               WritePriority priority = WritePriority::immediate) {
         sizes[key] = bytes;
         ++versions[key];
         writer->markDirty(key, priority);
@@ -95,7 +95,7 @@
     begin({1e9, 18, 1000, 20, {}});
     for (int i = 0; i < 200; ++i) write("rest-" + std::to_string(i), 50, WritePriority::progress);
     world.run(3s);
-    write("user", 50, WritePriority::users);
+    write("user", 50, WritePriority::userRequest);
     const TimePoint queuedAt = world.clock.now();
     world.until([&] { return durable.contains("user"); });
     EXPECT_LT(world.clock.now() - queuedAt, 400ms);
@@ -105,7 +105,7 @@
     EXPECT_NEAR(client->writeLimiter().rate(), 18 * 0.95, 0.01);
     // Where no limit was announced it goes down by steps, and comes back after a while.
     service->lower({0, 8, 0, 0, {}});
-    for (int i = 0; i < 100; ++i) write("more-" + std::to_string(i), 50, WritePriority::bindings);
+    for (int i = 0; i < 100; ++i) write("more-" + std::to_string(i), 50, WritePriority::immediate);
     world.run(30s);
     EXPECT_EQ(durable.size(), 301U);
     EXPECT_LT(client->writeLimiter().rate(), 9);
@@ -189,7 +189,7 @@
     world.run(400ms);
     EXPECT_EQ(service->writes, 1);
     write("array", 50, WritePriority::progress);
-    write("array", 50, WritePriority::bindings);
+    write("array", 50, WritePriority::immediate);
     world.run(50ms);
     EXPECT_EQ(service->writes, 2) << "the last result is not coalesced";
 }
--- a/src/kv_store/wire_format_test.cpp
+++ b/src/kv_store/wire_format_test.cpp
@@ -77,7 +77,7 @@
     const auto none = finish(world, client.get("lead/holder", world.scope));
     EXPECT_EQ(service.takeRequests(), Requests{"GET /keys/lead/holder"});
     EXPECT_EQ(none.status, Status::notFound);
-    EXPECT_EQ(none.at, 21U);
+    EXPECT_EQ(none.revision, 21U);
 }
 
 TEST_F(KvStoreWireFormat, ListRequestsAndResponses) {
@@ -93,7 +93,7 @@
     EXPECT_EQ(service.takeRequests(), (Requests{"GET /keys?under=jobs/&page=1000",
                                                 "GET /keys?under=jobs/&page=1000&after=jobs/b"}));
     EXPECT_EQ(listing.status, Status::ok);
-    EXPECT_EQ(listing.at, 22U);
+    EXPECT_EQ(listing.revision, 22U);
     ASSERT_EQ(listing.entries.size(), 3U);
     EXPECT_EQ(listing.entries[2].key, "jobs/c");
     EXPECT_EQ(listing.entries[2].data, R"({"n":3})");
--- a/src/leader_election/leader_election.cpp
+++ b/src/leader_election/leader_election.cpp
@@ -28,7 +28,7 @@
 constexpr Duration watchTimeout = 10s;
 
 /// The most that two steady clocks drift apart within `span`.
-Duration maxDrift(Duration span) {
+Duration maxClockDrift(Duration span) {
     return span / 1000;
 }
 
@@ -86,7 +86,7 @@
 
 void LeaderElection::extendLease(TimePoint sentAt, Duration ttl) {
     if (resign_) return;
-    leaseValidUntil_ = std::max(leaseValidUntil_, sentAt + ttl - maxDrift(ttl) - leaseMargin);
+    leaseValidUntil_ = std::max(leaseValidUntil_, sentAt + ttl - maxClockDrift(ttl) - leaseMargin);
 }
 
 bool LeaderElection::grantPledge(FencingToken token, Duration duration) {
@@ -94,7 +94,7 @@
     if (leading_ || campaigning_ || duration > pledgeDuration ||
         (knownLeader_ && knownLeader_->token > token))
         return false;
-    pledgedUntil_ = std::max(pledgedUntil_, loop_.now() + duration + maxDrift(duration));
+    pledgedUntil_ = std::max(pledgedUntil_, loop_.now() + duration + maxClockDrift(duration));
     return true;
 }
 
@@ -105,7 +105,7 @@
     // elected after that proves an earlier lease to be over. If that was a former process of this
     // node, nobody acts by pledges; another node that says that it does not lead never goes on by
     // the pledges of before.
-    if (loop_.now() >= startedAt_ + pledgeDuration + maxDrift(pledgeDuration)) return true;
+    if (loop_.now() >= startedAt_ + pledgeDuration + maxClockDrift(pledgeDuration)) return true;
     if (lastElected_) return *lastElected_ == node_ || peers_.isKnownFollower(*lastElected_);
     // An older version was elected, which does not record its node.
     return std::all_of(otherNodes_.begin(), otherNodes_.end(),
@@ -129,7 +129,7 @@
     steppedDown_.notify();
 }
 
-void LeaderElection::resignForGood() {
+void LeaderElection::resignPermanently() {
     retired_ = true;
     stepDown("this node is shutting down");
 }
@@ -161,7 +161,7 @@
                 lastElectedNode(findEntry(listing, election_records::tokenCounterKey), node_);
             co_return;
         }
-        co_await followLeader(*leader, listing.at, scope);
+        co_await followLeader(*leader, listing.revision, scope);
     }
 }
 
@@ -246,9 +246,9 @@
         spdlog::error("malformed record key={} value={}", entry->key, entry->data);
         return std::nullopt;
     }
-    if (counter->format > knownFormat) {
+    if (counter->format > newestSupportedFormat) {
         spdlog::error("not campaigning reason=\"unknown stored format\" format={} known={}",
-                      counter->format, knownFormat);
+                      counter->format, newestSupportedFormat);
         return std::nullopt;
     }
     return counter;
@@ -298,7 +298,7 @@
     const kv_store::GetResult found = co_await client_.get(election_records::leaderKey, scope);
     if (found.status != Status::ok || scope.cancelled()) co_return std::nullopt;
     // Token, lease and process are in it: nobody else's election, and no other one of this node's.
-    if (!kv_store::sameValue(record, found.entry->data)) co_return std::nullopt;
+    if (!kv_store::equalAsJson(record, found.entry->data)) co_return std::nullopt;
     co_return found.entry->revision;
 }
 
@@ -357,7 +357,7 @@
     if (present.status == Status::notFound) absentNodesRevision_ = 0;
 }
 
-Task<bool> LeaderElection::raiseFormat(unsigned format, Scope& scope) {
+Task<bool> LeaderElection::raiseStoredFormat(unsigned format, Scope& scope) {
     if (format_ >= format) co_return true;
     const FencingToken term = token_;
     kv_store::Transaction txn;
--- a/src/leader_election/leader_election.h
+++ b/src/leader_election/leader_election.h
@@ -64,7 +64,7 @@
     /// All that is passed by reference must outlive the election. `incarnation`: of this process.
     LeaderElection(EventLoop& loop, kv_store::Client& client, const settings::Settings& settings,
                    std::string incarnation, LeaderElectionListener& listener, ElectionPeers& peers);
-    /// Takes part until the scope is cancelled or resignForGood() was called.
+    /// Takes part until the scope is cancelled or resignPermanently() was called.
     Task<void> run(Scope& scope);
 
     /// Whether this node may act as the leader. Ask right before anything is sent: the process may
@@ -85,14 +85,14 @@
     /// Ends the leadership, if any. `reason`: for the log.
     void stepDown(const std::string& reason);
     /// Steps down and takes part no more: the process is about to end.
-    void resignForGood();
+    void resignPermanently();
     /// Format of the stored state: nodes whose version does not know it cannot be elected.
-    [[nodiscard]] unsigned format() const { return format_; }
+    [[nodiscard]] unsigned storedFormat() const { return format_; }
     /// Records that the state may hold what only `format` knows. To be called before any of that is
     /// written; true once the record is durable. A format is never lowered.
-    Task<bool> raiseFormat(unsigned format, Scope& scope);
+    Task<bool> raiseStoredFormat(unsigned format, Scope& scope);
     /// Highest format that this version knows: 1, the first; 2, job dependencies and record pages.
-    static constexpr unsigned knownFormat = 2;
+    static constexpr unsigned newestSupportedFormat = 2;
     /// TTL of the leader's lease.
     [[nodiscard]] static Duration leaseTtlFor(const settings::Settings& settings);
 
--- a/src/leader_election/wire_format_test.cpp
+++ b/src/leader_election/wire_format_test.cpp
@@ -75,10 +75,10 @@
                   R"("token":1,"grant":42},"hold":42},)"
                   R"({"put":"lead/token","data":{"token":1,"node":"rig-0"}}]})"}));
     EXPECT_EQ(election->token(), 1U);
-    EXPECT_EQ(election->format(), 1U);
+    EXPECT_EQ(election->storedFormat(), 1U);
     world.run(300ms);
     EXPECT_EQ(service.takeRequests().at(0), "POST /grants/42/touch");
-    election->resignForGood();
+    election->resignPermanently();
     world.run(300ms);
     EXPECT_EQ(service.takeRequests().back(), "DELETE /grants/42");
 }
@@ -97,7 +97,7 @@
                        R"({"put":"lead/token","data":{"last":10,"node":"rig-0","format":2}},)"
                        R"({"put":"lead/absent","data":{"nodes":["rig-1"]}}]})"});
     EXPECT_EQ(election->token(), 10U);
-    EXPECT_EQ(election->format(), 2U);
+    EXPECT_EQ(election->storedFormat(), 2U);
 }
 
 TEST_F(LeaderElectionWireFormat, RaiseOfStoredFormatRequest) {
@@ -105,7 +105,7 @@
     start();
     ASSERT_TRUE(world.until([&] { return peers.elected; }));
     transactions();
-    EXPECT_TRUE(testing::finish(world, election->raiseFormat(2, world.scope)));
+    EXPECT_TRUE(testing::finish(world, election->raiseStoredFormat(2, world.scope)));
     EXPECT_EQ(transactions(),
               Requests{R"(POST /multi {"guards":[{"key":"lead/holder","stamp":21},)"
                        R"({"key":"lead/token","stamp":21}],"then":[)"
--- a/src/lease_delegation/delegate.cpp
+++ b/src/lease_delegation/delegate.cpp
@@ -5,7 +5,7 @@
 namespace {
 /// Counted from when the request left, not from when the answer came: the leader counts from later.
 TimePoint endOf(const Delegation& delegation, TimePoint askedAt) {
-    return askedAt + delegation.duration - DelegationLimits::maxDrift(delegation.duration);
+    return askedAt + delegation.duration - DelegationLimits::maxClockDrift(delegation.duration);
 }
 }  // namespace
 
@@ -19,7 +19,7 @@
 }
 
 bool Delegate::accept(const Delegation& delegation, TimePoint askedAt, TimePoint now) {
-    if (delegation.duration > bounds_.maxDuration || delegation.duration < Duration::zero())
+    if (delegation.duration > limits_.maxDuration || delegation.duration < Duration::zero())
         return false;
     // An answer that overtook a newer one, or came from a node that leads no more.
     if (delegation.token < token_ || (delegation.token == token_ && delegation.number <= number_))
@@ -29,7 +29,7 @@
     return true;
 }
 
-void Delegate::retainOwn(FencingToken token, TimePoint until, TimePoint leaseEndedAt) {
+void Delegate::adoptSelfDelegation(FencingToken token, TimePoint until, TimePoint leaseEndedAt) {
     if (token < token_) return;
     replace(token, 0, until, false);
     lastLeaderContact_ = leaseEndedAt;
@@ -44,7 +44,7 @@
 void Delegate::acceptTransfer(const Delegation& delegation, TimePoint askedAt, TimePoint now) {
     // What a leader gave, even if it is over, says more than what another delegate transfers.
     const bool newer = delegation.token > token_ || (delegation.token == token_ && number_ == 0);
-    if (delegation.duration > bounds_.maxDuration || !newer || !needsDelegation(now)) return;
+    if (delegation.duration > limits_.maxDuration || !newer || !needsDelegation(now)) return;
     replace(delegation.token, 0, endOf(delegation, askedAt), true);
 }
 
@@ -53,8 +53,8 @@
     if (token > token_) discard();
 }
 
-bool Delegate::mayAnswer(FencingToken seen, const std::string& zone, FencingToken newest,
-                         TimePoint now) {
+bool Delegate::tryUse(FencingToken seen, const std::string& zone, FencingToken newest,
+                      TimePoint now) {
     if (newest > token_) discard();
     // An agent that has seen a higher token would drop the answer, and wait for its lease to end.
     // One that has only seen a lower one has not found the delegating leader yet, who knows all the
--- a/src/lease_delegation/delegate.h
+++ b/src/lease_delegation/delegate.h
@@ -24,7 +24,7 @@
     std::string node;
     FencingToken token = 0;    // of the last delegation that the node accepted, and
     std::uint64_t number = 0;  // its number; 0: none, or one that no leader gave directly
-    std::chrono::milliseconds sinceUse{};
+    std::chrono::milliseconds timeSinceUse{};
 };
 
 /// A leader's answer. It replaces what the delegate has, also by nothing at all.
@@ -39,8 +39,8 @@
   public:
     /// `startedAt` counts as a use, since what the node's former process answered is not known; and
     /// as contact with a leader, since what that process reported holds for as long as it promised.
-    Delegate(DelegationLimits bounds, std::string zone, TimePoint startedAt)
-        : bounds_(bounds),
+    Delegate(DelegationLimits limits, std::string zone, TimePoint startedAt)
+        : limits_(limits),
           zone_(std::move(zone)),
           lastLeaderContact_(startedAt),
           lastUsedAt_(startedAt) {}
@@ -50,7 +50,7 @@
     bool accept(const Delegation& delegation, TimePoint askedAt, TimePoint now);
     /// Takes what a leader delegated to its own node, once its lease has ended at `leaseEndedAt`:
     /// until then it answered by that.
-    void retainOwn(FencingToken token, TimePoint until, TimePoint leaseEndedAt);
+    void adoptSelfDelegation(FencingToken token, TimePoint until, TimePoint leaseEndedAt);
     /// Transfers this node's delegation to another node of its zone, which was restarted and has
     /// none: up to its end, and only while this node would answer by it. The caller sees to it that
     /// the other node is in the zone, and that every future leader takes transfers into account.
@@ -73,24 +73,24 @@
     /// Whether a heartbeat of an agent in `zone` that has seen the token `seen` may be answered
     /// with token(). Ask right before the answer is made: true counts as a use. `newest`: the
     /// highest token that this node knows of.
-    bool mayAnswer(FencingToken seen, const std::string& zone, FencingToken newest, TimePoint now);
+    bool tryUse(FencingToken seen, const std::string& zone, FencingToken newest, TimePoint now);
 
     /// Of the leader in whose name this node may answer.
     [[nodiscard]] FencingToken token() const { return token_; }
     [[nodiscard]] bool isValid(TimePoint now) const { return now < validUntil_; }
     /// The request to send now, in the name of this node.
     [[nodiscard]] DelegationRequest request(const std::string& node, TimePoint now) const;
-    [[nodiscard]] Duration sinceUse(TimePoint now) const { return now - lastUsedAt_; }
+    [[nodiscard]] Duration timeSinceUse(TimePoint now) const { return now - lastUsedAt_; }
     /// Answers under the present delegation so far; for the log.
     [[nodiscard]] std::uint64_t answerCount() const { return answerCount_; }
 
   private:
     void replace(FencingToken token, std::uint64_t number, TimePoint validUntil, bool transferred);
     [[nodiscard]] bool leaderSilent(TimePoint now) const {
-        return now >= lastLeaderContact_ + bounds_.leaderSilence;
+        return now >= lastLeaderContact_ + limits_.leaderSilenceTimeout;
     }
 
-    DelegationLimits bounds_;
+    DelegationLimits limits_;
     std::string zone_;
     FencingToken token_ = 0;
     std::uint64_t number_ = 0, answerCount_ = 0;
--- a/src/lease_delegation/delegator.cpp
+++ b/src/lease_delegation/delegator.cpp
@@ -2,13 +2,13 @@
 
 namespace basaltchute::lease_delegation {
 
-Delegator::Delegator(DelegationLimits bounds, FencingToken token, const Node& self,
-                     Duration sinceUse, const std::vector<Node>& others, TimePoint electedAt)
-    : bounds_(bounds), token_(token), self_(self.name) {
-    const TimePoint assumedEnd = electedAt + bounds.maxDuration;
+Delegator::Delegator(DelegationLimits limits, FencingToken token, const Node& self,
+                     Duration timeSinceUse, const std::vector<Node>& others, TimePoint electedAt)
+    : limits_(limits), token_(token), self_(self.name) {
+    const TimePoint assumedEnd = electedAt + limits.maxDuration;
     for (const auto& node : others) delegates_[node.name] = {node.zone, assumedEnd, {}, {}, {}};
     // It leads, so it has no delegation of a former leader; what it answered before still counts.
-    delegates_[self.name] = {self.zone, electedAt, TimePoint::max(), electedAt - sinceUse, {}};
+    delegates_[self.name] = {self.zone, electedAt, TimePoint::max(), electedAt - timeSinceUse, {}};
 }
 
 std::string Delegator::zoneOf(const std::string& node) const {
@@ -17,7 +17,7 @@
 }
 
 TimePoint Delegator::newEnd(TimePoint cap, TimePoint now) const {
-    return enabled_ ? std::max(now, std::min(cap, now + bounds_.maxDuration)) : now;
+    return enabled_ ? std::max(now, std::min(cap, now + limits_.maxDuration)) : now;
 }
 
 void Delegator::assumeTransfers(const std::string& node, const DelegateState& delegate,
@@ -37,8 +37,8 @@
     while (!issued.empty() && issued.front().number < number) issued.pop_front();
     if (issued.empty() || issued.front().number != number) return;
     // It has this delegation, so none of before; and it had not used it when it accepted it.
-    const Duration unused =
-        bounds_.leaderSilence - DelegationLimits::maxDrift(bounds_.leaderSilence);
+    const Duration unused = limits_.leaderSilenceTimeout -
+                            DelegationLimits::maxClockDrift(limits_.leaderSilenceTimeout);
     delegate.unusedUntil = std::max(delegate.unusedUntil, issued.front().issuedAt + unused);
     delegate.validUntil = TimePoint{};
     for (const auto& delegation : issued)
@@ -52,10 +52,10 @@
     DelegateState& delegate = it->second;
     assumeTransfers(request.node, delegate, now);
     // However late the request arrives, the use was at least so long before.
-    const Duration sinceUse = std::max<Duration>(request.sinceUse, Duration::zero());
-    delegate.usedUntil =
-        std::max(delegate.usedUntil,
-                 now - sinceUse + DelegationLimits::maxDrift(sinceUse) + DelegationLimits::margin);
+    const Duration timeSinceUse = std::max<Duration>(request.timeSinceUse, Duration::zero());
+    delegate.usedUntil = std::max(
+        delegate.usedUntil, now - timeSinceUse + DelegationLimits::maxClockDrift(timeSinceUse) +
+                                DelegationLimits::margin);
     if (request.token == token_ && request.number != 0) confirm(delegate, request.number);
     const TimePoint end = newEnd(cap, now);
     delegate.issued.push_back({++lastNumber_, now, end});
@@ -63,7 +63,7 @@
     return {token_, lastNumber_, std::chrono::duration_cast<std::chrono::milliseconds>(end - now)};
 }
 
-TimePoint Delegator::delegateSelf(TimePoint cap, TimePoint now) {
+TimePoint Delegator::delegateToSelf(TimePoint cap, TimePoint now) {
     DelegateState& self = delegates_.at(self_);
     self.validUntil = newEnd(cap, now);
     return self.validUntil;
@@ -73,10 +73,10 @@
     TimePoint end{};
     for (const auto& [name, delegate] : delegates_) {
         if (!zone.empty() && delegate.zone != zone) continue;
-        end = std::max(end, delegate.usedUntil + bounds_.leaseUpperBound());
+        end = std::max(end, delegate.usedUntil + limits_.leaseUpperBound());
         // What a delegate says is as old as its request; it does not answer for a while after.
         if (now >= delegate.unusedUntil)
-            end = std::max(end, delegate.validUntil + bounds_.leaseUpperBound());
+            end = std::max(end, delegate.validUntil + limits_.leaseUpperBound());
     }
     return end;
 }
--- a/src/lease_delegation/delegator.h
+++ b/src/lease_delegation/delegator.h
@@ -21,16 +21,16 @@
     struct Node {  // a controller and its zone
         std::string name, zone;
     };
-    /// `self`: the node that leads; `sinceUse`: how long ago it last answered by a delegation
+    /// `self`: the node that leads; `timeSinceUse`: how long ago it last answered by a delegation
     /// itself; `others`: every other node.
-    Delegator(DelegationLimits bounds, FencingToken token, const Node& self, Duration sinceUse,
+    Delegator(DelegationLimits limits, FencingToken token, const Node& self, Duration timeSinceUse,
               const std::vector<Node>& others, TimePoint electedAt);
 
     /// Answers a request. Nothing is delegated beyond `cap`.
     Delegation handleRequest(const DelegationRequest& request, TimePoint cap, TimePoint now);
     /// Delegates to this node itself, for the time after its own lease has ended; returns until
     /// when. Called again before a cancellation is acknowledged, so that a cap holds at once.
-    TimePoint delegateSelf(TimePoint cap, TimePoint now);
+    TimePoint delegateToSelf(TimePoint cap, TimePoint now);
 
     /// If not enabled, nothing is delegated, but what was delegated still counts.
     void setEnabled(bool enabled) { enabled_ = enabled; }
@@ -45,7 +45,7 @@
         const auto it = delegates_.find(node);
         return it == delegates_.end() ? TimePoint{} : it->second.validUntil;
     }
-    [[nodiscard]] const DelegationLimits& bounds() const { return bounds_; }
+    [[nodiscard]] const DelegationLimits& limits() const { return limits_; }
     /// Empty for an unknown node.
     [[nodiscard]] std::string zoneOf(const std::string& node) const;
 
@@ -68,7 +68,7 @@
     /// The end of a delegation that is made now.
     [[nodiscard]] TimePoint newEnd(TimePoint cap, TimePoint now) const;
 
-    DelegationLimits bounds_;
+    DelegationLimits limits_;
     FencingToken token_;
     std::string self_;
     std::uint64_t lastNumber_ = 0;
--- a/src/lease_delegation/lease_delegation_test.cpp
+++ b/src/lease_delegation/lease_delegation_test.cpp
@@ -15,9 +15,9 @@
 class DelegationTest : public ::testing::Test {
   protected:
     FakeClock clock;
-    DelegationLimits bounds{60s, 30s, 56s, 4s};
-    Delegate delegate{bounds, "b", clock.now() - 1h};
-    Delegator delegator{bounds, 7, {"rig-0", "a"}, 1h, {{"rig-1", "b"}}, clock.now()};
+    DelegationLimits limits{60s, 30s, 56s, 4s};
+    Delegate delegate{limits, "b", clock.now() - 1h};
+    Delegator delegator{limits, 7, {"rig-0", "a"}, 1h, {{"rig-1", "b"}}, clock.now()};
     TimePoint cap = TimePoint::max();
 
     void renew() {
@@ -33,7 +33,7 @@
         }
     }
     bool answers(FencingToken seen = 7, const std::string& zone = "b", FencingToken newest = 7) {
-        return delegate.mayAnswer(seen, zone, newest, clock.now());
+        return delegate.tryUse(seen, zone, newest, clock.now());
     }
 };
 
@@ -67,7 +67,7 @@
     EXPECT_FALSE(answers(7, "b", 8)) << "known from the state service";
     EXPECT_FALSE(delegate.isValid(clock.now()));
     talk(5s);  // a late answer of the former leader delegates nothing again
-    Delegator next{bounds, 8, {"rig-2", "a"}, 1h, {{"rig-1", "b"}}, clock.now()};
+    Delegator next{limits, 8, {"rig-2", "a"}, 1h, {{"rig-1", "b"}}, clock.now()};
     ASSERT_TRUE(delegate.accept(
         next.handleRequest(delegate.request("rig-1", clock.now()), cap, clock.now()), clock.now(),
         clock.now()));
@@ -134,7 +134,7 @@
 TEST_F(DelegationTest, RestartedDelegateHasNoneAndItsFormerProcessMayHaveAnswered) {
     talk(70s);
     clock.advance(6s);
-    delegate = Delegate{bounds, "b", clock.now()};
+    delegate = Delegate{limits, "b", clock.now()};
     clock.advance(4s);
     EXPECT_FALSE(answers());
     talk(2s);
@@ -146,7 +146,7 @@
     talk(70s);
     clock.advance(3s);
     const TimePoint elected = clock.now();
-    Delegator next{bounds, 8, {"rig-2", "a"}, 1h, {{"rig-0", "a"}, {"rig-1", "b"}}, elected};
+    Delegator next{limits, 8, {"rig-2", "a"}, 1h, {{"rig-0", "a"}, {"rig-1", "b"}}, elected};
     for (const char* zone : {"a", "b", ""}) {
         EXPECT_GE(next.agentLeasesEnd(zone, elected), elected + 60s + 30s) << zone;
         EXPECT_GE(next.delegationsEnd(zone), elected + 60s) << zone;
@@ -164,18 +164,18 @@
 
 TEST_F(DelegationTest, FormerLeaderAnswersByItsDelegationToItself) {
     cap = clock.now() + 20s;
-    const TimePoint until = delegator.delegateSelf(cap, clock.now());
-    Delegate self{bounds, "a", clock.now() - 1h};
-    self.retainOwn(7, until, clock.now());
-    EXPECT_FALSE(self.mayAnswer(7, "a", 7, clock.now() + 3s)) << "another may lead by now";
-    EXPECT_TRUE(self.mayAnswer(7, "a", 0, clock.now() + 4s)) << "it knows of no leader at all";
-    EXPECT_FALSE(self.mayAnswer(7, "a", 7, clock.now() + 20s));
-    self.retainOwn(7, until + 40s, clock.now());
-    EXPECT_FALSE(self.mayAnswer(7, "a", 8, clock.now() + 30s));
+    const TimePoint until = delegator.delegateToSelf(cap, clock.now());
+    Delegate self{limits, "a", clock.now() - 1h};
+    self.adoptSelfDelegation(7, until, clock.now());
+    EXPECT_FALSE(self.tryUse(7, "a", 7, clock.now() + 3s)) << "another may lead by now";
+    EXPECT_TRUE(self.tryUse(7, "a", 0, clock.now() + 4s)) << "it knows of no leader at all";
+    EXPECT_FALSE(self.tryUse(7, "a", 7, clock.now() + 20s));
+    self.adoptSelfDelegation(7, until + 40s, clock.now());
+    EXPECT_FALSE(self.tryUse(7, "a", 8, clock.now() + 30s));
 }
 
 TEST_F(DelegationTest, DelegateTransfersOnlyWhatItWouldAnswerBy) {
-    Delegate other{bounds, "b", clock.now()};
+    Delegate other{limits, "b", clock.now()};
     EXPECT_FALSE(delegate.transfer(7, clock.now())) << "it has none";
     talk(5s);
     EXPECT_FALSE(delegate.transfer(7, clock.now())) << "the leader is in contact";
@@ -185,9 +185,9 @@
     ASSERT_TRUE(transferred);
     ASSERT_TRUE(other.needsDelegation(clock.now()));
     other.acceptTransfer(*transferred, clock.now(), clock.now());
-    EXPECT_TRUE(other.mayAnswer(7, "b", 7, clock.now()));
+    EXPECT_TRUE(other.tryUse(7, "b", 7, clock.now()));
     clock.advance(transferred->duration);
-    EXPECT_FALSE(other.mayAnswer(7, "b", 7, clock.now()))
+    EXPECT_FALSE(other.tryUse(7, "b", 7, clock.now()))
         << "until the end of the first one's delegation";
     // None beyond the maximum duration, and none in place of what a leader gave.
     other.acceptTransfer({7, 0, 61s}, clock.now(), clock.now());
@@ -199,7 +199,7 @@
 
 TEST_F(DelegationTest, RestartedNodeAcceptsNoTransferBeforeItsFormerProcessesReportsExpire) {
     // What that process reported last holds for as long as a delegate waits for its leader.
-    Delegate fresh{bounds, "b", clock.now()};
+    Delegate fresh{limits, "b", clock.now()};
     fresh.acceptTransfer({7, 0, 20s}, clock.now(), clock.now());
     EXPECT_FALSE(fresh.isValid(clock.now()));
     clock.advance(4s);
@@ -211,8 +211,8 @@
 }
 
 TEST_F(DelegationTest, SilentNodeMayAnswerByWhatAReturningDelegateTransferred) {
-    Delegator leader{bounds, 7, {"rig-0", "a"}, 1h, {{"rig-1", "b"}, {"rig-2", "b"}}, clock.now()};
-    Delegate other{bounds, "b", clock.now() - 1h};
+    Delegator leader{limits, 7, {"rig-0", "a"}, 1h, {{"rig-1", "b"}, {"rig-2", "b"}}, clock.now()};
+    Delegate other{limits, "b", clock.now() - 1h};
     const auto ask = [&](Delegate& h, const std::string& name) {
         const TimePoint asked = clock.now();
         h.accept(leader.handleRequest(h.request(name, asked), cap, asked), asked, asked);
@@ -232,7 +232,7 @@
         << "rig-2 may be back, without contact to the leader";
     EXPECT_GE(leader.delegationsEnd("b"), last + 60s);
     // Once in contact, it gives that up by accepting the leader's delegation.
-    Delegate back{bounds, "b", clock.now() - 1h};
+    Delegate back{limits, "b", clock.now() - 1h};
     for (int i = 0; i < 2; ++i) ask(back, "rig-2");
     EXPECT_LE(leader.agentLeasesEnd("b", clock.now()), clock.now() + 32s);
 }
@@ -266,7 +266,7 @@
         settings_.lease = 4s;
         settings_.reportEvery = 1s;
         settings_.cancelWithin = 11s;
-        bounds_ = DelegationLimits{8s, 4s, 11s, 2s};
+        limits_ = DelegationLimits{8s, 4s, 11s, 2s};
         lead(1);
     }
     /// Which guarantee was violated; empty if none.
@@ -282,7 +282,7 @@
         for (const auto& [key, data] : records_) next->load(key, data, clock_.now(), clock_.wall());
         std::vector<Delegator::Node> others{{"rig-1", "b"}};
         if (scenario_.second) others.push_back({"rig-2", scenario_.secondKnown ? "b" : "c"});
-        delegator_ = std::make_unique<Delegator>(bounds_, token, Delegator::Node{"rig-0", "a"}, 1h,
+        delegator_ = std::make_unique<Delegator>(limits_, token, Delegator::Node{"rig-0", "a"}, 1h,
                                                  others, clock_.now());
         if (scenario_.delegationsTracked) next->setDelegator(*delegator_);
         next->loaded(clock_.now());
@@ -314,7 +314,7 @@
     Scenario scenario_;
     FakeClock clock_;
     settings::Settings settings_ = testing::someSettings();
-    DelegationLimits bounds_;
+    DelegationLimits limits_;
     std::map<std::string, std::string> records_;
     std::unique_ptr<Cluster> cluster_;
     std::unique_ptr<Delegator> delegator_;
@@ -338,7 +338,7 @@
             cluster_->submit(spec, clock_.now(), clock_.wall());
         }
         if (s == scenario_.takeOverAt) lead(2);
-        if (s == scenario_.restartAt) delegate_ = Delegate{bounds_, "b", clock_.now()};
+        if (s == scenario_.restartAt) delegate_ = Delegate{limits_, "b", clock_.now()};
         if (!paused && (!partitioned || (s == partitionedAt && scenario_.answerLost)))
             requestDelegation(delegate_, "rig-1", !partitioned);
         const bool secondPartitioned =
@@ -346,17 +346,16 @@
             s < scenario_.secondPartitionedAt + scenario_.secondPartitionedFor;
         if (scenario_.second) {
             if (s == scenario_.secondRestartAt)
-                secondDelegate_ = Delegate{bounds_, "b", clock_.now()};
+                secondDelegate_ = Delegate{limits_, "b", clock_.now()};
             if (!secondPartitioned) requestDelegation(secondDelegate_, "rig-2", true);
             if (!paused) transfer(secondDelegate_, delegate_), transfer(delegate_, secondDelegate_);
         }
         // The agent first: it sends its heartbeat, and then perhaps kills what it runs.
         heartbeat(inside, renewedInside, !partitioned);
-        if (partitioned && !paused &&
-            delegate_.mayAnswer(inside.report.token, "b", 0, clock_.now()))
+        if (partitioned && !paused && delegate_.tryUse(inside.report.token, "b", 0, clock_.now()))
             renewedInside = clock_.now();
         if (partitioned && scenario_.second &&
-            secondDelegate_.mayAnswer(inside.report.token, "b", 0, clock_.now()))
+            secondDelegate_.tryUse(inside.report.token, "b", 0, clock_.now()))
             renewedInside = clock_.now();
         heartbeat(outside, renewedOutside, s > 2);  // later, so that the job is placed in the zone
         if (clock_.now() - renewedInside > settings_.lease) {
--- a/src/peer_rpc/peer_rpc.cpp
+++ b/src/peer_rpc/peer_rpc.cpp
@@ -68,7 +68,7 @@
         b.setNode(m.delegationRequest->node.c_str());
         b.setToken(m.delegationRequest->token);
         b.setNumber(m.delegationRequest->number);
-        b.setSinceUseMs(static_cast<std::uint64_t>(m.delegationRequest->sinceUse.count()));
+        b.setSinceUseMs(static_cast<std::uint64_t>(m.delegationRequest->timeSinceUse.count()));
     } else if (m.delegation) {
         auto l = frame.initLoan();
         l.setId(m.id);
--- a/src/peer_rpc/peer_rpc_test.cpp
+++ b/src/peer_rpc/peer_rpc_test.cpp
@@ -145,7 +145,7 @@
     ASSERT_TRUE(out.delegationRequest);
     EXPECT_EQ(out.delegationRequest->node, "rig-1");
     EXPECT_EQ(out.delegationRequest->number, 41U);
-    EXPECT_EQ(out.delegationRequest->sinceUse, 90s);
+    EXPECT_EQ(out.delegationRequest->timeSinceUse, 90s);
     ASSERT_EQ(decode(data, out), DecodeStatus::message);
     ASSERT_TRUE(out.delegation);
     EXPECT_EQ(out.delegation->number, 42U);
--- a/src/peer_rpc/wire_format_test.cpp
+++ b/src/peer_rpc/wire_format_test.cpp
@@ -172,7 +172,7 @@
     EXPECT_EQ(read.delegationRequest->node, "rig-1");
     EXPECT_EQ(read.delegationRequest->token, 0x0102030405060708U);
     EXPECT_EQ(read.delegationRequest->number, 0x3132333435363738U);
-    EXPECT_EQ(read.delegationRequest->sinceUse, 4500ms);
+    EXPECT_EQ(read.delegationRequest->timeSinceUse, 4500ms);
 }
 
 TEST(WireFormat, DelegationAnswerFrameBytes) {
--- a/src/scheduler/allocations.cpp
+++ b/src/scheduler/allocations.cpp
@@ -43,7 +43,7 @@
     // Low-priority work is bound by what the others leave of the write rate: a large array once
     // held up everybody's bindings.
     markTaskDirty(job, task,
-                  job.rank == Priority::low ? WritePriority::rest : WritePriority::bindings);
+                  job.rank == Priority::low ? WritePriority::background : WritePriority::immediate);
     Allocation allocation;
     allocation.job = &job;
     allocation.task = task;
--- a/src/scheduler/job_lifecycle.cpp
+++ b/src/scheduler/job_lifecycle.cpp
@@ -49,7 +49,7 @@
         "checkpoint_interval_s={}",
         spec.id, spec.jobClass, spec.tasks, spec.demand.cores, spec.estimateS,
         static_cast<int>(spec.priority), spec.checkpointS);
-    markHeadDirty(submitted, WritePriority::users);
+    markHeadDirty(submitted, WritePriority::userRequest);
     if (spec.dependencies.empty()) {
         estimates_.recordLeadTime(spec, Duration::zero());
         onJobOpened(submitted);
@@ -105,7 +105,7 @@
     ++job.doneCount;
     job.crashLooping = false;
     // Users wait for the last result, nobody for those before it.
-    markTaskDirty(job, task, job.allDone() ? WritePriority::bindings : WritePriority::progress);
+    markTaskDirty(job, task, job.allDone() ? WritePriority::immediate : WritePriority::progress);
     if (job.allDone())
         onJobClosed(job);
     else
@@ -140,7 +140,7 @@
 bool Cluster::cancellationAcknowledgeable(const Job& job, TimePoint now) const {
     if (delegator_ == nullptr) return true;
     const TimePoint latest =
-        now + std::max(Duration::zero(), delegator_->bounds().afterAcknowledgedCancellation());
+        now + std::max(Duration::zero(), delegator_->limits().maxDelegationAfterCancellation());
     return std::all_of(job.perZone.begin(), job.perZone.end(), [&](const auto& zone) {
         return delegator_->delegationsEnd(zone.first) <= latest;
     });
@@ -149,7 +149,7 @@
 Duration Cluster::timeUntilAcknowledgeable(const Job& job, TimePoint now) const {
     Duration wait{};
     if (delegator_ == nullptr || job.cancelCommitted) return wait;
-    const TimePoint latest = now + delegator_->bounds().afterAcknowledgedCancellation();
+    const TimePoint latest = now + delegator_->limits().maxDelegationAfterCancellation();
     for (const auto& [zone, tasks] : job.perZone)
         wait = std::max(wait, delegator_->delegationsEnd(zone) - latest);
     return wait;
@@ -162,23 +162,23 @@
         // A machine that has not reported to this leader may be in any zone.
         if (job->perZone.contains(zone) || job->perZone.contains(""))
             cap = std::min(cap, job->acknowledgedAt.value_or(now) +
-                                    delegator_->bounds().afterAcknowledgedCancellation());
+                                    delegator_->limits().maxDelegationAfterCancellation());
     return cap;
 }
 
 void Cluster::commitCancellations(TimePoint now) {
-    if (delegator_ != nullptr) delegator_->delegateSelf(delegationCap(settings_.zone, now), now);
+    if (delegator_ != nullptr) delegator_->delegateToSelf(delegationCap(settings_.zone, now), now);
     for (auto it = cancellations_.begin(); it != cancellations_.end();) {
         Job& job = **it;
         if (!job.cancelCommitted && cancellationAcknowledgeable(job, now)) {
             job.cancelCommitted = true;
-            markHeadDirty(job, WritePriority::users);
+            markHeadDirty(job, WritePriority::userRequest);
             job.cancelVersion = job.layout.head().version;
         } else if (!job.cancelCommitted && !job.cancelRecorded &&
                    now - job.cancelRequestedAt > recordCancellationAfter) {
             // So that a successor does not start it again.
             job.cancelRecorded = true;
-            markHeadDirty(job, WritePriority::users);
+            markHeadDirty(job, WritePriority::userRequest);
         }
         it = job.cancelCommitted && job.perZone.empty() ? cancellations_.erase(it) : std::next(it);
     }
--- a/src/scheduler/persistence.cpp
+++ b/src/scheduler/persistence.cpp
@@ -233,13 +233,14 @@
     }
     for (const std::uint32_t task : {whole.from, whole.from + whole.count / 2})
         effects_.dirtyRecords.emplace_back(l.nameOf(job.spec.id, l.of(task)).key(),
-                                           WritePriority::bindings);
+                                           WritePriority::immediate);
     if (first) {
         const bool headDurable = !job.cancelled || job.cancelDurable();
         if (headDurable)
             l.settleHead();
         else
-            effects_.dirtyRecords.emplace_back(l.headName(job.spec.id).key(), WritePriority::users);
+            effects_.dirtyRecords.emplace_back(l.headName(job.spec.id).key(),
+                                               WritePriority::userRequest);
     }
     return std::nullopt;
 }
@@ -251,7 +252,7 @@
     l.textsDurable = 0;
     for (std::uint32_t i = 0; i < l.texts; ++i)
         effects_.dirtyRecords.emplace_back(RecordName{job.spec.id, Kind::text, i, 0}.key(),
-                                           WritePriority::users);
+                                           WritePriority::userRequest);
 }
 
 void Cluster::tooLarge(const std::string& key, std::size_t bytes) {
@@ -263,7 +264,7 @@
     Job& job = *jobs_.at(name->job);
     if (!job.accepted() && job.layout.texts > 0) return splitHead(job);
     if (supportsPages_)
-        effects_.dirtyRecords.emplace_back(key, WritePriority::bindings);
+        effects_.dirtyRecords.emplace_back(key, WritePriority::immediate);
     else
         oversizedKeys_.insert(key);
 }
@@ -271,7 +272,7 @@
 void Cluster::enablePages() {
     if (std::exchange(supportsPages_, true)) return;
     for (const auto& key : std::exchange(oversizedKeys_, {}))
-        effects_.dirtyRecords.emplace_back(key, WritePriority::bindings);
+        effects_.dirtyRecords.emplace_back(key, WritePriority::immediate);
 }
 
 void Cluster::committed(const std::string& key, std::uint64_t version) {
@@ -283,7 +284,8 @@
     auto [from, to] = l.committed(*name, version);
     if (name->kind == Kind::text) {
         if (!before && l.textsDurable == l.texts)
-            effects_.dirtyRecords.emplace_back(l.headName(job.spec.id).key(), WritePriority::users);
+            effects_.dirtyRecords.emplace_back(l.headName(job.spec.id).key(),
+                                               WritePriority::userRequest);
         return;
     }
     const bool justAccepted = !before && job.accepted();
@@ -291,7 +293,7 @@
         for (const TaskRange& s : l.ranges())
             if (s.page && s.durable < s.version)
                 effects_.dirtyRecords.emplace_back(l.nameOf(job.spec.id, s).key(),
-                                                   WritePriority::bindings);
+                                                   WritePriority::immediate);
     if (dependencies_.contains(job.spec.id)) {
         if (job.cancelDurable())
             dependencies_.setOutcome(job.spec.id, dependencies::JobOutcome::cancelled);
--- a/src/scheduler/reconciliation.cpp
+++ b/src/scheduler/reconciliation.cpp
@@ -172,7 +172,7 @@
         task.attempt = t.attempt;
         ++job.boundCount;
         listWaiting(job);
-        markTaskDirty(job, t.task, WritePriority::bindings);
+        markTaskDirty(job, t.task, WritePriority::immediate);
     } else {
         found.orphaned = true;
     }
