--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -151,8 +151,8 @@
         // What a machine that does not report runs ends with its lease. Moved at the first sign
         // replicas were away more than by the leases: most such machines report again in time.
         if (m.outboundPartitioned && m.up() &&
-            cluster_.leaseRenewedUntil(m, now) - now < movedBefore)
-            cluster_.moveReplicas(i, now);
+            cluster_.leaseEndWithoutRenewal(m, now) - now < movedBefore)
+            cluster_.migrateReplica(i, now);
         if (!m.draining || !m.up()) continue;
         if (m.allocations.empty()) {
             toTerminate_.insert(m.name);
@@ -168,8 +168,8 @@
             continue;
         }
         // A machine is not kept for those who run on what is idle.
-        cluster_.stopOpportunistic(i);
-        cluster_.moveReplicas(i, now);
+        cluster_.stopOpportunisticTasks(i);
+        cluster_.migrateReplica(i, now);
     }
 }
 
@@ -293,7 +293,7 @@
     for (const auto& n : names) {
         toTerminate_.erase(n);
         booting_.erase(n);
-        cluster_.machineGone(cluster_.indexOf(n), now);
+        cluster_.onMachineDeleted(cluster_.indexOf(n), now);
     }
 }
 
--- a/src/autoscaler/autoscaler_test.cpp
+++ b/src/autoscaler/autoscaler_test.cpp
@@ -27,7 +27,7 @@
     void submit(const std::string& id, std::uint32_t tasks) {
         cluster.submit(testing::spec(id, tasks), clock.now(), clock.wall());
         const auto key = cluster.takeEffects().dirtyRecords.at(0).first;
-        cluster.committed(key, cluster.encode(key)->version);
+        cluster.onRecordCommitted(key, cluster.encode(key)->version);
     }
 };
 
@@ -203,8 +203,8 @@
     scheduler::Cluster next{settings, 2};
     next.setCatalogue(testing::someCatalogue());
     for (const auto& [key, data] : records)
-        ASSERT_TRUE(next.load(key, data, clock.now(), clock.wall()));
-    next.loaded(clock.now());
+        ASSERT_TRUE(next.loadRecord(key, data, clock.now(), clock.wall()));
+    next.finishLoading(clock.now());
     Autoscaler after{next, clock.now()};
     std::set<std::string> removed;
     for (int i = 0; i < 25; ++i) {
@@ -418,7 +418,7 @@
     report(0);
     submit("run-1", 40);
     cluster.place(clock.now());
-    cluster.setZoneAway("b", true);
+    cluster.setZoneUnreachable("b", true);
     std::set<std::string> removed;
     std::size_t most = 0;
     for (int i = 0; i < 30; ++i) {
--- a/src/autoscaler/demand.cpp
+++ b/src/autoscaler/demand.cpp
@@ -172,7 +172,7 @@
         if (!cluster_.isOpportunistic(*job) || job->crashLooping ||
             job->spec.spotAllowed != spotAllowed)
             continue;
-        const double run = std::max(1.0, toSeconds(cluster_.runTime(job->spec)));
+        const double run = std::max(1.0, toSeconds(cluster_.estimatedRunTime(job->spec)));
         const auto turn = cluster_.schedulingPriority(*job, now);
         const double left = turn.canMeetAnother ? toSeconds(turn.startBy - now - lendingDelay) : 0;
         const double over =
@@ -225,7 +225,7 @@
         const double share = withinLimit(*job);
         const double left = share * s.demand.cores * (s.tasks - job->doneCount);
         open += left;
-        seconds += left * std::max(1.0, toSeconds(cluster_.runTime(s)));
+        seconds += left * std::max(1.0, toSeconds(cluster_.estimatedRunTime(s)));
         if (job->waitingCount() == 0 || now < job->backOffUntil) continue;
         const auto turn = cluster_.schedulingPriority(*job, now);
         if (turn.canMeetAnother)
--- a/src/autoscaler/failure_detection.cpp
+++ b/src/autoscaler/failure_detection.cpp
@@ -97,8 +97,8 @@
             continue;
         const bool late = now - heard > overdue;
         // One that answers but does not report is asked as often as it would report.
-        const bool quiet =
-            m.up() && !late && now - m.lastHeartbeatAt > overdue && !cluster_.isZoneAway(m.zone);
+        const bool quiet = m.up() && !late && now - m.lastHeartbeatAt > overdue &&
+                           !cluster_.isZoneUnreachable(m.zone);
         if (quiet && now - m.lastHeardAt > s.reportEvery / 2) plan.probe.push_back(i);
         if (!late && m.unansweredProbes == 0) {
             if (now - heard > sweepAge) unheard.emplace_back(heard, i);
@@ -106,7 +106,7 @@
         }
         // A zone that is away with its controllers explains the silence of its machines. A few
         // are asked, to see when it is back; it is no reason to keep the dead of other zones.
-        if (cluster_.isZoneAway(m.zone)) {
+        if (cluster_.isZoneUnreachable(m.zone)) {
             if (++askedAway <= fewAsked) plan.probe.push_back(i);
             continue;
         }
@@ -122,7 +122,7 @@
     // few are found within a second or two, a sample is always asked.
     std::size_t dying = 0;
     for (const auto& m : cluster_.machines())
-        dying += m.up() && m.unansweredProbes > 0 && !cluster_.isZoneAway(m.zone) ? 1 : 0;
+        dying += m.up() && m.unansweredProbes > 0 && !cluster_.isZoneUnreachable(m.zone) ? 1 : 0;
     std::sort(unheard.begin(), unheard.end());
     std::size_t asked = 0;
     if (dying >= fewDying && now - lastFullProbeAt_ >= sweepAge) {
--- a/src/cells/cells.cpp
+++ b/src/cells/cells.cpp
@@ -4,7 +4,8 @@
 
 namespace basaltchute::cells {
 
-CellIndex Pool::make(Level level, CellIndex parent, MachineIndex machine, const std::string& zone) {
+CellIndex CellPool::make(Level level, CellIndex parent, MachineIndex machine,
+                         const std::string& zone) {
     CellIndex c = none;
     if (spare_.empty()) {
         c = static_cast<CellIndex>(cells_.size());
@@ -22,16 +23,16 @@
     return c;
 }
 
-void Pool::setFree(CellIndex c) {
+void CellPool::setFree(CellIndex c) {
     cells_[c].state = State::free;
     cells_[c].team.clear();
     free(cells_[c].level).emplace(cells_[c].low, c);
 }
-void Pool::unlist(CellIndex c) {
+void CellPool::unlist(CellIndex c) {
     free(cells_[c].level).erase({cells_[c].low, c});
 }
 
-void Pool::count(CellIndex c, int low, int bound) {
+void CellPool::count(CellIndex c, int low, int bound) {
     for (; c != none; c = cells_[c].parent) {
         Cell& cell = cells_[c];
         const bool listed = cell.state == State::free;
@@ -42,7 +43,7 @@
     }
 }
 
-void Pool::addMachine(MachineIndex machine, const std::string& zone) {
+void CellPool::addMachine(MachineIndex machine, const std::string& zone) {
     if (byMachine_.contains(machine)) return;
     const CellIndex c = make(Level::machine, none, machine, zone);
     byMachine_[machine] = c;
@@ -50,7 +51,7 @@
     groupZone(zone);
 }
 
-void Pool::groupZone(const std::string& zone) {
+void CellPool::groupZone(const std::string& zone) {
     // Machines come and go, so zone cells are made of whatever free machines a zone has; the
     // few beyond the last full cell stay machine cells with no buddies.
     std::vector<CellIndex> single;
@@ -69,7 +70,7 @@
     setFree(z);
 }
 
-void Pool::dissolve(CellIndex z) {
+void CellPool::dissolve(CellIndex z) {
     if (cells_[z].state == State::free) unlist(z);
     const bool whole = cells_[z].state != State::split;
     for (const CellIndex c : cells_[z].children) {
@@ -80,7 +81,7 @@
     spare_.push_back(z);
 }
 
-std::vector<CellIndex> Pool::removeMachine(MachineIndex machine) {
+std::vector<CellIndex> CellPool::removeMachine(MachineIndex machine) {
     std::vector<CellIndex> lost;
     const auto it = byMachine_.find(machine);
     if (it == byMachine_.end()) return lost;
@@ -117,19 +118,19 @@
     return lost;
 }
 
-void Pool::reserve(const std::string& team, Level level, std::uint32_t count) {
+void CellPool::reserve(const std::string& team, Level level, std::uint32_t count) {
     reserved_[{team, level}] = count;
 }
-std::uint32_t Pool::reserved(const std::string& team, Level level) const {
+std::uint32_t CellPool::reservedCells(const std::string& team, Level level) const {
     const auto it = reserved_.find({team, level});
     return it == reserved_.end() ? 0 : it->second;
 }
-std::uint32_t Pool::bound(const std::string& team, Level level) const {
+std::uint32_t CellPool::boundCells(const std::string& team, Level level) const {
     const auto it = bound_.find({team, level});
     return it == bound_.end() ? 0 : it->second;
 }
 
-bool Pool::feasible() const {
+bool CellPool::reservationsFit() const {
     std::uint64_t want[levels] = {};
     for (const auto& [key, n] : reserved_) want[static_cast<std::size_t>(key.second)] += n;
     std::map<std::string, std::uint64_t> perZone;
@@ -141,13 +142,13 @@
     return want[1] <= machines && want[0] <= (machines - want[1]) * shape_.slotsPerMachine;
 }
 
-bool Pool::anyUsable(CellIndex c, const std::function<bool(MachineIndex)>& usable) const {
+bool CellPool::anyUsable(CellIndex c, const std::function<bool(MachineIndex)>& usable) const {
     const auto machines = machinesOf(c);
     return std::any_of(machines.begin(), machines.end(), usable);
 }
 
-std::optional<CellIndex> Pool::best(Level l, Level want,
-                                    const std::function<bool(MachineIndex)>& usable) const {
+std::optional<CellIndex> CellPool::best(Level l, Level want,
+                                        const std::function<bool(MachineIndex)>& usable) const {
     for (const auto& [low, c] : free(l)) {
         const auto machines = machinesOf(c);
         // A whole zone cell needs all of its machines; a part of it needs one.
@@ -158,7 +159,7 @@
     return std::nullopt;
 }
 
-void Pool::split(CellIndex c) {
+void CellPool::split(CellIndex c) {
     unlist(c);
     cells_[c].state = State::split;
     if (cells_[c].level == Level::machine) {
@@ -176,9 +177,9 @@
     }
 }
 
-std::optional<CellIndex> Pool::bind(const std::string& team, Level level,
-                                    const std::function<bool(MachineIndex)>& usable) {
-    if (bound(team, level) >= reserved(team, level)) return std::nullopt;
+std::optional<CellIndex> CellPool::bind(const std::string& team, Level level,
+                                        const std::function<bool(MachineIndex)>& usable) {
+    if (boundCells(team, level) >= reservedCells(team, level)) return std::nullopt;
     std::optional<CellIndex> found;
     auto at = static_cast<std::size_t>(level);
     for (; at < levels; ++at) {
@@ -206,14 +207,14 @@
     return found;
 }
 
-void Pool::release(CellIndex c) {
+void CellPool::release(CellIndex c) {
     --bound_[{cells_[c].team, cells_[c].level}];
     count(c, 0, -static_cast<int>(slotsOf(c)));
     setFree(c);
     mergeUp(c);
 }
 
-void Pool::mergeUp(CellIndex c) {
+void CellPool::mergeUp(CellIndex c) {
     for (CellIndex p = cells_[c].parent; p != none; p = cells_[p].parent) {
         const auto& buddies = cells_[p].children;
         const bool whole = std::all_of(buddies.begin(), buddies.end(),
@@ -234,32 +235,32 @@
         groupZone(cells_[c].zone);
 }
 
-std::vector<MachineIndex> Pool::machinesOf(CellIndex c) const {
+std::vector<MachineIndex> CellPool::machinesOf(CellIndex c) const {
     if (cells_[c].level != Level::zone) return {cells_[c].machine};
     std::vector<MachineIndex> out;
     for (const CellIndex m : cells_[c].children) out.push_back(cells_[m].machine);
     return out;
 }
-std::uint32_t Pool::slotsOf(CellIndex c) const {
+std::uint32_t CellPool::slotsOf(CellIndex c) const {
     return slotsOf(cells_[c].level);
 }
 
-std::uint32_t Pool::boundSlots(MachineIndex machine) const {
+std::uint32_t CellPool::boundSlots(MachineIndex machine) const {
     const auto it = byMachine_.find(machine);
     if (it == byMachine_.end()) return 0;
     const Cell& m = cells_[it->second];
     if (m.parent != none && cells_[m.parent].state == State::bound) return shape_.slotsPerMachine;
     return m.bound;
 }
-void Pool::use(MachineIndex machine, int slots) {
+void CellPool::addLowPrioritySlots(MachineIndex machine, int slots) {
     const auto it = byMachine_.find(machine);
     if (it != byMachine_.end()) count(it->second, slots, 0);
 }
-std::uint32_t Pool::lowSlots(MachineIndex machine) const {
+std::uint32_t CellPool::lowPrioritySlots(MachineIndex machine) const {
     const auto it = byMachine_.find(machine);
     return it == byMachine_.end() ? 0 : cells_[it->second].low;
 }
-int Pool::distance(MachineIndex machine) const {
+int CellPool::distanceToBoundCells(MachineIndex machine) const {
     const auto it = byMachine_.find(machine);
     if (it == byMachine_.end()) return 2;
     if (boundSlots(machine) > 0) return 0;
@@ -267,14 +268,14 @@
     return z != none && cells_[z].bound > 0 ? 1 : 2;
 }
 
-std::vector<MachineIndex> Pool::buddies(MachineIndex machine) const {
+std::vector<MachineIndex> CellPool::buddies(MachineIndex machine) const {
     const auto it = byMachine_.find(machine);
     if (it == byMachine_.end()) return {};
     const CellIndex zone = cells_[it->second].parent;
     return machinesOf(zone == none ? it->second : zone);
 }
 
-std::string Pool::freeListFault(Level level) const {
+std::string CellPool::freeListFault(Level level) const {
     for (const auto& [low, c] : free_[static_cast<std::size_t>(level)]) {
         const Cell& cell = cells_[c];
         if (cell.state != State::free) return "a listed cell is not free";
@@ -286,7 +287,7 @@
     return "";
 }
 
-std::uint32_t Pool::slotsOf(Level level) const {
+std::uint32_t CellPool::slotsOf(Level level) const {
     switch (level) {
         case Level::slot:
             return 1;
@@ -298,7 +299,7 @@
     return shape_.slotsPerMachine * shape_.machinesPerZone;
 }
 
-std::string Pool::check() const {
+std::string CellPool::findInconsistency() const {
     for (const Level level : {Level::slot, Level::machine, Level::zone}) {
         std::string fault = freeListFault(level);
         if (!fault.empty()) return fault;
--- a/src/cells/cells.h
+++ b/src/cells/cells.h
@@ -19,7 +19,7 @@
 
 using CellIndex = std::uint32_t;
 
-struct Shape {
+struct PoolShape {
     std::uint32_t slotsPerMachine = 1;
     std::uint32_t machinesPerZone = 4;
 };
@@ -27,9 +27,9 @@
 /// Buddy cell allocation (HiveD, algorithm 1) over the machines of one type. Two views share the
 /// cells: guaranteed bindings take whole cells, low-priority work only counts the slots it uses,
 /// and each side is told where the other is so as to keep away from it.
-class Pool {
+class CellPool {
   public:
-    explicit Pool(Shape shape) : shape_(shape) {}
+    explicit CellPool(PoolShape shape) : shape_(shape) {}
 
     void addMachine(MachineIndex machine, const std::string& zone);
     /// The machine is gone; bound cells that held it are unbound and returned.
@@ -37,10 +37,10 @@
 
     // Guaranteed view
     void reserve(const std::string& team, Level level, std::uint32_t count);
-    [[nodiscard]] std::uint32_t reserved(const std::string& team, Level level) const;
-    [[nodiscard]] std::uint32_t bound(const std::string& team, Level level) const;
+    [[nodiscard]] std::uint32_t reservedCells(const std::string& team, Level level) const;
+    [[nodiscard]] std::uint32_t boundCells(const std::string& team, Level level) const;
     /// Whether the machines present can hold every team's reservation at once.
-    [[nodiscard]] bool feasible() const;
+    [[nodiscard]] bool reservationsFit() const;
     /// Binds a free cell, splitting the lowest higher one if need be. Legal only while the team's
     /// bound cells at the level are below its reservation. Among equals the cell with the fewest
     /// low-priority slots is taken. `usable` may rule machines out.
@@ -56,17 +56,17 @@
     [[nodiscard]] std::uint32_t boundSlots(MachineIndex machine) const;
 
     // Low-priority view
-    void use(MachineIndex machine, int slots);
-    [[nodiscard]] std::uint32_t lowSlots(MachineIndex machine) const;
+    void addLowPrioritySlots(MachineIndex machine, int slots);
+    [[nodiscard]] std::uint32_t lowPrioritySlots(MachineIndex machine) const;
     /// How far the machine is from guaranteed cells: 0 it has some itself, 1 a buddy has, 2 none.
-    [[nodiscard]] int distance(MachineIndex machine) const;
+    [[nodiscard]] int distanceToBoundCells(MachineIndex machine) const;
     /// The machines whose distance changes with what is bound on this one, itself among them.
     [[nodiscard]] std::vector<MachineIndex> buddies(MachineIndex machine) const;
 
     [[nodiscard]] std::size_t freeCells(Level level) const { return free(level).size(); }
     [[nodiscard]] std::uint32_t slotsPerMachine() const { return shape_.slotsPerMachine; }
     /// Empty if free lists, parents and counts agree; else what is wrong. For tests.
-    [[nodiscard]] std::string check() const;
+    [[nodiscard]] std::string findInconsistency() const;
 
   private:
     enum class State : std::uint8_t { absent, free, split, bound };
@@ -101,7 +101,7 @@
     [[nodiscard]] std::optional<CellIndex> best(
         Level l, Level want, const std::function<bool(MachineIndex)>& usable) const;
 
-    Shape shape_;
+    PoolShape shape_;
     std::vector<Cell> cells_;
     std::vector<CellIndex> spare_;
     std::array<FreeList, levels> free_;
--- a/src/cells/cells_test.cpp
+++ b/src/cells/cells_test.cpp
@@ -9,14 +9,14 @@
 
 const auto anyMachine = [](MachineIndex) { return true; };
 
-Pool poolOf(std::uint32_t machines, Shape shape = {4, 2}) {
-    Pool p(shape);
+CellPool poolOf(std::uint32_t machines, PoolShape shape = {4, 2}) {
+    CellPool p(shape);
     for (MachineIndex i = 0; i < machines; ++i) p.addMachine(i, i % 2 == 0 ? "a" : "b");
     return p;
 }
 
 TEST(Cells, SplitsTheLowestFreeHigherCellAndMergesBack) {
-    Pool p = poolOf(4);
+    CellPool p = poolOf(4);
     EXPECT_EQ(p.freeCells(Level::zone), 2U);
     p.reserve("red", Level::slot, 4);
     const auto first = p.bind("red", Level::slot, anyMachine);
@@ -33,7 +33,7 @@
 }
 
 TEST(Cells, BindsOnlyWithinTheReservation) {
-    Pool p = poolOf(4);
+    CellPool p = poolOf(4);
     p.reserve("red", Level::machine, 1);
     EXPECT_TRUE(p.bind("red", Level::machine, anyMachine));
     EXPECT_FALSE(p.bind("red", Level::machine, anyMachine));
@@ -41,38 +41,38 @@
 }
 
 TEST(Cells, PrefersCellsWithFewestLowPrioritySlots) {
-    Pool p = poolOf(4);
+    CellPool p = poolOf(4);
     p.reserve("red", Level::machine, 4);
-    p.use(0, 3);
-    p.use(2, 1);
-    p.use(1, 2);
+    p.addLowPrioritySlots(0, 3);
+    p.addLowPrioritySlots(2, 1);
+    p.addLowPrioritySlots(1, 2);
     const auto c = p.bind("red", Level::machine, anyMachine);
     EXPECT_EQ(p.machinesOf(*c).front(), 3U);
-    EXPECT_EQ(p.check(), "");
+    EXPECT_EQ(p.findInconsistency(), "");
 }
 
 TEST(Cells, TellsLowPriorityWorkHowFarGuaranteedCellsAre) {
-    Pool p = poolOf(4);
+    CellPool p = poolOf(4);
     p.reserve("red", Level::slot, 1);
     const auto c = p.bind("red", Level::slot, [](MachineIndex m) { return m == 0; });
     ASSERT_TRUE(c);
-    EXPECT_EQ(p.distance(0), 0);
-    EXPECT_EQ(p.distance(2), 1) << "the buddy in its zone cell";
-    EXPECT_EQ(p.distance(1), 2);
+    EXPECT_EQ(p.distanceToBoundCells(0), 0);
+    EXPECT_EQ(p.distanceToBoundCells(2), 1) << "the buddy in its zone cell";
+    EXPECT_EQ(p.distanceToBoundCells(1), 2);
 }
 
 TEST(Cells, ALostMachineUnbindsItsCells) {
-    Pool p = poolOf(4);
+    CellPool p = poolOf(4);
     p.reserve("red", Level::slot, 2);
     p.reserve("red", Level::zone, 1);
     const auto slot = p.bind("red", Level::slot, anyMachine);
     const auto zone = p.bind("red", Level::zone, anyMachine);
     ASSERT_TRUE(slot && zone);
     EXPECT_EQ(p.removeMachine(p.machinesOf(*slot).front()).size(), 1U);
-    EXPECT_EQ(p.check(), "");
+    EXPECT_EQ(p.findInconsistency(), "");
     EXPECT_EQ(p.removeMachine(p.machinesOf(*zone).front()).size(), 1U);
-    EXPECT_EQ(p.check(), "");
-    EXPECT_EQ(p.bound("red", Level::slot) + p.bound("red", Level::zone), 0U);
+    EXPECT_EQ(p.findInconsistency(), "");
+    EXPECT_EQ(p.boundCells("red", Level::slot) + p.boundCells("red", Level::zone), 0U);
 }
 
 /// Theorem 1 of the paper, tried: while the reservations are feasible, a legal request is never
@@ -81,9 +81,9 @@
 TEST(Cells, ALegalRequestNeverFailsInAFeasibleReservation) {
     for (unsigned seed = 1; seed <= 40; ++seed) {
         std::mt19937 rng(seed);
-        const Shape shape{2 + static_cast<std::uint32_t>(rng() % 5),
-                          2 + static_cast<std::uint32_t>(rng() % 2)};
-        Pool p(shape);
+        const PoolShape shape{2 + static_cast<std::uint32_t>(rng() % 5),
+                              2 + static_cast<std::uint32_t>(rng() % 2)};
+        CellPool p(shape);
         const std::uint32_t perZone = shape.machinesPerZone * 2;
         for (MachineIndex i = 0; i < perZone * 2; ++i) p.addMachine(i, i < perZone ? "a" : "b");
         const std::vector<std::string> teams{"red", "blue"};
@@ -92,7 +92,7 @@
         p.reserve("red", Level::machine, shape.machinesPerZone);
         p.reserve("red", Level::slot, shape.slotsPerMachine);
         p.reserve("blue", Level::slot, shape.slotsPerMachine * (shape.machinesPerZone - 1));
-        ASSERT_TRUE(p.feasible());
+        ASSERT_TRUE(p.reservationsFit());
         const std::size_t whole = p.freeCells(Level::zone);
         std::vector<CellIndex> held;
         for (int step = 0; step < 400; ++step) {
@@ -103,16 +103,16 @@
             } else {
                 const auto& team = teams[rng() % 2];
                 const auto level = static_cast<Level>(rng() % levels);
-                const bool legal = p.bound(team, level) < p.reserved(team, level);
+                const bool legal = p.boundCells(team, level) < p.reservedCells(team, level);
                 const auto c = p.bind(team, level, anyMachine);
                 ASSERT_EQ(c.has_value(), legal) << "seed " << seed << " step " << step;
                 if (c) held.push_back(*c);
             }
             if (rng() % 4 == 0) {
                 const auto m = static_cast<MachineIndex>(rng() % (perZone * 2));
-                p.use(m, p.lowSlots(m) > 0 && rng() % 2 == 0 ? -1 : 1);
+                p.addLowPrioritySlots(m, p.lowPrioritySlots(m) > 0 && rng() % 2 == 0 ? -1 : 1);
             }
-            ASSERT_EQ(p.check(), "") << "seed " << seed << " step " << step;
+            ASSERT_EQ(p.findInconsistency(), "") << "seed " << seed << " step " << step;
         }
         for (const CellIndex c : held) p.release(c);
         EXPECT_EQ(p.freeCells(Level::zone), whole);
--- a/src/controller/leader_term.cpp
+++ b/src/controller/leader_term.cpp
@@ -57,13 +57,13 @@
       onLoaded_(std::move(hooks.loaded)),
       peerConnected_(std::move(hooks.peerConnected)),
       allSupportFormat_(std::move(hooks.allSupportFormat)) {
-    cluster_.setOperator(operatorSettings);
+    cluster_.setOperatorSettings(operatorSettings);
     delegator_.setEnabled(operatorSettings.zoneLoans);
     cluster_.setDelegator(delegator_);
 }
 
 void LeaderTerm::onCommitted(const std::string& key, std::uint64_t version) {
-    cluster_.committed(key, version);
+    cluster_.onRecordCommitted(key, version);
     recordWritten_.notify();
     wakeScheduler();
 }
@@ -74,7 +74,7 @@
 
 kv_store::TooLargeAction LeaderTerm::onTooLarge(const std::string& key, std::size_t bytes) {
     spdlog::warn("record too large for the state service key={} bytes={}", key, bytes);
-    cluster_.tooLarge(key, bytes);
+    cluster_.onRecordTooLarge(key, bytes);
     wakeScheduler();
     return kv_store::TooLargeAction::drop;
 }
@@ -96,12 +96,12 @@
         }
         for (const auto* items : {&all.entries, &parts.entries})
             for (const auto& item : *items) {
-                if (!cluster_.load(item.key, item.data, loop_.now(), loop_.clock().wall()))
+                if (!cluster_.loadRecord(item.key, item.data, loop_.now(), loop_.clock().wall()))
                     spdlog::error("record {} is malformed", item.key);
                 writer_.setKnownRevision(item.key, item.revision);
             }
-        cluster_.loaded(loop_.now());
-        if (election_.storedFormat() >= partedFormat) cluster_.enablePages();
+        cluster_.finishLoading(loop_.now());
+        if (election_.storedFormat() >= partedFormat) cluster_.enableRecordPages();
         loaded_ = true;
         spdlog::info("loaded {} records", all.entries.size() + parts.entries.size());
         onLoaded_();
@@ -123,9 +123,9 @@
 void LeaderTerm::flush() {
     scheduler::Effects effects = cluster_.takeEffects();
     for (const auto& [key, urgency] : effects.dirtyRecords) writer_.markDirty(key, urgency);
-    for (const MachineIndex m : effects.sendCommands) scope_.spawn(sendDirectCommands(m));
-    for (const MachineIndex m : effects.probe) scope_.spawn(probeInbound(m));
-    if (cluster_.needsPages() && !raisingFormat_) scope_.spawn(raiseFormat());
+    for (const MachineIndex m : effects.machinesToCommand) scope_.spawn(sendDirectCommands(m));
+    for (const MachineIndex m : effects.machinesToProbe) scope_.spawn(probeInbound(m));
+    if (cluster_.needsRecordPages() && !raisingFormat_) scope_.spawn(raiseFormat());
 }
 
 Task<bool> LeaderTerm::enablePages() {
@@ -137,7 +137,7 @@
         const bool stands = co_await election_.raiseStoredFormat(partedFormat, scope_);
         if (!stands || scope_.cancelled()) co_return false;
     }
-    cluster_.enablePages();
+    cluster_.enableRecordPages();
     co_return true;
 }
 
@@ -212,7 +212,8 @@
         election_.stepDown("a worker has seen a higher token");
         return false;
     }
-    cluster_.onStatusReport(*report, scheduler::Cluster::Source::commandResponse, loop_.now());
+    cluster_.onStatusReport(*report, scheduler::Cluster::ReportSource::commandResponse,
+                            loop_.now());
     return true;
 }
 
@@ -300,10 +301,10 @@
                          [&](const auto& p) { return p.zone == zone && peerConnected_(p.name); });
         const bool away =
             zone != settings_.zone && nodesSilent && commandSender_.directPathFailing(zone);
-        if (away == cluster_.isZoneAway(zone)) continue;
+        if (away == cluster_.isZoneUnreachable(zone)) continue;
         spdlog::info("zone {} is {}", zone,
                      away ? "away: its work stays, no more goes there" : "back");
-        cluster_.setZoneAway(zone, away);
+        cluster_.setZoneUnreachable(zone, away);
     }
 }
 
@@ -379,7 +380,7 @@
             co_return because("was never accepted");
         case Kind::isService:
             co_return because("is a service, which is never done");
-        case Kind::undecided:
+        case Kind::notYetAccepted:
             co_return serviceUnavailable();  // its acceptance may stand or not
         case Kind::none:
             break;
@@ -395,7 +396,7 @@
         co_return refuse(400, error->message);
     if (!ready()) co_return serviceUnavailable();
     const JobSpec& spec = std::get<JobSpec>(parsed);
-    if (cluster_.unreadable(spec.id)) co_return serviceUnavailable();
+    if (cluster_.isUnreadable(spec.id)) co_return serviceUnavailable();
     Job* job = cluster_.find(spec.id);
     bool fresh = false;
     if (job == nullptr) {
@@ -434,7 +435,7 @@
 }
 
 Task<http::Response> LeaderTerm::query(JobId id) {
-    if (!ready() || cluster_.unreadable(id)) co_return serviceUnavailable();
+    if (!ready() || cluster_.isUnreadable(id)) co_return serviceUnavailable();
     Job* job = cluster_.find(id);
     if (job == nullptr) co_return refuse(404, "no such job");
     if (!job->accepted()) co_return serviceUnavailable();
@@ -449,7 +450,7 @@
 }
 
 Task<http::Response> LeaderTerm::cancel(JobId id) {
-    if (!ready() || cluster_.unreadable(id)) co_return serviceUnavailable();
+    if (!ready() || cluster_.isUnreadable(id)) co_return serviceUnavailable();
     Job* job = cluster_.find(id);
     if (job == nullptr) co_return refuse(404, "no such job");
     cluster_.cancel(*job, loop_.now());
@@ -474,8 +475,9 @@
     const lease_delegation::DelegationRequest& question, bool delegates) {
     if (!ready()) return std::nullopt;
     const TimePoint now = loop_.now();
-    const TimePoint cap =
-        delegates ? cluster_.delegationCap(delegator_.zoneOf(question.node), now) : TimePoint{};
+    const TimePoint cap = delegates
+                              ? cluster_.latestDelegationEnd(delegator_.zoneOf(question.node), now)
+                              : TimePoint{};
     const auto delegation = delegator_.handleRequest(question, cap, now);
     wakeScheduler();  // a withdrawal or a silent machine may have waited for what it says
     return delegation;
--- a/src/lease_delegation/lease_delegation_test.cpp
+++ b/src/lease_delegation/lease_delegation_test.cpp
@@ -279,13 +279,14 @@
     void lead(FencingToken token) {
         auto next = std::make_unique<Cluster>(settings_, token);
         next->setCatalogue(testing::someCatalogue());
-        for (const auto& [key, data] : records_) next->load(key, data, clock_.now(), clock_.wall());
+        for (const auto& [key, data] : records_)
+            next->loadRecord(key, data, clock_.now(), clock_.wall());
         std::vector<Delegator::Node> others{{"rig-1", "b"}};
         if (scenario_.second) others.push_back({"rig-2", scenario_.secondKnown ? "b" : "c"});
         delegator_ = std::make_unique<Delegator>(limits_, token, Delegator::Node{"rig-0", "a"}, 1h,
                                                  others, clock_.now());
         if (scenario_.delegationsTracked) next->setDelegator(*delegator_);
-        next->loaded(clock_.now());
+        next->finishLoading(clock_.now());
         cluster_ = std::move(next);
         leaderToken_ = token;
     }
@@ -297,8 +298,8 @@
     }
     void requestDelegation(Delegate& delegate, const std::string& name, bool answered) {
         const DelegationRequest q = delegate.request(name, clock_.now());
-        const Delegation delegation =
-            delegator_->handleRequest(q, cluster_->delegationCap("b", clock_.now()), clock_.now());
+        const Delegation delegation = delegator_->handleRequest(
+            q, cluster_->latestDelegationEnd("b", clock_.now()), clock_.now());
         if (answered) delegate.accept(delegation, clock_.now(), clock_.now());
     }
     void transfer(const Delegate& from, Delegate& to) {
--- a/src/scheduler/allocations.cpp
+++ b/src/scheduler/allocations.cpp
@@ -113,7 +113,7 @@
         return;
     }
     t.stopping = true;
-    effects_.sendCommands.insert(t.machine);
+    effects_.machinesToCommand.insert(t.machine);
     markCapacityDirty(t.machine);
 }
 
@@ -128,7 +128,7 @@
 
 // ---------------------------------------------------------------- machines
 
-void Cluster::machineGone(MachineIndex machine, TimePoint now) {
+void Cluster::onMachineDeleted(MachineIndex machine, TimePoint now) {
     Machine& m = machines_[machine];
     now_ = now;
     m.presence = Presence::gone;
@@ -150,12 +150,12 @@
     markCapacityDirty(machine);
 }
 
-void Cluster::setZoneAway(const std::string& zone, bool away) {
-    if (away == awayZones_.contains(zone)) return;
+void Cluster::setZoneUnreachable(const std::string& zone, bool away) {
+    if (away == unreachableZones_.contains(zone)) return;
     if (away)
-        awayZones_.insert(zone);
+        unreachableZones_.insert(zone);
     else
-        awayZones_.erase(zone);
+        unreachableZones_.erase(zone);
     for (MachineIndex i = 0; i < machines_.size(); ++i)
         if (machines_[i].zone == zone) markCapacityDirty(i);
 }
@@ -171,7 +171,7 @@
     return std::max(m.leaseEnd, delegator_->agentLeasesEnd(m.zone, now));
 }
 
-TimePoint Cluster::leaseRenewedUntil(const Machine& m, TimePoint now) const {
+TimePoint Cluster::leaseEndWithoutRenewal(const Machine& m, TimePoint now) const {
     return m.answeredAt == TimePoint{} ? now : m.answeredAt + settings_.lease;
 }
 
@@ -223,7 +223,8 @@
     Machine& m = machines_[machine];
     if (m.presence == Presence::gone) return;
     if (m.up() && m.interruptionAt) checkpointBefore(machine, *m.interruptionAt, now);
-    if (m.up() && m.outboundPartitioned) checkpointBefore(machine, leaseRenewedUntil(m, now), now);
+    if (m.up() && m.outboundPartitioned)
+        checkpointBefore(machine, leaseEndWithoutRenewal(m, now), now);
     releaseExpired(machine, now);
     if (now >= m.inboundPartitionedUntil) m.inboundPartitioned = false;
     markCapacityDirty(machine);
--- a/src/scheduler/capacity_index.h
+++ b/src/scheduler/capacity_index.h
@@ -37,7 +37,7 @@
     bool spot = false;
     bool hasServices = false;          // replicas of services are on it
     bool outboundPartitioned = false;  // what is placed there ends with a lease that nothing renews
-    int reservationDistance = 2;       // from bound cells: `cells::Pool::distance`
+    int reservationDistance = 2;       // from bound cells: `cells::CellPool::distanceToBoundCells`
     Demand free;                       // beside everything that is possibly on it
     /// By rank: what would be free if everything gave way that work of that rank may preempt.
     static constexpr std::size_t preempting = 3;
--- a/src/scheduler/cluster.h
+++ b/src/scheduler/cluster.h
@@ -43,8 +43,9 @@
 /// What the caller has to do after an input: values, so that tests can look at them.
 struct Effects {
     std::vector<std::pair<std::string, kv_store::WritePriority>> dirtyRecords;  // by key, to write
-    std::set<MachineIndex> sendCommands;  // machines with commands worth sending at once
-    std::set<MachineIndex> probe;  // possibly inbound-partitioned: whether they answer a request
+    std::set<MachineIndex> machinesToCommand;  // machines with commands worth sending at once
+    std::set<MachineIndex>
+        machinesToProbe;  // possibly inbound-partitioned: whether they answer a request
 };
 
 /// Anything but `accepted` and `alreadyKnown` is the submitter's error.
@@ -65,31 +66,34 @@
     Cluster(const Cluster&) = delete;  // its parts refer to each other
     Cluster& operator=(const Cluster&) = delete;
     ~Cluster() = default;
-    void setOperator(const settings::Operator& settings) { operator_ = settings; }
+    void setOperatorSettings(const settings::Operator& settings) { operator_ = settings; }
     [[nodiscard]] const settings::Operator& operatorSettings() const { return operator_; }
-    [[nodiscard]] const std::map<std::string, cells::Pool>& pools() const { return quota_.pools(); }
+    [[nodiscard]] const std::map<std::string, cells::CellPool>& pools() const {
+        return quota_.pools();
+    }
 
     // Records
     /// To be called with each record under both prefixes of jobs, in any order; false if the record
     /// is malformed.
-    bool load(const std::string& key, const std::string& data, TimePoint now, WallMillis wall);
+    bool loadRecord(const std::string& key, const std::string& data, TimePoint now,
+                    WallMillis wall);
     /// All records have been loaded.
-    void loaded(TimePoint now);
+    void finishLoading(TimePoint now);
     /// A record of that job cannot be read: the job is known to exist, and no more than that. No
     /// task of it starts, and nobody is told that it does not exist.
-    [[nodiscard]] bool unreadable(const JobId& id) const { return unreadableJobs_.contains(id); }
+    [[nodiscard]] bool isUnreadable(const JobId& id) const { return unreadableJobs_.contains(id); }
     /// The record to write under the key now. Nothing if what it held is to be written under other
     /// keys, or cannot be written now.
     [[nodiscard]] std::optional<kv_store::EncodedRecord> encode(const std::string& key);
     /// That version of the record is durable.
-    void committed(const std::string& key, std::uint64_t version);
+    void onRecordCommitted(const std::string& key, std::uint64_t version);
     /// The state service does not take a value of that size.
-    void tooLarge(const std::string& key, std::size_t bytes);
+    void onRecordTooLarge(const std::string& key, std::size_t bytes);
     /// Records that a version without dependencies and record pages cannot read may be written from
     /// now on.
-    void enablePages();
+    void enableRecordPages();
     /// Some record waits for that.
-    [[nodiscard]] bool needsPages() const { return !oversizedKeys_.empty(); }
+    [[nodiscard]] bool needsRecordPages() const { return !oversizedKeys_.empty(); }
 
     // Jobs
     /// Nullptr if there is no such job.
@@ -97,7 +101,7 @@
     SubmitResult submit(const JobSpec& spec, TimePoint now, WallMillis wall);
     /// What is wrong with a dependency that a submission names.
     struct DependencyError {
-        enum class Kind { none, self, unknown, isService, undecided } kind = Kind::none;
+        enum class Kind { none, self, unknown, isService, notYetAccepted } kind = Kind::none;
         JobId job;
     };
     [[nodiscard]] DependencyError checkDependencies(const JobSpec& spec) const;
@@ -137,7 +141,9 @@
         return estimates_.arrivalLeadTime(jobClass);
     }
     /// How long one task of the job runs, by its owner's estimate and the bias of its class.
-    [[nodiscard]] Duration runTime(const JobSpec& spec) const { return estimates_.runTime(spec); }
+    [[nodiscard]] Duration estimatedRunTime(const JobSpec& spec) const {
+        return estimates_.estimatedRunTime(spec);
+    }
 
     // Lease delegation
     /// What was delegated to zones; it must live as long as the cluster.
@@ -145,24 +151,25 @@
     /// How late a delegate in the zone may answer workers for the leader: not so late that a task
     /// whose job's cancellation was acknowledged, and that is not proven gone, could outlive its
     /// time.
-    [[nodiscard]] TimePoint delegationCap(const std::string& zone, TimePoint now) const;
+    [[nodiscard]] TimePoint latestDelegationEnd(const std::string& zone, TimePoint now) const;
     /// When everything on the machine has surely been killed with its lease, if no report comes.
     [[nodiscard]] TimePoint possiblyRunningUntil(const worker_api::Machine& m, TimePoint now) const;
     /// How long a lease lasts that nothing renews any more: from the last report that was answered;
     /// perhaps no longer, if that was by a former leader.
-    [[nodiscard]] TimePoint leaseRenewedUntil(const worker_api::Machine& m, TimePoint now) const;
+    [[nodiscard]] TimePoint leaseEndWithoutRenewal(const worker_api::Machine& m,
+                                                   TimePoint now) const;
     /// A zone that is cut off together with its controllers gets no more work until it is back.
-    void setZoneAway(const std::string& zone, bool away);
-    [[nodiscard]] bool isZoneAway(const std::string& zone) const {
-        return awayZones_.contains(zone);
+    void setZoneUnreachable(const std::string& zone, bool away);
+    [[nodiscard]] bool isZoneUnreachable(const std::string& zone) const {
+        return unreachableZones_.contains(zone);
     }
 
     // Machines
     /// The commands for the heartbeat's response; to be called before anything is answered.
     std::vector<worker_api::Command> onHeartbeat(const worker_api::StatusReport& report,
                                                  TimePoint now);
-    enum class Source { heartbeat, commandResponse };
-    void onStatusReport(const worker_api::StatusReport& report, Source source, TimePoint now);
+    enum class ReportSource { heartbeat, commandResponse };
+    void onStatusReport(const worker_api::StatusReport& report, ReportSource source, TimePoint now);
     /// The commands to send to the machine now, if no direct request to it is in flight.
     std::vector<worker_api::Command> takeDirectCommands(MachineIndex machine, TimePoint now);
     /// `unanswered`: some copy of the request left and may be executed yet.
@@ -176,7 +183,7 @@
         if (!m.up()) m.address = address;
     }
     /// The cloud has deleted the machine.
-    void machineGone(MachineIndex machine, TimePoint now);
+    void onMachineDeleted(MachineIndex machine, TimePoint now);
     /// The machine is to be terminated, or is wanted again after all.
     void setDraining(MachineIndex machine, bool draining);
     /// Does what the passing of time asks for: leases that ran out, spot interruptions, back-offs
@@ -200,12 +207,13 @@
     [[nodiscard]] bool hasPlaceableWork();
     /// Moves a replica off a machine that is to be terminated, if another one that has its image
     /// has the capacity: stopped and started again it is away for a moment only.
-    void moveReplicas(MachineIndex machine, TimePoint now);
+    void migrateReplica(MachineIndex machine, TimePoint now);
     /// Stops opportunistic work on a machine that is to be terminated, if it writes checkpoints.
-    void stopOpportunistic(MachineIndex machine);
+    void stopOpportunisticTasks(MachineIndex machine);
     /// How urgently a waiting job has to start.
     [[nodiscard]] SchedulingPriority schedulingPriority(const Job& job, TimePoint now) const {
-        return scheduler::schedulingPriority(job, settings_.objectives, runTime(job.spec), now);
+        return scheduler::schedulingPriority(job, settings_.objectives, estimatedRunTime(job.spec),
+                                             now);
     }
     /// Runs on what others leave idle: low priority, beyond its team's reservation, and it ends.
     [[nodiscard]] bool isOpportunistic(const Job& job) const {
@@ -308,11 +316,12 @@
     /// The agent began anew: whatever the former incarnation ran is gone.
     void onNewIncarnation(MachineIndex machine, TimePoint now);
     void takeLateResults(MachineIndex machine, const worker_api::StatusReport& r, TimePoint now);
-    void noteContact(MachineIndex machine, Source source, TimePoint now);
+    void noteContact(MachineIndex machine, ReportSource source, TimePoint now);
     void noteInterruption(MachineIndex machine, Duration notice, TimePoint now);
     void reconcileTasks(MachineIndex machine, const worker_api::StatusReport& r, TimePoint now);
     /// Releases allocations that the report proves absent by not listing them.
-    void releaseUnreported(MachineIndex machine, const worker_api::StatusReport& r, Source source);
+    void releaseUnreported(MachineIndex machine, const worker_api::StatusReport& r,
+                           ReportSource source);
     void onTaskReported(MachineIndex machine, const worker_api::ReportedTask& t, TimePoint now);
     /// Allocates a reported attempt that is not known on this machine: the task's own from now on
     /// if it is waiting, else orphaned.
@@ -449,7 +458,7 @@
 
     // Machines
     worker_api::MachineRegistry machines_;
-    std::set<std::string> awayZones_;
+    std::set<std::string> unreachableZones_;
     std::set<std::pair<TimePoint, MachineIndex>> timers_;  // by Machine::timerAt
 
     // Placement
--- a/src/scheduler/cluster_fixture.h
+++ b/src/scheduler/cluster_fixture.h
@@ -28,27 +28,27 @@
   protected:
     FakeClock clock;
     settings::Settings settings = testing::someSettings();
-    std::unique_ptr<Cluster> cluster = make(5);
+    std::unique_ptr<Cluster> cluster = makeCluster(5);
     std::map<std::string, std::string> records;
 
-    std::unique_ptr<Cluster> make(FencingToken token) {
+    std::unique_ptr<Cluster> makeCluster(FencingToken token) {
         auto c = std::make_unique<Cluster>(settings, token);
         c->setCatalogue(testing::someCatalogue());
         return c;
     }
     void commit() { testing::commitAll(*cluster, records); }
     void takeOver() {
-        cluster = make(cluster->token() + 1);
+        cluster = makeCluster(cluster->token() + 1);
         for (const auto& [k, data] : records)
-            ASSERT_TRUE(cluster->load(k, data, clock.now(), clock.wall()));
-        cluster->loaded(clock.now());
+            ASSERT_TRUE(cluster->loadRecord(k, data, clock.now(), clock.wall()));
+        cluster->finishLoading(clock.now());
     }
     std::vector<Command> heartbeat(Worker& w) {
         const auto commands = cluster->onHeartbeat(w.next(), clock.now());
         w.report.token = cluster->token();
         return commands;
     }
-    void exchange(Worker& w) { w.execute(heartbeat(w)); }
+    void exchangeHeartbeat(Worker& w) { w.execute(heartbeat(w)); }
     Job& submit(const JobSpec& spec) {
         EXPECT_EQ(cluster->submit(spec, clock.now(), clock.wall()), SubmitResult::accepted);
         commit();
@@ -56,24 +56,24 @@
     }
     void place() { cluster->place(clock.now()); }
     /// There is capacity for one of two jobs, and it goes to run-2, which came later.
-    void laterGoesFirst(const JobSpec& first, Duration apart) {
+    void expectSecondJobPlacedFirst(const JobSpec& first, Duration apart) {
         submit(first);
         clock.advance(apart);
         submit(testing::spec("run-2", 2));
         Worker w("n-1");
-        exchange(w);
+        exchangeHeartbeat(w);
         place();
         EXPECT_EQ(cluster->find("run-2")->boundCount, 2U);
         EXPECT_EQ(cluster->find(first.id)->boundCount, 0U);
     }
     /// Submits, places and launches on `w` so that every task runs there.
-    Job& running(Worker& w, const JobSpec& spec) {
-        exchange(w);
+    Job& submitAndRun(Worker& w, const JobSpec& spec) {
+        exchangeHeartbeat(w);
         Job& job = submit(spec);
         place();
         commit();
-        exchange(w);
-        exchange(w);
+        exchangeHeartbeat(w);
+        exchangeHeartbeat(w);
         EXPECT_EQ(job.runningCount, spec.tasks);
         return job;
     }
--- a/src/scheduler/cluster_test.cpp
+++ b/src/scheduler/cluster_test.cpp
@@ -14,16 +14,16 @@
     // launched where reports are overdue; one that begins before they are is known by a response
     // still.
     Worker w("n-1"), other("n-2");
-    exchange(w);
+    exchangeHeartbeat(w);
     clock.advance(settings.reportEvery);
     w.newSession();
-    cluster->onStatusReport(w.next(), Cluster::Source::commandResponse, clock.now());
+    cluster->onStatusReport(w.next(), Cluster::ReportSource::commandResponse, clock.now());
     Job& job = submit(testing::spec("run-1", 1));
     place();
     commit();
     w.execute(cluster->takeDirectCommands(cluster->indexOf("n-1"), clock.now()));
     ASSERT_EQ(w.report.tasks.size(), 1U);
-    exchange(other);
+    exchangeHeartbeat(other);
     // The former incarnation's lease has ended by any clock.
     clock.advance(settings.lease - settings.reportEvery + 1500ms);
     cluster->advanceTo(clock.now());
@@ -32,8 +32,8 @@
     // Its reports are overdue by now: it is probed, answers with one more incarnation, and gets
     // nothing.
     w.newSession();
-    cluster->onStatusReport(w.next(), Cluster::Source::commandResponse, clock.now());
-    exchange(other);
+    cluster->onStatusReport(w.next(), Cluster::ReportSource::commandResponse, clock.now());
+    exchangeHeartbeat(other);
     place();
     EXPECT_EQ(job.tasks[0].machine, cluster->indexOf("n-2"));
     clock.advance(settings.lease + 2s);
@@ -43,7 +43,7 @@
 
 TEST_F(ClusterTest, LaunchesOnlyBindingsThatAreOnRecord) {
     Worker w("n-1");
-    exchange(w);
+    exchangeHeartbeat(w);
     submit(testing::spec("run-1"));
     place();
     EXPECT_TRUE(heartbeat(w).empty()) << "the binding is not written yet";
@@ -56,7 +56,7 @@
 
 TEST_F(ClusterTest, AcceptanceAndBindingsAreOneWrite) {
     Worker w("n-1");
-    exchange(w);
+    exchangeHeartbeat(w);
     cluster->submit(testing::spec("run-1"), clock.now(), clock.wall());
     place();
     EXPECT_TRUE(heartbeat(w).empty()) << "neither is on record yet";
@@ -64,13 +64,13 @@
     for (const auto& d : dirty) EXPECT_EQ(d.first, dirty[0].first);
     const auto encoded = cluster->encode(dirty[0].first);
     ASSERT_TRUE(encoded);
-    cluster->committed(dirty[0].first, encoded->version);
+    cluster->onRecordCommitted(dirty[0].first, encoded->version);
     EXPECT_EQ(heartbeat(w).size(), 1U);
 }
 
 TEST_F(ClusterTest, RepeatsALaunchThatTheWorkerDroppedWithTheSameAttempt) {
     Worker w("n-1");
-    exchange(w);
+    exchangeHeartbeat(w);
     submit(testing::spec("run-1"));
     place();
     commit();
@@ -82,17 +82,17 @@
 
 TEST_F(ClusterTest, DoesNotMoveATaskWhileItMayStillRun) {
     Worker w("n-1"), other("n-2");
-    Job& job = running(w, testing::spec("run-1"));
+    Job& job = submitAndRun(w, testing::spec("run-1"));
     const TimePoint last = clock.now();
     while (clock.now() - last < settings.lease) {
         clock.advance(1s);
-        exchange(other);
+        exchangeHeartbeat(other);
         cluster->advanceTo(clock.now());
         place();
         EXPECT_EQ(job.tasks[0].attempt, 1U);
     }
     clock.advance(1s);
-    exchange(other);
+    exchangeHeartbeat(other);
     cluster->advanceTo(clock.now());
     place();
     commit();
@@ -104,7 +104,7 @@
 
 TEST_F(ClusterTest, ANewIncarnationProvesThatNothingRuns) {
     Worker w("n-1");
-    Job& job = running(w, testing::spec("run-1"));
+    Job& job = submitAndRun(w, testing::spec("run-1"));
     w.newSession();
     heartbeat(w);
     EXPECT_EQ(job.tasks[0].state, TaskState::waiting);
@@ -113,9 +113,9 @@
 
 TEST_F(ClusterTest, ADelayedReportFromAnEndedIncarnationChangesNothing) {
     Worker w("n-1"), other("n-2");
-    Job& job = running(w, testing::spec("run-1"));
+    Job& job = submitAndRun(w, testing::spec("run-1"));
     clock.advance(20s);
-    exchange(other);
+    exchangeHeartbeat(other);
     cluster->advanceTo(clock.now());
     place();
     commit();
@@ -129,14 +129,14 @@
     // one is on a machine. Called done, its record no longer said where: a successor counted it
     // nowhere, and the cancellation was acknowledged as if nothing of it were left.
     Worker w("n-1"), other("n-2");
-    Job& job = running(w, testing::spec("run-1"));
+    Job& job = submitAndRun(w, testing::spec("run-1"));
     clock.advance(20s);
-    exchange(other);
+    exchangeHeartbeat(other);
     cluster->advanceTo(clock.now());
     place();
     commit();
-    exchange(other);
-    exchange(other);
+    exchangeHeartbeat(other);
+    exchangeHeartbeat(other);
     ASSERT_EQ(other.report.tasks.size(), 1U);
     w.set(0, TaskStatus::exited, ExitCause::done);
     heartbeat(w);
@@ -154,18 +154,19 @@
 TEST_F(ClusterTest, AJobWhoseRecordCannotBeReadIsKnownAndStartsNothing) {
     submit(testing::spec("run-1"));
     submit(testing::spec("run-2"));
-    cluster = make(6);
+    cluster = makeCluster(6);
     for (const auto& [key, data] : records) {
         const bool first = key.find("run-1") != std::string::npos;
-        EXPECT_EQ(cluster->load(key, first ? R"({"spec":7})" : data, clock.now(), clock.wall()),
-                  !first);
+        EXPECT_EQ(
+            cluster->loadRecord(key, first ? R"({"spec":7})" : data, clock.now(), clock.wall()),
+            !first);
     }
-    cluster->loaded(clock.now());
-    EXPECT_TRUE(cluster->unreadable("run-1"));
-    EXPECT_FALSE(cluster->unreadable("run-2"));
-    EXPECT_FALSE(cluster->unreadable("run-3"));
+    cluster->finishLoading(clock.now());
+    EXPECT_TRUE(cluster->isUnreadable("run-1"));
+    EXPECT_FALSE(cluster->isUnreadable("run-2"));
+    EXPECT_FALSE(cluster->isUnreadable("run-3"));
     Worker w("n-1");
-    exchange(w);
+    exchangeHeartbeat(w);
     place();
     EXPECT_EQ(cluster->find("run-1"), nullptr);
     EXPECT_EQ(cluster->find("run-2")->boundCount, 1U);
@@ -173,7 +174,7 @@
 
 TEST_F(ClusterTest, ForgetsAResultOnlyOnceItIsOnRecord) {
     Worker w("n-1");
-    Job& job = running(w, testing::spec("run-1"));
+    Job& job = submitAndRun(w, testing::spec("run-1"));
     w.set(0, TaskStatus::exited, ExitCause::done);
     EXPECT_TRUE(heartbeat(w).empty());
     EXPECT_TRUE(job.allDone());
@@ -187,7 +188,7 @@
 
 TEST_F(ClusterTest, AnUnansweredDirectLaunchStaysAllocatedAndIsNeverForgotten) {
     Worker w("n-1");
-    exchange(w);
+    exchangeHeartbeat(w);
     Job& job = submit(testing::spec("run-1"));
     place();
     commit();
@@ -210,7 +211,7 @@
 
 TEST_F(ClusterTest, ADirectReportDoesNotDisproveALaunchInAHeartbeatResponse) {
     Worker w("n-1");
-    exchange(w);
+    exchangeHeartbeat(w);
     Job& job = submit(testing::spec("run-1"));
     place();
     commit();
@@ -218,7 +219,7 @@
     cluster->cancel(job, clock.now());
     commit();
     const auto m = *cluster->machines().find("n-1");
-    cluster->onStatusReport(w.next(), Cluster::Source::commandResponse, clock.now());
+    cluster->onStatusReport(w.next(), Cluster::ReportSource::commandResponse, clock.now());
     EXPECT_EQ(cluster->machines()[m].allocations.size(), 1U);
     heartbeat(w);  // a beat is sent only after the earlier answer was executed or dropped
     EXPECT_TRUE(cluster->machines()[m].allocations.empty());
@@ -232,7 +233,7 @@
                                           clock.now());
     cluster->setDelegator(delegator);
     Worker w("n-1");
-    Job& job = running(w, testing::spec("run-1"));
+    Job& job = submitAndRun(w, testing::spec("run-1"));
     cluster->cancel(job, clock.now());
     commit();
     EXPECT_FALSE(job.cancelDurable()) << "rig-1 may hold a former leader's delegation";
@@ -243,14 +244,14 @@
     EXPECT_NE(records.at("jobs/run-1").find("withdrawing"), std::string::npos)
         << "no successor starts it again";
     EXPECT_GT(cluster->timeUntilAcknowledgeable(job, clock.now()), 0s);
-    EXPECT_LE(cluster->delegationCap("a", clock.now()), clock.now() + settings.cancelWithin);
-    EXPECT_EQ(cluster->delegationCap("b", clock.now()), TimePoint::max());
+    EXPECT_LE(cluster->latestDelegationEnd("a", clock.now()), clock.now() + settings.cancelWithin);
+    EXPECT_EQ(cluster->latestDelegationEnd("b", clock.now()), TimePoint::max());
     w.execute(heartbeat(w));
     heartbeat(w);  // gone: that is proof
     cluster->advanceTo(clock.now());
     commit();
     EXPECT_TRUE(job.cancelDurable());
-    EXPECT_EQ(cluster->delegationCap("a", clock.now()), TimePoint::max());
+    EXPECT_EQ(cluster->latestDelegationEnd("a", clock.now()), TimePoint::max());
     takeOver();
     EXPECT_TRUE(cluster->find("run-1")->cancelDurable());
 }
@@ -262,7 +263,7 @@
                                           clock.now());
     cluster->setDelegator(delegator);
     Worker w("n-1");
-    running(w, testing::spec("run-1"));
+    submitAndRun(w, testing::spec("run-1"));
     cluster->cancel(*cluster->find("run-1"), clock.now());
     clock.advance(1s);
     cluster->advanceTo(clock.now());
@@ -281,19 +282,19 @@
     lease_delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}},
                                           clock.now());
     Worker w("n-1");
-    exchange(w);
+    exchangeHeartbeat(w);
     Job& job = submit(testing::spec("run-1"));
     cluster->cancel(job, clock.now());
     commit();
     cluster->acknowledgeCancellation(job, clock.now());
     cluster->setDelegator(delegator);
     cluster->advanceTo(clock.now());
-    EXPECT_EQ(cluster->delegationCap("a", clock.now()), TimePoint::max())
+    EXPECT_EQ(cluster->latestDelegationEnd("a", clock.now()), TimePoint::max())
         << "nothing of it is anywhere";
     clock.advance(1h);
     w.report.tasks.push_back({"run-1", 0, 1, TaskStatus::running, ExitCause::other, false});
     heartbeat(w);
-    EXPECT_LT(cluster->delegationCap("a", clock.now()), clock.now());
+    EXPECT_LT(cluster->latestDelegationEnd("a", clock.now()), clock.now());
 }
 
 TEST_F(ClusterTest, AnUnresponsiveMachinesTasksStayWhereADelegateMayHaveAnsweredForTheLeader) {
@@ -303,7 +304,7 @@
                                           clock.now());
     cluster->setDelegator(delegator);
     Worker w("n-1");
-    Job& job = running(w, testing::spec("run-1"));
+    Job& job = submitAndRun(w, testing::spec("run-1"));
     const auto unresponsiveFor = [&](Duration span) {
         for (Duration d{}; d < span; d += 1s) {
             clock.advance(1s);
@@ -320,7 +321,7 @@
 
 TEST_F(ClusterTest, ACancelStopsWhatRunsAndTheStatusNeverGoesBack) {
     Worker w("n-1");
-    Job& job = running(w, testing::spec("run-1"));
+    Job& job = submitAndRun(w, testing::spec("run-1"));
     cluster->cancel(job, clock.now());
     EXPECT_FALSE(job.cancelDurable());
     commit();
@@ -334,20 +335,20 @@
 
 TEST_F(ClusterTest, TakeOverWithAnUnresponsiveMachineWaitsOutItsLeaseOnly) {
     Worker a("n-1"), b("n-2");
-    exchange(a);
-    exchange(b);
+    exchangeHeartbeat(a);
+    exchangeHeartbeat(b);
     submit(testing::spec("run-1", 4));
     place();
     commit();
     for (int i = 0; i < 2; ++i) {
-        exchange(a);
-        exchange(b);
+        exchangeHeartbeat(a);
+        exchangeHeartbeat(b);
     }
     commit();
     ASSERT_EQ(a.report.tasks.size(), 2U);
     takeOver();
     Job& job = *cluster->find("run-1");
-    exchange(a);  // n-2 stays unresponsive
+    exchangeHeartbeat(a);  // n-2 stays unresponsive
     EXPECT_EQ(job.runningCount, 2U) << "what reports is adopted at once";
     submit(testing::spec("run-2"));
     a.set(0, TaskStatus::exited, ExitCause::done);
@@ -362,7 +363,7 @@
 
 TEST_F(ClusterTest, AfterTakeOverAnUnlistedBindingIsFreeOnceTheWorkerKnowsTheToken) {
     Worker w("n-1");
-    exchange(w);
+    exchangeHeartbeat(w);
     submit(testing::spec("run-1"));
     place();
     commit();  // bound on record, launched by nobody
@@ -398,15 +399,15 @@
     Worker w("n-1"), v("n-2"), x("n-3");
     JobSpec s = testing::spec("run-1", 4);
     s.team = "blue";  // at most 16 cores
-    exchange(w);
-    exchange(v);
+    exchangeHeartbeat(w);
+    exchangeHeartbeat(v);
     submit(s);
     place();
     commit();
-    exchange(w);
-    exchange(v);
+    exchangeHeartbeat(w);
+    exchangeHeartbeat(v);
     clock.advance(8s);  // both unresponsive, neither lease has run out
-    exchange(x);
+    exchangeHeartbeat(x);
     s.id = "run-2";
     Job& second = submit(s);
     place();
@@ -417,21 +418,21 @@
     Worker w("n-1", "a"), v("n-2", "a");
     JobSpec s = testing::spec("run-1", 3);
     s.spread = true;
-    exchange(w);
-    exchange(v);
+    exchangeHeartbeat(w);
+    exchangeHeartbeat(v);
     Job& job = submit(s);
     place();
     EXPECT_EQ(job.boundCount, 2U) << "two of three, rounded up, in one zone";
     Worker b("n-3", "b");
-    exchange(b);
+    exchangeHeartbeat(b);
     place();
     EXPECT_EQ(job.boundCount, 3U);
 }
 
 TEST_F(ClusterTest, KeepsToZoneTypeAndKindOfMachine) {
     Worker spot("n-1", "a", true), zoneA("n-2", "a");
-    exchange(spot);
-    exchange(zoneA);
+    exchangeHeartbeat(spot);
+    exchangeHeartbeat(zoneA);
     JobSpec s = testing::spec("run-1");
     s.spotAllowed = false;
     s.zone = "b";
@@ -439,21 +440,21 @@
     place();
     EXPECT_EQ(job.boundCount, 0U);
     Worker zoneB("n-3", "b");
-    exchange(zoneB);
+    exchangeHeartbeat(zoneB);
     place();
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-3");
 }
 
 TEST_F(ClusterTest, AGangStartsTogetherOrNotAtAll) {
     Worker w("n-1");
-    exchange(w);
+    exchangeHeartbeat(w);
     JobSpec s = testing::spec("run-1", 3);
     s.shape = Shape::gang;
     Job& job = submit(s);
     place();
     EXPECT_EQ(job.boundCount, 0U);
     Worker v("n-2");
-    exchange(v);
+    exchangeHeartbeat(v);
     place();
     EXPECT_EQ(job.boundCount, 3U);
     commit();
@@ -465,7 +466,7 @@
     JobSpec low = testing::spec("run-1", 2);
     low.checkpointS = 10;
     low.saveS = 5;
-    Job& victim = running(w, low);
+    Job& victim = submitAndRun(w, low);
     JobSpec same = testing::spec("run-2");
     submit(same);
     place();
@@ -488,7 +489,7 @@
 TEST_F(ClusterTest, WorkStoppedBeforeItsLaunchWasSentFreesItsCapacityAtOnce) {
     // Such tasks were to be stopped for good: never launched, never reported, never released.
     Worker w("n-1");
-    exchange(w);
+    exchangeHeartbeat(w);
     Job& low = submit(testing::spec("run-1", 2));
     place();
     JobSpec high = testing::spec("run-2", 2);
@@ -499,7 +500,7 @@
     EXPECT_EQ(winner.boundCount, 2U);
     EXPECT_EQ(low.waitingCount(), 2U);
     commit();
-    exchange(w);
+    exchangeHeartbeat(w);
     EXPECT_EQ(w.report.tasks.size(), 2U);
     EXPECT_EQ(w.report.tasks[0].job, "run-2");
 }
@@ -508,14 +509,14 @@
     Worker w("n-1"), v("n-2");
     JobSpec gang = testing::spec("run-1", 4);
     gang.shape = Shape::gang;
-    exchange(w);
-    exchange(v);
+    exchangeHeartbeat(w);
+    exchangeHeartbeat(v);
     submit(gang);
     place();
     commit();
     for (int i = 0; i < 2; ++i) {
-        exchange(w);
-        exchange(v);
+        exchangeHeartbeat(w);
+        exchangeHeartbeat(v);
     }
     JobSpec high = testing::spec("run-2");
     high.priority = Priority::production;
@@ -529,24 +530,24 @@
     // mistake; the machines went on failing everybody's tasks.
     std::vector<Worker> all;
     for (int i = 0; i < 6; ++i) all.emplace_back("n-" + std::to_string(i));
-    exchange(all[4]);
-    exchange(all[5]);
+    exchangeHeartbeat(all[4]);
+    exchangeHeartbeat(all[5]);
     Job& job = submit(testing::spec("run-1", 12));
     place();
     commit();
     for (int i = 0; i < 5; ++i) {  // the sound ones run for a while
-        for (std::size_t w = 4; w < 6; ++w) exchange(all[w]);
+        for (std::size_t w = 4; w < 6; ++w) exchangeHeartbeat(all[w]);
         clock.advance(4s);
     }
-    for (auto& w : all) exchange(w);
+    for (auto& w : all) exchangeHeartbeat(w);
     place();
     commit();
-    for (auto& w : all) exchange(w);
-    for (auto& w : all) exchange(w);
+    for (auto& w : all) exchangeHeartbeat(w);
+    for (auto& w : all) exchangeHeartbeat(w);
     clock.advance(1s);
     for (std::size_t i = 0; i < 4; ++i) {
         for (std::size_t t = 0; t < 2; ++t) all[i].set(t, TaskStatus::exited, ExitCause::error);
-        exchange(all[i]);
+        exchangeHeartbeat(all[i]);
     }
     EXPECT_LE(job.backOffUntil, clock.now());
     for (std::size_t i = 0; i < 6; ++i)
@@ -559,17 +560,17 @@
     // the others failed as faulty.
     std::vector<Worker> all;
     for (int i = 0; i < 6; ++i) all.emplace_back("n-" + std::to_string(i));
-    for (auto& w : all) exchange(w);
+    for (auto& w : all) exchangeHeartbeat(w);
     Job& broken = submit(testing::spec("run-1", 12));
     place();
     commit();
     for (int i = 0; i < 6; ++i) {
-        for (auto& w : all) exchange(w);
+        for (auto& w : all) exchangeHeartbeat(w);
         clock.advance(4s);
     }
     for (auto& w : all) {
         for (std::size_t t = 0; t < 2; ++t) w.set(t, TaskStatus::exited, ExitCause::error);
-        exchange(w);
+        exchangeHeartbeat(w);
         clock.advance(500ms);
     }
     EXPECT_TRUE(broken.crashLooping);
@@ -583,13 +584,13 @@
     Worker w("n-1");
     JobSpec s = testing::spec("run-1", 20);
     s.demand = {0.25, 0, 0.5};
-    Job& job = running(w, s);
+    Job& job = submitAndRun(w, s);
     w.set(0, TaskStatus::exited, ExitCause::done);
     heartbeat(w);
     const auto resultVersion = cluster->encode("jobs/run-1")->version;
     w.set(1, TaskStatus::exited, ExitCause::done);
     heartbeat(w);  // the record changes again before the first result is on record
-    cluster->committed("jobs/run-1", resultVersion);
+    cluster->onRecordCommitted("jobs/run-1", resultVersion);
     ASSERT_LT(job.layout.head().durable, job.layout.head().version);
     const auto commands = heartbeat(w);
     ASSERT_EQ(commands.size(), 1U) << "the second result is not on record yet";
@@ -600,7 +601,7 @@
 TEST_F(ClusterTest, AMachineWhoseReportIsNearlyFullGetsNoMoreTasks) {
     Worker w("n-1");
     w.report.bytes = 47 * 1024;
-    exchange(w);
+    exchangeHeartbeat(w);
     JobSpec s = testing::spec("run-1", 100);
     s.demand = {0.01, 0, 0.01};
     Job& job = submit(s);
@@ -609,12 +610,12 @@
     EXPECT_LT(job.boundCount, 20U) << "what is bound will be reported as well";
     w.report.bytes = 60 * 1024;
     commit();
-    exchange(w);
+    exchangeHeartbeat(w);
     const auto bound = job.boundCount;
     place();
     EXPECT_EQ(job.boundCount, bound);
     w.report.bytes = 1024;
-    exchange(w);
+    exchangeHeartbeat(w);
     place();
     EXPECT_EQ(job.waitingCount(), 0U);
 }
@@ -623,15 +624,15 @@
     // Tasks bound at low priority gave way before their launch, took the same capacity back in the
     // same pass, and so on in each: 600,000 bindings for 47,000 starts on one day.
     Worker w("n-1");
-    exchange(w);
+    exchangeHeartbeat(w);
     JobSpec opportunistic = testing::spec("run-1", 64);
     opportunistic.priority = Priority::low;
     opportunistic.demand = {0.25, 0, 0.5};
     Job& low = submit(opportunistic);
     place();  // 32 of them fill the machine
     commit();
-    exchange(w);
-    exchange(w);
+    exchangeHeartbeat(w);
+    exchangeHeartbeat(w);
     JobSpec more = testing::spec("run-2");
     more.demand = {8, 0, 16};
     Job& high = submit(more);
@@ -648,9 +649,9 @@
         place();
     }
     EXPECT_EQ(count(), attempts) << "nothing is bound into capacity that is being reclaimed";
-    exchange(w);  // told to stop
+    exchangeHeartbeat(w);  // told to stop
     for (auto& t : w.report.tasks) t.status = TaskStatus::exited, t.cause = ExitCause::stopped;
-    exchange(w);
+    exchangeHeartbeat(w);
     place();
     EXPECT_EQ(high.boundCount, 1U);
 }
@@ -662,34 +663,34 @@
     settings.objectives = {{"finished", "c", 400s, 0.9}};
     JobSpec idle = testing::spec("run-1", 2);
     idle.jobClass = "other";
-    laterGoesFirst(idle, 300s);
+    expectSecondJobPlacedFirst(idle, 300s);
     clock.advance(700s);  // but its turn comes
     submit(testing::spec("run-3", 2));
     Worker other("n-2");
-    exchange(other);
+    exchangeHeartbeat(other);
     place();
     EXPECT_EQ(cluster->find("run-1")->boundCount, 2U);
 }
 
 TEST_F(ClusterTest, WhatCanStillMeetItsObjectiveGoesBeforeWhatMissedIt) {
     settings.objectives = {{"wait", "c", 15s, 0.8}};
-    laterGoesFirst(testing::spec("run-1", 2), 20s);
+    expectSecondJobPlacedFirst(testing::spec("run-1", 2), 20s);
 }
 
 TEST_F(ClusterTest, WhenNotAllCanBeInTimeTheLargestJobConcedes) {
     // In a burst, serving in order of due times made everybody late together.
     settings.objectives = {{"wait", "c", 15s, 0.8}};
     Worker w("n-1");
-    running(w, testing::spec("run-1", 2));  // 8 cores for 10 s: 12 come free in 15 s
-    submit(testing::spec("run-2", 4));      // would take 16
+    submitAndRun(w, testing::spec("run-1", 2));  // 8 cores for 10 s: 12 come free in 15 s
+    submit(testing::spec("run-2", 4));           // would take 16
     clock.advance(1s);
     submit(testing::spec("run-3", 1));
     submit(testing::spec("run-4", 1));
-    exchange(w);
+    exchangeHeartbeat(w);
     place();
     w.set(0, TaskStatus::exited, ExitCause::done);
     w.set(1, TaskStatus::exited, ExitCause::done);
-    exchange(w);
+    exchangeHeartbeat(w);
     place();
     EXPECT_EQ(cluster->find("run-3")->boundCount, 1U);
     EXPECT_EQ(cluster->find("run-4")->boundCount, 1U);
@@ -706,13 +707,13 @@
     web.spotAllowed = false;
     web.demand = {2, 0, 2};
     web.image = "img-web";
-    running(w, web);
-    exchange(v);
+    submitAndRun(w, web);
+    exchangeHeartbeat(v);
     Job& batch = submit(testing::spec("run-2", 4));
     place();
     EXPECT_EQ(batch.boundCount, 2U)
         << "n-2 has not the image and is filled; n-1 keeps its warm capacity";
-    exchange(spot);
+    exchangeHeartbeat(spot);
     place();
     EXPECT_EQ(batch.boundCount, 4U);
 }
@@ -729,14 +730,14 @@
     web.spotAllowed = false;
     web.demand = {2, 0, 2};
     web.image = "img-a";
-    running(rich, web);
+    submitAndRun(rich, web);
     web.id = "run-2";
     web.image = "img-b";
-    running(rich, web);
+    submitAndRun(rich, web);
     web.id = "run-3";
     web.image = "img-a";
     web.zone = "b";
-    running(poor, web);
+    submitAndRun(poor, web);
     web.id = "run-4";
     web.zone.reset();
     const Job& next = submit(web);
@@ -750,7 +751,7 @@
     JobSpec s = testing::spec("run-1");
     s.checkpointS = 10;
     s.saveS = 4;
-    running(w, s);
+    submitAndRun(w, s);
     w.report.interruptionNotice = 15s;
     heartbeat(w);
     cluster->advanceTo(clock.now());
@@ -765,38 +766,38 @@
 
 TEST_F(ClusterTest, AMachineThatFailsSeveralJobsIsQuarantined) {
     Worker w("n-1");
-    exchange(w);
+    exchangeHeartbeat(w);
     submit(testing::spec("run-1"));
     submit(testing::spec("run-2"));
     place();
     commit();
-    exchange(w);
+    exchangeHeartbeat(w);
     w.set(0, TaskStatus::exited, ExitCause::error);
     w.set(1, TaskStatus::exited, ExitCause::error);
-    exchange(w);
+    exchangeHeartbeat(w);
     EXPECT_TRUE(cluster->machines()[0].quarantined);
     clock.advance(2min);
-    exchange(w);
+    exchangeHeartbeat(w);
     place();
     EXPECT_EQ(cluster->find("run-1")->boundCount, 0U);
 }
 
 TEST_F(ClusterTest, ACrashLoopingJobBacksOffAndQuarantinesNoMachine) {
     std::vector<Worker> all{Worker("n-1"), Worker("n-2"), Worker("n-3")};
-    for (auto& w : all) exchange(w);
+    for (auto& w : all) exchangeHeartbeat(w);
     Job& job = submit(testing::spec("run-1"));
     for (int round = 0; round < 6; ++round) {
         clock.advance(11s);
-        for (auto& w : all) exchange(w);
+        for (auto& w : all) exchangeHeartbeat(w);
         place();
         commit();
         for (auto& w : all) {
-            exchange(w);
+            exchangeHeartbeat(w);
             for (std::size_t t = 0; t < w.report.tasks.size(); ++t)
                 w.set(t, TaskStatus::exited, ExitCause::error);
-            exchange(w);
+            exchangeHeartbeat(w);
             commit();
-            exchange(w);
+            exchangeHeartbeat(w);
         }
     }
     EXPECT_GE(job.failures, 3U);
@@ -806,14 +807,14 @@
 
 TEST_F(ClusterTest, LargeArraysSpillIntoFurtherRecordsAndComeBack) {
     Worker w("n-1");
-    exchange(w);
+    exchangeHeartbeat(w);
     JobSpec s = testing::spec("run-1", 2000);
     s.demand = {0.01, 0, 0.01};
     submit(s);
     for (int i = 0; i < 12; ++i) {
         place();
         commit();
-        exchange(w);
+        exchangeHeartbeat(w);
     }
     for (std::size_t t = 0; t < 700; ++t) w.set(t, TaskStatus::exited, ExitCause::done);
     heartbeat(w);
@@ -870,8 +871,8 @@
             clock.advance(std::chrono::milliseconds(200 * below(20)));
             cluster->advanceTo(clock.now());
         } else if (what == 11 && below(12) == 0) {
-            cluster->machineGone(cluster->indexOf(all[below(all.size())].report.machine),
-                                 clock.now());
+            cluster->onMachineDeleted(cluster->indexOf(all[below(all.size())].report.machine),
+                                      clock.now());
         } else if (what == 11 && below(12) == 0) {
             commit();
             takeOver();
@@ -891,7 +892,7 @@
                       : how == 8 ? ExitCause::full
                                  : ExitCause::stopped);
             }
-            exchange(w);
+            exchangeHeartbeat(w);
         }
         ASSERT_EQ(cluster->findInconsistency(), "") << "after step " << step;
     }
@@ -903,11 +904,11 @@
     // machines a leader's share of a core was gone.
     settings.teams.push_back({"green", 0, 0, 0, 0});
     const auto looksIn = [&](std::size_t machines) {
-        cluster = make(5);
+        cluster = makeCluster(5);
         std::vector<Worker> all;
         for (std::size_t i = 0; i < machines; ++i) {
             all.emplace_back("n-" + std::to_string(i), i % 2 == 0 ? "a" : "b", i % 3 == 0);
-            exchange(all.back());
+            exchangeHeartbeat(all.back());
         }
         JobSpec filler = testing::spec("run-0", static_cast<std::uint32_t>(machines) * 2 - 4);
         filler.team = "green";
@@ -915,11 +916,11 @@
         place();
         commit();
         for (int round = 0; round < 3; ++round)
-            for (auto& w : all) exchange(w);
+            for (auto& w : all) exchangeHeartbeat(w);
         EXPECT_EQ(cluster->find("run-0")->runningCount, filler.tasks);
         place();  // sees what the launches changed
         std::uint64_t before = cluster->visitedMachines();
-        for (auto& w : all) exchange(w);
+        for (auto& w : all) exchangeHeartbeat(w);
         place();
         EXPECT_EQ(cluster->visitedMachines(), before) << "beats that tell nothing new";
         JobSpec web = testing::spec("run-1", 3);
--- a/src/scheduler/dependency_tracking.cpp
+++ b/src/scheduler/dependency_tracking.cpp
@@ -18,15 +18,15 @@
 
 Cluster::DependencyError Cluster::checkDependencies(const JobSpec& spec) const {
     using Kind = DependencyError::Kind;
-    DependencyError undecided;
+    DependencyError notYetAccepted;
     for (const auto& id : spec.dependencies) {
         if (id == spec.id) return {Kind::self, id};
         const auto it = jobs_.find(id);
         if (it == jobs_.end()) return {Kind::unknown, id};
         if (it->second->spec.shape == Shape::service) return {Kind::isService, id};
-        if (!it->second->accepted()) undecided = {Kind::undecided, id};
+        if (!it->second->accepted()) notYetAccepted = {Kind::notYetAccepted, id};
     }
-    return undecided;
+    return notYetAccepted;
 }
 
 Duration Cluster::estimatedDuration(const JobSpec& s) const {
--- a/src/scheduler/dependency_tracking_test.cpp
+++ b/src/scheduler/dependency_tracking_test.cpp
@@ -25,15 +25,15 @@
     std::unique_ptr<Cluster> make(FencingToken token) {
         auto c = std::make_unique<Cluster>(settings, token);
         c->setCatalogue(testing::someCatalogue());
-        c->enablePages();
+        c->enableRecordPages();
         return c;
     }
     void commit() { testing::commitAll(*cluster, records); }
     void takeOver() {
         cluster = make(cluster->token() + 1);
         for (const auto& [k, data] : records)
-            ASSERT_TRUE(cluster->load(k, data, clock.now(), clock.wall())) << k;
-        cluster->loaded(clock.now());
+            ASSERT_TRUE(cluster->loadRecord(k, data, clock.now(), clock.wall())) << k;
+        cluster->finishLoading(clock.now());
     }
     Job& submit(const JobId& id, std::vector<JobId> needs, std::uint32_t tasks = 1,
                 const std::function<void(JobSpec&)>& change = {}) {
@@ -206,7 +206,7 @@
     EXPECT_EQ(wrong({"run-1", "run-7"}).job, "run-7");
     EXPECT_EQ(wrong({"run-2"}).kind, Kind::isService);
     cluster->submit(testing::spec("run-3"), clock.now(), clock.wall());
-    EXPECT_EQ(wrong({"run-3"}).kind, Kind::undecided) << "its acceptance is under way";
+    EXPECT_EQ(wrong({"run-3"}).kind, Kind::notYetAccepted) << "its acceptance is under way";
     EXPECT_EQ(wrong({"run-3", "run-7"}).kind, Kind::unknown) << "certain, whatever becomes of it";
     commit();
     EXPECT_EQ(wrong({"run-3"}).kind, Kind::none);
@@ -316,9 +316,10 @@
     void renew() {
         cluster_ = std::make_unique<Cluster>(settings_, token_);
         cluster_->setCatalogue(testing::someCatalogue());
-        cluster_->enablePages();
-        for (const auto& [k, data] : records_) cluster_->load(k, data, clock_.now(), clock_.wall());
-        cluster_->loaded(clock_.now());
+        cluster_->enableRecordPages();
+        for (const auto& [k, data] : records_)
+            cluster_->loadRecord(k, data, clock_.now(), clock_.wall());
+        cluster_->finishLoading(clock_.now());
     }
     void write() { testing::commitAll(*cluster_, records_); }
     void apply(Step s) {
--- a/src/scheduler/fault_interactions_test.cpp
+++ b/src/scheduler/fault_interactions_test.cpp
@@ -29,14 +29,14 @@
 
 TEST_F(FaultInteractionTest, TasksThatEndFarApartAreDoneOnceAcrossChangesOfLeader) {
     Worker first("n-1"), second("n-2");
-    exchange(first);
-    exchange(second);
+    exchangeHeartbeat(first);
+    exchangeHeartbeat(second);
     submit(testing::spec("run-1", 4));
     place();
     commit();
     for (int i = 0; i < 2; ++i) {
-        exchange(first);
-        exchange(second);
+        exchangeHeartbeat(first);
+        exchangeHeartbeat(second);
     }
     ASSERT_EQ(first.report.tasks.size(), 2U);
     ASSERT_EQ(second.report.tasks.size(), 2U);
@@ -45,7 +45,7 @@
     first.set(0, TaskStatus::exited, ExitCause::done);
     heartbeat(first);
     commit();
-    exchange(first);
+    exchangeHeartbeat(first);
     ASSERT_EQ(first.report.tasks.size(), 1U);
     first.set(0, TaskStatus::exited, ExitCause::done);
     EXPECT_TRUE(heartbeat(first).empty()) << "not before it is on record";
@@ -84,12 +84,12 @@
 
 TEST_F(FaultInteractionTest, AnOldReportThatANewLeaderReceivesFirstProvesNothing) {
     Worker w("n-1"), other("n-2");
-    exchange(w);
+    exchangeHeartbeat(w);
     const worker_api::StatusReport empty = w.report;  // before anything was there
     submit(testing::spec("run-1"));
     place();
     commit();
-    exchange(w);
+    exchangeHeartbeat(w);
     const worker_api::StatusReport running = w.next();
     takeOver();
     EXPECT_TRUE(copy(empty).empty());
@@ -108,17 +108,17 @@
 
 TEST_F(FaultInteractionTest, ADuplicateFromAnEarlierIncarnationDoesNotBringItsTasksBack) {
     Worker w("n-1"), other("n-2");
-    running(w, testing::spec("run-1"));
+    submitAndRun(w, testing::spec("run-1"));
     const worker_api::StatusReport before = w.next();
     // The incarnation ends, and the task goes on elsewhere.
     w.newSession();
     heartbeat(w);
-    exchange(other);
+    exchangeHeartbeat(other);
     cluster->setDraining(cluster->indexOf("n-1"), true);
     place();
     commit();
-    exchange(other);
-    exchange(other);
+    exchangeHeartbeat(other);
+    exchangeHeartbeat(other);
     ASSERT_EQ(other.report.tasks.size(), 1U);
     takeOver();
     copy(before);
@@ -136,7 +136,7 @@
 TEST_F(FaultInteractionTest, AReportFromAnIncarnationWhoseLeaseHasEndedDoesNotOpenItsMachine) {
     // Held back in a cut, and newer than any that came before it: what it lists has been killed.
     Worker w("n-1"), other("n-2");
-    Job& job = running(w, testing::spec("run-1"));
+    Job& job = submitAndRun(w, testing::spec("run-1"));
     pass(settings.lease + 2s);
     EXPECT_EQ(job.boundCount, 0U);
     heartbeat(w);
@@ -145,17 +145,17 @@
     EXPECT_FALSE(cluster->isResponsive(m, clock.now()));
     place();
     EXPECT_EQ(job.boundCount, 0U);
-    exchange(other);
+    exchangeHeartbeat(other);
     place();
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
 }
 
 TEST_F(FaultInteractionTest, ADuplicateAfterAMachineWasDeletedDoesNotBringItBack) {
     Worker w("n-1"), other("n-2");
-    Job& job = running(w, testing::spec("run-1"));
+    Job& job = submitAndRun(w, testing::spec("run-1"));
     const worker_api::StatusReport last = w.next();
-    cluster->machineGone(cluster->indexOf("n-1"), clock.now());
-    exchange(other);
+    cluster->onMachineDeleted(cluster->indexOf("n-1"), clock.now());
+    exchangeHeartbeat(other);
     place();
     commit();
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
@@ -167,7 +167,7 @@
 TEST_F(FaultInteractionTest,
        AFormerLeadersDelayedLaunchIsStoppedThoughItsCancellationWasAcknowledged) {
     Worker w("n-1");
-    exchange(w);
+    exchangeHeartbeat(w);
     submit(testing::spec("run-1"));
     place();
     commit();
@@ -195,17 +195,17 @@
 TEST_F(FaultInteractionTest,
        LongTasksOnMachinesThatTheNewLeaderCannotReachStayUntilTheirIncarnationEnds) {
     Worker partitioned("n-1"), other("n-2");
-    running(partitioned, testing::spec("run-1", 2));
+    submitAndRun(partitioned, testing::spec("run-1", 2));
     takeOver();
     Job& job = *cluster->find("run-1");
-    exchange(other);
+    exchangeHeartbeat(other);
     const FencingToken formerToken = partitioned.report.token;
     for (Duration d{}; d < settings.lease; d += 2s) {
         // Its reports arrive; no answer does.
         cluster->onHeartbeat(partitioned.next(), clock.now());
         partitioned.report.token = formerToken;
         pass(2s);
-        exchange(other);
+        exchangeHeartbeat(other);
         place();
         EXPECT_EQ(job.boundCount, 2U);
         EXPECT_EQ(job.runningCount, 2U) << "polls say so";
@@ -221,7 +221,7 @@
 
 TEST_F(FaultInteractionTest, AnInboundPartitionedMachineGetsNoMoreWorkUntilItAnswers) {
     Worker partitioned("n-1"), other("n-2");
-    exchange(partitioned);
+    exchangeHeartbeat(partitioned);
     Job& job = submit(testing::spec("run-1"));
     place();
     commit();
@@ -234,14 +234,15 @@
     EXPECT_EQ(job.boundCount, 0U) << "no launch for it is under way";
     place();
     EXPECT_EQ(job.boundCount, 0U) << "and no more work goes there";
-    exchange(other);
+    exchangeHeartbeat(other);
     place();
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
     commit();
-    exchange(other);
+    exchangeHeartbeat(other);
     // Asked, it answers: it is used again at once.
     submit(testing::spec("run-2", 2));
-    cluster->onStatusReport(partitioned.next(), Cluster::Source::commandResponse, clock.now());
+    cluster->onStatusReport(partitioned.next(), Cluster::ReportSource::commandResponse,
+                            clock.now());
     cluster->advanceTo(clock.now());
     place();
     EXPECT_GT(cluster->machines()[cluster->indexOf("n-1")].allocations.size(), 0U);
@@ -249,7 +250,7 @@
 
 TEST_F(FaultInteractionTest, AMachineWhoseLeaseExpiresThoughItIsAnsweredIsInboundPartitioned) {
     Worker partitioned("n-1"), other("n-2");
-    Job& job = running(partitioned, testing::spec("run-1"));
+    Job& job = submitAndRun(partitioned, testing::spec("run-1"));
     for (Duration d{}; d < settings.lease; d += 2s) {
         cluster->onHeartbeat(partitioned.next(), clock.now());
         pass(2s);
@@ -258,12 +259,12 @@
     cluster->onHeartbeat(partitioned.next(), clock.now());
     place();
     EXPECT_EQ(job.boundCount, 0U);
-    exchange(other);
+    exchangeHeartbeat(other);
     place();
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
     pass(settings.lease + 1s);
     submit(testing::spec("run-2", 4));
-    exchange(partitioned);
+    exchangeHeartbeat(partitioned);
     place();
     EXPECT_GT(cluster->machines()[cluster->indexOf("n-1")].allocations.size(), 0U)
         << "tried again after a lease";
@@ -274,7 +275,7 @@
     const lease_delegation::DelegationLimits terms =
         lease_delegation::DelegationLimits::from(settings);
     Worker unresponsive("n-1"), other("n-2");
-    running(unresponsive, testing::spec("run-1"));
+    submitAndRun(unresponsive, testing::spec("run-1"));
     takeOver();
     lease_delegation::Delegator delegator(terms, cluster->token(), {"rig-0", "b"}, 1h,
                                           {{"rig-1", "a"}}, clock.now());
@@ -282,7 +283,7 @@
     Job& job = *cluster->find("run-1");
     const auto place2 = [&](Duration span) {
         pass(span);
-        exchange(other);
+        exchangeHeartbeat(other);
         place();
     };
     place2(settings.lease + 2s);
@@ -297,16 +298,17 @@
     JobSpec saves = testing::spec("run-1");
     saves.checkpointS = 10;
     saves.saveS = 1;
-    Job& job = running(partitioned, saves);
+    Job& job = submitAndRun(partitioned, saves);
     Job& cancelled = submit(testing::spec("run-2"));
     place();
     commit();
-    exchange(partitioned);
-    exchange(partitioned);
+    exchangeHeartbeat(partitioned);
+    exchangeHeartbeat(partitioned);
     ASSERT_EQ(cancelled.runningCount, 1U);
     const MachineIndex at = cluster->indexOf("n-1");
     const auto inspect = [&] {
-        cluster->onStatusReport(partitioned.next(), Cluster::Source::commandResponse, clock.now());
+        cluster->onStatusReport(partitioned.next(), Cluster::ReportSource::commandResponse,
+                                clock.now());
     };
     // A command to stop is lost. No more reports come from now on.
     cluster->cancel(cancelled, clock.now());
@@ -317,7 +319,7 @@
     pass(settings.reportEvery * 5 / 4 + 2s);
     inspect();
     EXPECT_TRUE(cluster->machines()[at].outboundPartitioned);
-    EXPECT_TRUE(cluster->takeEffects().sendCommands.contains(at))
+    EXPECT_TRUE(cluster->takeEffects().machinesToCommand.contains(at))
         << "it receives commands: the stop is sent once more";
     const auto stops = cluster->takeDirectCommands(at, clock.now());
     ASSERT_EQ(kindsOf(stops), std::vector{CommandKind::stop});
@@ -327,7 +329,7 @@
     EXPECT_TRUE(cancelled.perZone.empty()) << "proven long before its lease ends";
     // There is capacity, and its image, but what is placed there is lost with the lease: any other
     // is taken.
-    exchange(other);
+    exchangeHeartbeat(other);
     Job& elsewhere = submit(testing::spec("run-3", 2));
     place();
     EXPECT_EQ(elsewhere.boundCount, 2U);
@@ -361,11 +363,12 @@
     JobSpec saves = testing::spec("run-1");
     saves.checkpointS = 10;
     saves.saveS = 1;
-    running(partitioned, saves);
+    submitAndRun(partitioned, saves);
     takeOver();
-    exchange(other);
+    exchangeHeartbeat(other);
     pass(settings.reportEvery * 5 / 4 + 2s);
-    cluster->onStatusReport(partitioned.next(), Cluster::Source::commandResponse, clock.now());
+    cluster->onStatusReport(partitioned.next(), Cluster::ReportSource::commandResponse,
+                            clock.now());
     pass(500ms);
     EXPECT_TRUE(cluster->machines()[cluster->indexOf("n-1")].outboundPartitioned)
         << "it has not reported since";
@@ -376,7 +379,7 @@
 
 TEST_F(FaultInteractionTest, DuplicatesThatArriveForMinutesKeepNobodyWaitingForADeadMachine) {
     Worker dead("n-1"), other("n-2");
-    Job& job = running(dead, testing::spec("run-1"));
+    Job& job = submitAndRun(dead, testing::spec("run-1"));
     const worker_api::StatusReport last = dead.report;
     TimePoint released{};
     for (Duration d{}; d < settings.lease * 2 && released == TimePoint{}; d += 1s) {
@@ -385,7 +388,7 @@
         if (job.boundCount == 0) released = clock.now();
     }
     EXPECT_NE(released, TimePoint{}) << "a lease after its last news, however many copies came";
-    exchange(other);
+    exchangeHeartbeat(other);
     place();
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
 }
@@ -394,10 +397,10 @@
     // The worker waits for the answer to a report while it is asked directly: what it said last is
     // newer than that report, whose answer renews its lease all the same.
     Worker w("n-1");
-    Job& job = running(w, testing::spec("run-1"));
+    Job& job = submitAndRun(w, testing::spec("run-1"));
     pass(10s);
     const worker_api::StatusReport sent = w.next();
-    cluster->onStatusReport(w.next(), Cluster::Source::commandResponse, clock.now());
+    cluster->onStatusReport(w.next(), Cluster::ReportSource::commandResponse, clock.now());
     pass(1s);
     copy(sent);
     pass(settings.lease - 2s);
@@ -410,18 +413,18 @@
     // A report of before the task was stopped, saved and put back, as a new leader's first word.
     // Its machine is long gone.
     settings.teams[0].coresMax = 4;
-    cluster = make(5);
+    cluster = makeCluster(5);
     JobSpec spec = testing::spec("run-1");
     spec.demand.cores = 4;
     Worker gone("n-1"), other("n-2");
-    Job& job = running(gone, spec);
+    Job& job = submitAndRun(gone, spec);
     const worker_api::StatusReport old = gone.next();
-    cluster->machineGone(cluster->indexOf("n-1"), clock.now());
+    cluster->onMachineDeleted(cluster->indexOf("n-1"), clock.now());
     commit();
     EXPECT_EQ(job.boundCount, 0U);
     takeOver();
     copy(old);
-    exchange(other);
+    exchangeHeartbeat(other);
     place();
     Job& now = *cluster->find("run-1");
     commit();
@@ -429,7 +432,7 @@
     EXPECT_EQ(cluster->findInconsistency(), "");
     for (Duration d{}; d < settings.lease + 2s; d += 1s) {
         copy(old);
-        exchange(other);
+        exchangeHeartbeat(other);
         pass(1s);
         place();
     }
@@ -442,18 +445,18 @@
     JobSpec spec = testing::spec("run-1", 2);
     spec.spread = true;
     Worker fresh("n-1"), a("n-2"), b("n-3", "b");
-    exchange(fresh);
+    exchangeHeartbeat(fresh);
     submit(spec);
     place();
     commit();
-    exchange(fresh);
+    exchangeHeartbeat(fresh);
     takeOver();
     Job& job = *cluster->find("run-1");
-    exchange(a);
-    exchange(b);
+    exchangeHeartbeat(a);
+    exchangeHeartbeat(b);
     place();
     EXPECT_EQ(job.boundCount, 1U) << "one is in a or in b: neither may take another one";
-    exchange(fresh);
+    exchangeHeartbeat(fresh);
     place();
     ASSERT_EQ(job.boundCount, 2U);
     EXPECT_EQ(job.perZone, (std::map<std::string, std::uint32_t>{{"a", 1}, {"b", 1}}));
--- a/src/scheduler/free_capacity.cpp
+++ b/src/scheduler/free_capacity.cpp
@@ -37,7 +37,7 @@
 
 bool Cluster::acceptsWork(const Machine& m) const {
     return isResponsive(m, now_) && reportFitsOneMore(m) && !m.quarantined && !m.draining &&
-           !m.interruptionAt && !awayZones_.contains(m.zone) && now_ >= m.backOffUntil &&
+           !m.interruptionAt && !unreachableZones_.contains(m.zone) && now_ >= m.backOffUntil &&
            !m.inboundPartitioned && catalogue_.contains(m.type);
 }
 
--- a/src/scheduler/job_lifecycle.cpp
+++ b/src/scheduler/job_lifecycle.cpp
@@ -131,7 +131,7 @@
         for (std::size_t i = allocations.size(); i-- > 0;)
             if (allocations[i].job == &job && !allocations[i].state.launchSent())
                 releaseAllocation(at, i);
-        if (t.state == TaskState::bound) effects_.sendCommands.insert(at);
+        if (t.state == TaskState::bound) effects_.machinesToCommand.insert(at);
     }
     cancellations_.insert(&job);
     commitCancellations(now);
@@ -155,7 +155,7 @@
     return wait;
 }
 
-TimePoint Cluster::delegationCap(const std::string& zone, TimePoint now) const {
+TimePoint Cluster::latestDelegationEnd(const std::string& zone, TimePoint now) const {
     TimePoint cap = TimePoint::max();
     if (delegator_ == nullptr) return cap;
     for (const Job* job : cancellations_)
@@ -167,7 +167,8 @@
 }
 
 void Cluster::commitCancellations(TimePoint now) {
-    if (delegator_ != nullptr) delegator_->delegateToSelf(delegationCap(settings_.zone, now), now);
+    if (delegator_ != nullptr)
+        delegator_->delegateToSelf(latestDelegationEnd(settings_.zone, now), now);
     for (auto it = cancellations_.begin(); it != cancellations_.end();) {
         Job& job = **it;
         if (!job.cancelCommitted && cancellationAcknowledgeable(job, now)) {
--- a/src/scheduler/persistence.cpp
+++ b/src/scheduler/persistence.cpp
@@ -30,8 +30,8 @@
     return ref;
 }
 
-bool Cluster::load(const std::string& key, const std::string& data, TimePoint now,
-                   WallMillis wall) {
+bool Cluster::loadRecord(const std::string& key, const std::string& data, TimePoint now,
+                         WallMillis wall) {
     now_ = now;
     wall_ = wall;
     const auto name = RecordName::of(key);
@@ -140,7 +140,7 @@
     }
 }
 
-void Cluster::loaded(TimePoint now) {
+void Cluster::finishLoading(TimePoint now) {
     restoreDeferredRecords();
     restoreCounts();
     restoreDependencies();
@@ -255,7 +255,7 @@
                                            WritePriority::userRequest);
 }
 
-void Cluster::tooLarge(const std::string& key, std::size_t bytes) {
+void Cluster::onRecordTooLarge(const std::string& key, std::size_t bytes) {
     // The limit has fallen below the known one: try half, and half again if that is still too
     // large.
     valueBytes_ = std::max<std::size_t>(std::min(valueBytes_, bytes / 2), minValueBytes);
@@ -269,13 +269,13 @@
         oversizedKeys_.insert(key);
 }
 
-void Cluster::enablePages() {
+void Cluster::enableRecordPages() {
     if (std::exchange(supportsPages_, true)) return;
     for (const auto& key : std::exchange(oversizedKeys_, {}))
         effects_.dirtyRecords.emplace_back(key, WritePriority::immediate);
 }
 
-void Cluster::committed(const std::string& key, std::uint64_t version) {
+void Cluster::onRecordCommitted(const std::string& key, std::uint64_t version) {
     const auto name = RecordName::of(key);
     if (!name) return;
     Job& job = *jobs_.at(name->job);
@@ -308,7 +308,7 @@
     for (std::uint32_t t = from; t < to; ++t)
         if (job.tasks[t].state == TaskState::bound &&
             (job.cancelled || job.tasks[t].phase == Phase::pendingBind))
-            effects_.sendCommands.insert(job.tasks[t].machine);
+            effects_.machinesToCommand.insert(job.tasks[t].machine);
 }
 
 }  // namespace basaltchute::scheduler
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -252,7 +252,7 @@
     return true;
 }
 
-void Cluster::stopOpportunistic(MachineIndex machine) {
+void Cluster::stopOpportunisticTasks(MachineIndex machine) {
     TaskList chosen;
     for (const Allocation& allocation : machines_[machine].allocations) {
         const Job& job = *allocation.job;
@@ -262,7 +262,7 @@
     stopAll(chosen);
 }
 
-void Cluster::moveReplicas(MachineIndex machine, TimePoint now) {
+void Cluster::migrateReplica(MachineIndex machine, TimePoint now) {
     refreshCapacities();
     const auto moving = [&](const Allocation& c) { return mustStop(c); };
     Machine& m = machines_[machine];
--- a/src/scheduler/queue_order.cpp
+++ b/src/scheduler/queue_order.cpp
@@ -118,7 +118,8 @@
     }
 
     SchedulingPriority priorityOf(const Job& job, std::size_t conceded) const {
-        return schedulingPriority(job, objectives_, estimates_.runTime(job.spec), now_, conceded);
+        return schedulingPriority(job, objectives_, estimates_.estimatedRunTime(job.spec), now_,
+                                  conceded);
     }
 
     /// Which entries of a tier concede their next objective. In order of the latest starts alone
--- a/src/scheduler/queue_order_test.cpp
+++ b/src/scheduler/queue_order_test.cpp
@@ -35,7 +35,8 @@
         objectives.push_back(objective);
     }
     SchedulingPriority priorityOf(const Job& job, TimePoint now, std::size_t conceded = 0) const {
-        return schedulingPriority(job, objectives, estimates.runTime(job.spec), now, conceded);
+        return schedulingPriority(job, objectives, estimates.estimatedRunTime(job.spec), now,
+                                  conceded);
     }
     std::vector<JobId> order(TimePoint now) {
         std::vector<Job*> waiting;
--- a/src/scheduler/quota.cpp
+++ b/src/scheduler/quota.cpp
@@ -9,8 +9,8 @@
 namespace basaltchute::scheduler {
 
 using cells::CellIndex;
+using cells::CellPool;
 using cells::Level;
-using cells::Pool;
 using worker_api::Allocation;
 using worker_api::Machine;
 
@@ -70,41 +70,41 @@
     if (pools_.contains(type.name)) return false;
     const bool countsGpus = type.capacity.gpus >= 1;
     const double slots = countsGpus ? type.capacity.gpus : type.capacity.cores;
-    cells::Shape shape;
+    cells::PoolShape shape;
     shape.slotsPerMachine = static_cast<std::uint32_t>(std::max(1.0, std::floor(slots)));
     shape.machinesPerZone = operator_.machinesPerZoneCell;
-    Pool& pool = pools_.emplace(type.name, Pool(shape)).first->second;
+    CellPool& pool = pools_.emplace(type.name, CellPool(shape)).first->second;
     for (const auto& r : operator_.reservations)
         if (r.type == type.name) pool.reserve(r.team, r.level, r.cells);
     for (const auto& team : settings_.teams) {
         const auto more =
             static_cast<std::uint32_t>(std::floor(countsGpus ? team.gpus : team.cores));
         if (more > 0)
-            pool.reserve(team.name, Level::slot, pool.reserved(team.name, Level::slot) + more);
+            pool.reserve(team.name, Level::slot, pool.reservedCells(team.name, Level::slot) + more);
     }
     return true;
 }
 
-Pool* Quota::poolOf(const std::string& type) {
+CellPool* Quota::poolOf(const std::string& type) {
     const auto it = pools_.find(type);
     return it == pools_.end() ? nullptr : &it->second;
 }
 
 bool Quota::addMachine(MachineIndex index, const Machine& machine) {
-    Pool* pool = poolOf(machine.type);
+    CellPool* pool = poolOf(machine.type);
     if (pool == nullptr) return false;
     pool->addMachine(index, machine.zone);
     return true;
 }
 
 void Quota::removeMachine(MachineIndex index, const Machine& machine) {
-    if (Pool* pool = poolOf(machine.type)) pool->removeMachine(index);
+    if (CellPool* pool = poolOf(machine.type)) pool->removeMachine(index);
 }
 
 int Quota::reservationDistance(MachineIndex index, const Machine& machine) const {
     constexpr int farthest = 2;
     const auto pool = pools_.find(machine.type);
-    return pool == pools_.end() ? farthest : pool->second.distance(index);
+    return pool == pools_.end() ? farthest : pool->second.distanceToBoundCells(index);
 }
 
 // ---------------------------------------------------------------- cells
@@ -126,7 +126,7 @@
 
 std::optional<std::vector<CellIndex>> Quota::bindSlots(const JobSpec& spec, const std::string& type,
                                                        const UsableMachine& usable) {
-    Pool* pool = poolOf(type);
+    CellPool* pool = poolOf(type);
     if (pool == nullptr) return std::nullopt;
     const std::uint32_t slots = slotsFor(spec, type);
     std::set<MachineIndex> tooSmall;
@@ -153,7 +153,7 @@
 std::optional<CellIndex> Quota::findSharedCell(const std::string& team, const std::string& type,
                                                std::uint32_t slots,
                                                const UsableMachine& usable) const {
-    const Pool& pool = pools_.at(type);
+    const CellPool& pool = pools_.at(type);
     std::optional<CellIndex> found;
     for (const auto& [key, shared] : sharedCells_) {
         const auto& [cellType, cell] = key;
@@ -166,7 +166,7 @@
 
 std::optional<Quota::ReservedCells> Quota::bindCells(const JobSpec& spec, const std::string& type,
                                                      const UsableMachine& usable) {
-    Pool* pool = poolOf(type);
+    CellPool* pool = poolOf(type);
     if (pool == nullptr) return std::nullopt;
     const std::uint32_t slots = slotsFor(spec, type);
     if (const auto shared = findSharedCell(spec.team, type, slots, usable))
@@ -182,7 +182,7 @@
 void Quota::unbindCells(const std::string& type, const ReservedCells& bound) {
     if (bound.sharedWithOthers) return;
     sharedCells_.erase({type, bound.cells.front()});
-    Pool& pool = pools_.at(type);
+    CellPool& pool = pools_.at(type);
     for (const CellIndex cell : bound.cells) pool.release(cell);
 }
 
@@ -192,13 +192,13 @@
 
 std::vector<MachineIndex> Quota::occupyCells(Allocation& allocation, MachineIndex index,
                                              const Machine& machine) {
-    Pool* pool = poolOf(machine.type);
+    CellPool* pool = poolOf(machine.type);
     if (pool == nullptr) return {};
     const JobSpec& spec = allocation.job->spec;
     const std::uint32_t slots = slotsFor(spec, machine.type);
     if (allocation.cells.empty()) {
         allocation.opportunisticSlots = slots;
-        pool->use(index, static_cast<int>(slots));
+        pool->addLowPrioritySlots(index, static_cast<int>(slots));
         return {};
     }
     reservedUse_[spec.team] += spec.demand;
@@ -212,10 +212,10 @@
 
 std::vector<MachineIndex> Quota::vacateCells(const Allocation& allocation, MachineIndex index,
                                              const Machine& machine) {
-    Pool* pool = poolOf(machine.type);
+    CellPool* pool = poolOf(machine.type);
     if (pool == nullptr) return {};
     if (allocation.opportunisticSlots > 0)
-        pool->use(index, -static_cast<int>(allocation.opportunisticSlots));
+        pool->addLowPrioritySlots(index, -static_cast<int>(allocation.opportunisticSlots));
     if (allocation.cells.empty()) return {};
     const JobSpec& spec = allocation.job->spec;
     reservedUse_[spec.team] -= spec.demand;
--- a/src/scheduler/quota.h
+++ b/src/scheduler/quota.h
@@ -59,13 +59,13 @@
     void removeUse(const JobSpec& spec) { use_[spec.team] -= spec.demand; }
 
     // Cells
-    [[nodiscard]] const std::map<std::string, cells::Pool>& pools() const { return pools_; }
+    [[nodiscard]] const std::map<std::string, cells::CellPool>& pools() const { return pools_; }
     /// Makes the cells of a machine type, with what is reserved of it; false if they exist already.
     bool addPool(const autoscaler::MachineType& type);
     /// False if its type has no cells: it is not in the catalogue.
     bool addMachine(MachineIndex index, const worker_api::Machine& machine);
     void removeMachine(MachineIndex index, const worker_api::Machine& machine);
-    /// How far the machine is from cells that are bound: `cells::Pool::distance`.
+    /// How far the machine is from cells that are bound: `cells::CellPool::distanceToBoundCells`.
     [[nodiscard]] int reservationDistance(MachineIndex index,
                                           const worker_api::Machine& machine) const;
     /// Slots that a task of the job takes on a machine of the type; 0 if the type is not known.
@@ -97,7 +97,7 @@
         std::uint32_t usedSlots = 0, tasks = 0;
     };
     [[nodiscard]] const settings::Team* find(const std::string& team) const;
-    cells::Pool* poolOf(const std::string& type);
+    cells::CellPool* poolOf(const std::string& type);
     [[nodiscard]] std::optional<cells::CellIndex> findSharedCell(const std::string& team,
                                                                  const std::string& type,
                                                                  std::uint32_t slots,
@@ -107,7 +107,7 @@
     const settings::Operator& operator_;
     const autoscaler::Catalogue& catalogue_;
     std::unordered_map<std::string, Demand> use_, reservedUse_;                   // by team
-    std::map<std::string, cells::Pool> pools_;                                    // by machine type
+    std::map<std::string, cells::CellPool> pools_;                                // by machine type
     std::map<std::pair<std::string, cells::CellIndex>, SharedCell> sharedCells_;  // by machine type
 };
 
--- a/src/scheduler/quota_test.cpp
+++ b/src/scheduler/quota_test.cpp
@@ -98,7 +98,7 @@
     EXPECT_EQ(quota.vacateCells(allocation, 0, m), std::vector<MachineIndex>{0});
     EXPECT_EQ(quota.reservationDistance(0, m), 2);
     EXPECT_TRUE(quota.withinReservation(job.spec));
-    EXPECT_EQ(quota.pools().at("box").check(), "");
+    EXPECT_EQ(quota.pools().at("box").findInconsistency(), "");
 }
 
 TEST_F(QuotaTest, AMachineCellIsSharedByItsTeamAndReturnedWithItsLastTask) {
@@ -120,10 +120,10 @@
     }
     EXPECT_FALSE(quota.bindCells(job.spec, "box", anyMachine)) << "the cell is full";
     quota.vacateCells(allocations[0], 0, m);
-    EXPECT_EQ(quota.pools().at("box").bound("red", cells::Level::machine), 1U);
+    EXPECT_EQ(quota.pools().at("box").boundCells("red", cells::Level::machine), 1U);
     quota.vacateCells(allocations[1], 0, m);
-    EXPECT_EQ(quota.pools().at("box").bound("red", cells::Level::machine), 0U);
-    EXPECT_EQ(quota.pools().at("box").check(), "");
+    EXPECT_EQ(quota.pools().at("box").boundCells("red", cells::Level::machine), 0U);
+    EXPECT_EQ(quota.pools().at("box").findInconsistency(), "");
 }
 
 TEST_F(QuotaTest, CellsInWhichNothingWasAllocatedAreFreeAgain) {
@@ -136,7 +136,7 @@
         const auto bound = quota.bindCells(job.spec, "box", anyMachine);
         ASSERT_TRUE(bound);
         quota.unbindCells("box", *bound);
-        EXPECT_EQ(quota.pools().at("box").check(), "");
+        EXPECT_EQ(quota.pools().at("box").findInconsistency(), "");
     }
 }
 
@@ -150,9 +150,9 @@
     allocation.job = &job;
     EXPECT_TRUE(quota.occupyCells(allocation, 0, m).empty());
     EXPECT_EQ(allocation.opportunisticSlots, 3U);
-    EXPECT_EQ(quota.pools().at("box").lowSlots(0), 3U);
+    EXPECT_EQ(quota.pools().at("box").lowPrioritySlots(0), 3U);
     quota.vacateCells(allocation, 0, m);
-    EXPECT_EQ(quota.pools().at("box").lowSlots(0), 0U);
+    EXPECT_EQ(quota.pools().at("box").lowPrioritySlots(0), 0U);
 }
 
 TEST_F(QuotaTest, AnUnknownMachineTypeHasNoCells) {
--- a/src/scheduler/reconciliation.cpp
+++ b/src/scheduler/reconciliation.cpp
@@ -202,7 +202,7 @@
 
 // ---------------------------------------------------------------- reports
 
-void Cluster::onStatusReport(const StatusReport& r, Source source, TimePoint now) {
+void Cluster::onStatusReport(const StatusReport& r, ReportSource source, TimePoint now) {
     const MachineIndex index = machines_.indexOf(r.machine);
     Machine& m = machines_[index];
     if (m.presence == Presence::gone) return;
@@ -270,11 +270,11 @@
             onTaskExited(machine, t, now);
 }
 
-void Cluster::noteContact(MachineIndex machine, Source source, TimePoint now) {
+void Cluster::noteContact(MachineIndex machine, ReportSource source, TimePoint now) {
     Machine& m = machines_[machine];
     m.lastHeardAt = now;
     m.unansweredProbes = 0;
-    if (source == Source::heartbeat) {
+    if (source == ReportSource::heartbeat) {
         m.lastHeartbeatAt = now;
         if (std::exchange(m.outboundPartitioned, false)) {
             spdlog::info("machine is no longer outbound-partitioned: machine={}", m.name);
@@ -319,7 +319,7 @@
     }
 }
 
-void Cluster::releaseUnreported(MachineIndex machine, const StatusReport& r, Source source) {
+void Cluster::releaseUnreported(MachineIndex machine, const StatusReport& r, ReportSource source) {
     Machine& m = machines_[machine];
     for (std::size_t i = m.allocations.size(); i-- > 0;) {
         const Allocation& allocation = m.allocations[i];
@@ -330,7 +330,7 @@
         const bool fenced = state.adopted() && r.token == token_;
         // A launch in a heartbeat response is executed or dropped before the next heartbeat is
         // sent; the body of a direct response may be older than that.
-        const bool neverLaunched = source == Source::heartbeat && mustStop(allocation) &&
+        const bool neverLaunched = source == ReportSource::heartbeat && mustStop(allocation) &&
                                    !state.adopted() && !state.directLaunchMayArrive();
         if (state.confirmed() || fenced || neverLaunched) releaseAllocation(machine, i);
     }
@@ -341,7 +341,7 @@
     Machine& m = machines_[index];
     const bool isNew =
         std::tie(r.incarnation, r.sequence) > std::tie(m.incarnation, m.heartbeatSequence);
-    onStatusReport(r, Source::heartbeat, now);
+    onStatusReport(r, ReportSource::heartbeat, now);
     // What is older than the newest report was sent before that one arrived. Copies arrive for
     // minutes, and must not hold back for ever what ran on a machine that is gone.
     m.leaseEnd = std::max(m.leaseEnd, leaseEnd(isNew ? now : m.sequenceSeenAt));
@@ -349,7 +349,7 @@
         r.incarnation != m.incarnation || r.sequence != m.heartbeatSequence)
         return {};
     if (isNew) checkResponsesArrive(index, now);
-    if (m.inboundPartitioned) effects_.probe.insert(index);
+    if (m.inboundPartitioned) effects_.machinesToProbe.insert(index);
     auto commands = commandsFor(index, CommandChannel::heartbeatResponse);
     if (!isNew) return commands;  // a copy: its response reaches nobody
     ++m.answeredHeartbeats;
@@ -388,7 +388,7 @@
     if (std::any_of(m.allocations.begin(), m.allocations.end(), [&](const Allocation& allocation) {
             return mustStop(allocation) && allocation.state.launchSent() && !allocation.stopSent;
         }))
-        effects_.sendCommands.insert(machine);
+        effects_.machinesToCommand.insert(machine);
 }
 
 void Cluster::markInboundPartitioned(MachineIndex machine, const char* reason, TimePoint now) {
--- a/src/scheduler/reservations_test.cpp
+++ b/src/scheduler/reservations_test.cpp
@@ -18,7 +18,7 @@
 
     void start(const settings::Operator& own, FencingToken token = 1) {
         cluster = std::make_unique<Cluster>(settings, token);
-        cluster->setOperator(own);
+        cluster->setOperatorSettings(own);
         cluster->setCatalogue(testing::someCatalogue());
     }
     void commit() { testing::commitAll(*cluster, records); }
@@ -93,19 +93,19 @@
     settle({&w, &v});
     submit("run-1", "red", 2);
     settle({&w, &v});
-    EXPECT_EQ(cluster->pools().at("box").bound("red", cells::Level::machine), 1U);
+    EXPECT_EQ(cluster->pools().at("box").boundCells("red", cells::Level::machine), 1U);
     start(machineFor("red"), 2);
     for (const auto& [k, data] : records)
-        ASSERT_TRUE(cluster->load(k, data, clock.now(), clock.wall()));
-    cluster->loaded(clock.now());
+        ASSERT_TRUE(cluster->loadRecord(k, data, clock.now(), clock.wall()));
+    cluster->finishLoading(clock.now());
     settle({&w, &v});
     Job& job = *cluster->find("run-1");
     EXPECT_EQ(job.runningCount, 2U);
     cluster->cancel(job, clock.now());
     commit();
     settle({&w, &v});
-    EXPECT_EQ(cluster->pools().at("box").bound("red", cells::Level::machine), 0U);
-    EXPECT_EQ(cluster->pools().at("box").check(), "");
+    EXPECT_EQ(cluster->pools().at("box").boundCells("red", cells::Level::machine), 0U);
+    EXPECT_EQ(cluster->pools().at("box").findInconsistency(), "");
 }
 
 TEST_F(ReservationsTest, UnreservedCapacityIsSharedByWeight) {
--- a/src/scheduler/runtime_estimates.cpp
+++ b/src/scheduler/runtime_estimates.cpp
@@ -30,14 +30,14 @@
     return it == logBias_.end() ? 1.0 : std::exp(it->second);
 }
 
-Duration RuntimeEstimates::runTime(const JobSpec& spec) const {
+Duration RuntimeEstimates::estimatedRunTime(const JobSpec& spec) const {
     return fromSeconds(spec.estimateS * bias(spec.jobClass));
 }
 
 Duration RuntimeEstimates::jobDuration(const JobSpec& spec, double imageFetchS) const {
     const double tasks = std::max(1.0, static_cast<double>(spec.tasks));
     const double lastTask = 1 + lastTaskFactor * std::log(tasks);
-    return fromSeconds(imageFetchS + toSeconds(runTime(spec)) * lastTask) + handoverDelay;
+    return fromSeconds(imageFetchS + toSeconds(estimatedRunTime(spec)) * lastTask) + handoverDelay;
 }
 
 std::set<std::string> RuntimeEstimates::takeShiftedClasses(TimePoint now) {
@@ -78,7 +78,7 @@
         const auto rank = static_cast<std::size_t>(job->rank);
         const double bound = job->spec.demand.cores * job->boundCount;
         cores[rank] += bound;
-        coreSeconds[rank] += bound * std::max(minRunTimeS, toSeconds(runTime(job->spec)));
+        coreSeconds[rank] += bound * std::max(minRunTimeS, toSeconds(estimatedRunTime(job->spec)));
     }
     for (std::size_t rank = 0; rank < drainRate_.size(); ++rank)
         drainRate_[rank] = cores[rank] > 0 ? cores[rank] * cores[rank] / coreSeconds[rank] : 0;
--- a/src/scheduler/runtime_estimates.h
+++ b/src/scheduler/runtime_estimates.h
@@ -29,7 +29,7 @@
     /// Run time over estimate, as observed in the class; 1 if nothing was.
     [[nodiscard]] double bias(const std::string& jobClass) const;
     /// How long one task of the job runs: its owner's estimate times the bias of its class.
-    [[nodiscard]] Duration runTime(const JobSpec& spec) const;
+    [[nodiscard]] Duration estimatedRunTime(const JobSpec& spec) const;
     /// From the job's release until its last task is done, for an image that takes `imageFetchS`
     /// seconds to fetch. The last of many tasks takes longer than the mean.
     [[nodiscard]] Duration jobDuration(const JobSpec& spec, double imageFetchS) const;
--- a/src/scheduler/runtime_estimates_test.cpp
+++ b/src/scheduler/runtime_estimates_test.cpp
@@ -22,7 +22,7 @@
 TEST(RuntimeEstimates, TrustsTheOwnersEstimateUntilARunIsRecorded) {
     const RuntimeEstimates estimates;
     EXPECT_DOUBLE_EQ(estimates.bias("etl"), 1.0);
-    EXPECT_EQ(estimates.runTime(specOf("etl")), Duration(10s));
+    EXPECT_EQ(estimates.estimatedRunTime(specOf("etl")), Duration(10s));
 }
 
 TEST(RuntimeEstimates, BiasMovesTowardsTheObservedRatioOfItsClassOnly) {
--- a/src/scheduler/upgrade_test.cpp
+++ b/src/scheduler/upgrade_test.cpp
@@ -119,9 +119,9 @@
         cluster = std::make_unique<Cluster>(settings, ++token);
         cluster->setCatalogue(testing::someCatalogue());
         for (const auto& [k, data] : records)
-            ASSERT_TRUE(cluster->load(k, data, clock.now(), clock.wall())) << k;
-        cluster->loaded(clock.now());
-        if (parted) cluster->enablePages();
+            ASSERT_TRUE(cluster->loadRecord(k, data, clock.now(), clock.wall())) << k;
+        cluster->finishLoading(clock.now());
+        if (parted) cluster->enableRecordPages();
     }
     /// What runs by the records is there, and says so.
     void report() {
@@ -155,7 +155,7 @@
                 if (most-- == 0) return;
                 EXPECT_TRUE(e->data.size() <= settings.valueBytes) << key << ' ' << e->data.size();
                 records[key] = e->data;
-                cluster->committed(key, e->version);
+                cluster->onRecordCommitted(key, e->version);
             }
         }
     }
@@ -388,7 +388,7 @@
             const bool beside = key.find("/s") != std::string::npos;
             EXPECT_TRUE(!beside || !job.accepted()) << "the job itself comes after " << key;
             records[key] = encoded->data;
-            cluster->committed(key, encoded->version);
+            cluster->onRecordCommitted(key, encoded->version);
             ++writes;
         }
     EXPECT_TRUE(job.accepted());
@@ -418,11 +418,11 @@
             if (!encoded) continue;
             if (encoded->data.size() > limit) {
                 EXPECT_TRUE(refused.insert({key, encoded->data}).second) << "twice: " << key;
-                cluster->tooLarge(key, encoded->data.size());
+                cluster->onRecordTooLarge(key, encoded->data.size());
                 continue;
             }
             records[key] = encoded->data;
-            cluster->committed(key, encoded->version);
+            cluster->onRecordCommitted(key, encoded->version);
         }
     EXPECT_FALSE(refused.empty());
     const Job& job = *cluster->find("run-000001");
--- a/src/testing/world_test.cpp
+++ b/src/testing/world_test.cpp
@@ -57,7 +57,7 @@
             const auto encoded = cluster.encode(d.first);
             if (!encoded) continue;
             records[d.first] = encoded->data;
-            cluster.committed(d.first, encoded->version);
+            cluster.onRecordCommitted(d.first, encoded->version);
         }
 }
 
--- a/src/worker_api/allocation.h
+++ b/src/worker_api/allocation.h
@@ -78,7 +78,7 @@
     bool launchInLastResponse = false;     // its launch was in the last heartbeat response
     std::uint64_t lastReportedIn = 0;      // sequence of the last report with it among the running
     std::vector<cells::CellIndex> cells;   // of its team's reservation; none: opportunistic
-    std::uint32_t opportunisticSlots = 0;  // as counted in `cells::Pool`'s low-priority view
+    std::uint32_t opportunisticSlots = 0;  // as counted in `cells::CellPool`'s low-priority view
 };
 
 }  // namespace basaltchute::worker_api
