--- a/src/controller/wire_format_test.cpp
+++ b/src/controller/wire_format_test.cpp
@@ -157,6 +157,26 @@
     EXPECT_EQ(ask("GET", "/status"), R"(200 {"node":"rig-0","leading":false,"connections":1})");
 }
 
+TEST_F(ControllerWireFormat, HeartbeatRedirectToALeaderOutOfReach) {
+    settings.peers = {{"rig-1", "a", "127.0.0.1:1"}};
+    state.keys["lead/holder"].data =
+        R"({"node":"rig-1","incarnation":"process-9","token":3,"grant":1})";
+    state.keys["lead/token"].data = R"({"token":3,"node":"rig-1"})";
+    start();
+    EXPECT_EQ(ask("POST", "/agent/beat", beatStart + R"("tick":1,"splits":[]})"),
+              R"(421 {"steward":"rig-1"})");
+}
+
+TEST_F(ControllerWireFormat, RetryAfterIsTheTimeThatTheUnwrittenRecordsTake) {
+    settings.stateWriteRps = 2;
+    start();
+    state.down = true;
+    std::string last;
+    for (int job = 1; job <= 6; ++job)
+        last = ask("POST", "/v1/jobs", testing::submission("run-" + std::to_string(job)));
+    EXPECT_EQ(last, R"(503 Retry-After 3 {"error":"not now"})") << "six records, two a second";
+}
+
 TEST_F(ControllerWireFormat, DirectCommandRequest) {
     start();
     const auto reportOf = [&](const std::string& tick, const std::string& splits) {
