--- a/src/autoscaler/autoscaler.cpp
+++ b/src/autoscaler/autoscaler.cpp
@@ -83,8 +83,8 @@
 }
 
 std::uint32_t Autoscaler::machinesOf(const std::string& type) const {
-    const auto it = cluster_.operatorSettings().held.find(type);
-    return it == cluster_.operatorSettings().held.end() ? 0 : it->second;
+    const auto it = cluster_.operatorSettings().pooledMachines.find(type);
+    return it == cluster_.operatorSettings().pooledMachines.end() ? 0 : it->second;
 }
 std::uint32_t Autoscaler::ordinaryOf(const std::string& type) const {
     std::uint32_t n = 0;
--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -66,7 +66,7 @@
         bool wantsWarmCapacity = false;
         bool opportunistic = false;  // runs on what the others leave idle
         bool spotAllowed = false;
-        Demand perTask;
+        Resources perTask;
         double imageGb = 0;  // the largest of late
         double now = 0, smooth = 0, peak = 0, largestJob = 0;
     };
--- a/src/autoscaler/autoscaler_test.cpp
+++ b/src/autoscaler/autoscaler_test.cpp
@@ -104,7 +104,7 @@
 TEST_F(FleetTest, GivesUpMachinesThatDoNotAnswerButNotManyAtOnce) {
     // Machines packed with replicas died, and those stayed down for a lease of 45 s.
     settings.lease = 45s;
-    settings.reportEvery = 10s;
+    settings.heartbeatInterval = 10s;
     std::vector<Worker> all;
     for (int i = 1; i <= 20; ++i) all.emplace_back("n-" + std::to_string(i));
     const auto report = [&](std::size_t from) {
@@ -144,7 +144,7 @@
 TEST_F(FleetTest, OnceAFewDoNotAnswerTheOthersAreAskedBeforeTheirReportsAreLate) {
     // 59 machines died at once; each was found when its own report was late, up to 14 s after.
     settings.lease = 45s;
-    settings.reportEvery = 10s;
+    settings.heartbeatInterval = 10s;
     std::vector<Worker> all;
     all.reserve(40);
     for (int i = 0; i < 40; ++i) all.emplace_back("n-" + std::to_string(i));
@@ -235,7 +235,7 @@
     JobSpec guest = testing::spec("run-1", 25'000);
     guest.priority = Priority::low;
     guest.demand = {0.25, 0, 0.5};
-    guest.estimateS = 4;
+    guest.estimatedRuntimeS = 4;
     const unsigned lent = rentedFor(guest);
     EXPECT_GE(lent, 25'000U / 4 * 4 / 400) << "enough to be done in time";
     EXPECT_LE(lent, 200U) << "25,000 core seconds within 400 s";
@@ -275,7 +275,7 @@
         JobSpec spec = testing::spec("run-1", 4);
         spec.priority = Priority::low;
         spec.spotAllowed = spotAllowed;
-        spec.estimateS = 30;
+        spec.estimatedRuntimeS = 30;
         small.submit(spec, clock.now(), clock.wall());
         unsigned ordinary = 0;
         Worker w("n-1");
@@ -337,7 +337,7 @@
         return cores;
     };
     JobSpec first = testing::spec("run-1", 1);
-    first.estimateS = 300;
+    first.estimatedRuntimeS = 300;
     cluster.submit(first, clock.now(), clock.wall());
     cluster.place(clock.now());
     testing::commitAll(cluster, records);
@@ -370,7 +370,7 @@
             JobSpec need = testing::spec("first-" + std::to_string(i));
             need.jobClass = "first";
             need.priority = Priority::low;
-            need.estimateS = toSeconds(ahead);
+            need.estimatedRuntimeS = toSeconds(ahead);
             other.submit(need, clock.now(), clock.wall());
             testing::commitAll(other, records);
             JobSpec next = testing::spec("run-" + std::to_string(i), 10);
@@ -405,7 +405,7 @@
 
 TEST_F(FleetTest, AZoneThatIsAwayLosesNoMachineAndKeepsNoOtherFromBeingGivenUp) {
     settings.lease = 45s;
-    settings.reportEvery = 10s;
+    settings.heartbeatInterval = 10s;
     std::vector<Worker> all;
     all.reserve(20);
     for (int i = 0; i < 20; ++i) all.emplace_back("n-" + std::to_string(i), i < 8 ? "b" : "a");
@@ -461,7 +461,7 @@
 TEST_F(FleetTest, OfFourThousandMachinesThoseThatDieTogetherAreFoundWithinALease) {
     // At most 300 were asked at once and 24 in a sample, whatever the number of machines.
     settings.lease = 31s;
-    settings.reportEvery = 25s;  // by its late report none is found within a lease
+    settings.heartbeatInterval = 25s;  // by its late report none is found within a lease
     constexpr std::size_t count = 4000;
     const auto dead = [](std::size_t i) { return i % 20 == 7; };
     std::vector<Worker> all;
--- a/src/autoscaler/catalogue.h
+++ b/src/autoscaler/catalogue.h
@@ -9,7 +9,7 @@
 
 struct MachineType {
     std::string name;
-    Demand capacity;
+    Resources capacity;
     double cacheGb = 0, fetchGbPerS = 1;
     double price = 0, spotPrice = 0;
     Duration boot{};
--- a/src/autoscaler/cloud_client.cpp
+++ b/src/autoscaler/cloud_client.cpp
@@ -16,14 +16,15 @@
 
 CloudClient::CloudClient(EventLoop& loop, const settings::Settings& s, std::function<bool()> mayAct)
     : loop_(loop),
-      http_(loop, s.cloud, 4),
+      http_(loop, s.cloudAddress, 4),
       calls_(s.cloudRps * 0.8, s.cloudRps, loop.now()),
       mayAct_(std::move(mayAct)) {}
 
 Task<http::RequestOutcome> CloudClient::send(http::Request request, Scope& scope, double reserve) {
     while (calls_.available(loop_.now()) < 1 + reserve) {
-        const Wake woke = co_await loop_.sleep(calls_.timeUntil(loop_.now(), 1 + reserve), scope);
-        if (woke == Wake::cancelled) co_return http::RequestOutcome{};
+        const WakeReason woke =
+            co_await loop_.sleep(calls_.timeUntil(loop_.now(), 1 + reserve), scope);
+        if (woke == WakeReason::cancelled) co_return http::RequestOutcome{};
     }
     calls_.tryTake(loop_.now());
     if (!mayAct_()) co_return http::RequestOutcome{};
@@ -92,7 +93,7 @@
 }
 
 Task<CloudClient::ScaleOutResult> CloudClient::rent(ScaleOutRequest rent, Scope& scope) {
-    json::Out out;
+    json::Writer out;
     out.open().field("booking", rent.booking).field("rigKind", rent.type).field("hall", rent.zone);
     out.field("loaners", rent.spot).field("howMany", rent.count).close();
     http::Request request{"POST", "/hosts", out.text()};
@@ -117,7 +118,7 @@
 }
 
 Task<bool> CloudClient::remove(std::vector<std::string> names, Scope& scope) {
-    json::Out out;
+    json::Writer out;
     out.open().key("hosts").openArray();
     for (const auto& n : names) out.value(n);
     out.closeArray().close();
--- a/src/autoscaler/cloud_client.h
+++ b/src/autoscaler/cloud_client.h
@@ -4,7 +4,7 @@
 
 #include "autoscaler/autoscaler.h"
 #include "http/client.h"
-#include "runtime/budget.h"
+#include "runtime/rate_limiter.h"
 
 namespace basaltchute::autoscaler {
 
--- a/src/autoscaler/demand.cpp
+++ b/src/autoscaler/demand.cpp
@@ -25,7 +25,7 @@
 Duration Autoscaler::startupTimeQuantile(const ClassDemand& c, double q) const {
     Duration soonest = Duration::max();
     for (const auto& [name, t] : cluster_.catalogue()) {
-        const Demand& has = t.capacity;
+        const Resources& has = t.capacity;
         if (c.perTask.cores > has.cores || c.perTask.ramGb > has.ramGb || c.perTask.gpus > has.gpus)
             continue;
         const Duration fetch = fromSeconds(c.imageGb / std::max(t.fetchGbPerS, 1e-3));
@@ -52,7 +52,7 @@
         return;
     std::map<std::string, std::map<Priority, double>> wanted;
     for (const Job* job : cluster_.openJobs())
-        wanted[job->spec.team][job->rank] +=
+        wanted[job->spec.team][job->effectivePriority] +=
             job->spec.demand.cores * (job->spec.tasks - job->doneCount);
     for (const auto& t : teams) {
         if (t.coresMax <= 0) continue;
@@ -67,7 +67,7 @@
 double Autoscaler::withinLimit(const Job& job) const {
     const auto team = withinLimit_.find(job.spec.team);
     if (team == withinLimit_.end()) return 1;
-    const auto rank = team->second.find(job.rank);
+    const auto rank = team->second.find(job.effectivePriority);
     return rank == team->second.end() ? 1 : rank->second;
 }
 
--- a/src/autoscaler/failure_detection.cpp
+++ b/src/autoscaler/failure_detection.cpp
@@ -51,8 +51,8 @@
         // one that is up may still be listed as starting; and just after a take-over a machine
         // that has not reported yet only has not found the new leader. Deleting those cost a
         // whole fleet once.
-        const bool overdue = now - it->second.since > boot * 3 + s.listLag * 2;
-        const bool wouldHaveReported = now - since_ > s.lease + s.reportEvery * 2;
+        const bool overdue = now - it->second.since > boot * 3 + s.cloudListLag * 2;
+        const bool wouldHaveReported = now - since_ > s.lease + s.heartbeatInterval * 2;
         if (it->second.starting && overdue && wouldHaveReported) {
             spdlog::warn("machine {} never came up: replacing it", it->first);
             toTerminate_.insert(it->first);
@@ -66,7 +66,7 @@
 void Autoscaler::removeUnresponsive(TimePoint now, ScalingPlan& plan) {
     const auto& s = cluster_.settings();
     // Reports come as much as a quarter late.
-    const Duration overdue = s.reportEvery * 5 / 4 + reportDelay;
+    const Duration overdue = s.heartbeatInterval * 5 / 4 + reportDelay;
     std::map<std::string, ZoneCount> zones;
     std::size_t up = 0, askedAway = 0;
     std::vector<const Machine*> lost;
@@ -79,15 +79,15 @@
         ++up;
         // What runs on it is on record, and it has not found this leader; a machine is listed
         // until it is gone.
-        if (!m.up() && now - since_ > s.listLag * 2 + reportDelay && !names_.contains(m.name) &&
-            !namesBefore_.contains(m.name)) {
+        if (!m.up() && now - since_ > s.cloudListLag * 2 + reportDelay &&
+            !names_.contains(m.name) && !namesBefore_.contains(m.name)) {
             toTerminate_.insert(m.name);
             continue;
         }
         const TimePoint heard = m.up() ? m.lastHeardAt : since_;
         // Announced to be taken, and silent since: it is.
-        if (m.interruptionAt && now > *m.interruptionAt + s.reportEvery &&
-            now - m.lastHeardAt > s.reportEvery * 2) {
+        if (m.interruptionAt && now > *m.interruptionAt + s.heartbeatInterval &&
+            now - m.lastHeardAt > s.heartbeatInterval * 2) {
             toTerminate_.insert(m.name);
             continue;
         }
@@ -99,7 +99,7 @@
         // One that answers but does not report is asked as often as it would report.
         const bool quiet = m.up() && !late && now - m.lastHeartbeatAt > overdue &&
                            !cluster_.isZoneUnreachable(m.zone);
-        if (quiet && now - m.lastHeardAt > s.reportEvery / 2) plan.probe.push_back(i);
+        if (quiet && now - m.lastHeardAt > s.heartbeatInterval / 2) plan.probe.push_back(i);
         if (!late && m.unansweredProbes == 0) {
             if (now - heard > sweepAge) unheard.emplace_back(heard, i);
             continue;
--- a/src/autoscaler/wire_format_test.cpp
+++ b/src/autoscaler/wire_format_test.cpp
@@ -21,7 +21,7 @@
 
     static settings::Settings settingsFor(const std::string& address) {
         auto s = testing::someSettings();
-        s.cloud = address;
+        s.cloudAddress = address;
         return s;
     }
     void TearDown() override { world.end(world.scope); }
@@ -38,7 +38,7 @@
     ASSERT_EQ(catalogue->size(), 2U);
     const MachineType& type = catalogue->at("g4");
     EXPECT_EQ(type.name, "g4");
-    EXPECT_EQ(type.capacity, (Demand{16, 4, 64}));
+    EXPECT_EQ(type.capacity, (Resources{16, 4, 64}));
     EXPECT_EQ(type.cacheGb, 200);
     EXPECT_EQ(type.fetchGbPerS, 0.5);
     EXPECT_EQ(type.price, 3.25);
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -55,7 +55,7 @@
 }
 
 /// Jobs that wait for others: what for, and how much time that leaves.
-void writeWaiting(json::Out& o, const scheduler::Cluster& c, TimePoint now) {
+void writeWaiting(json::Writer& o, const scheduler::Cluster& c, TimePoint now) {
     o.field("held", static_cast<std::uint64_t>(c.blockedJobs().size())).key("waiting").openArray();
     std::size_t jobs = 0;
     for (const Job* job : c.blockedJobs()) {
@@ -77,7 +77,7 @@
     std::string list;
     for (const auto& m : c.machines()) {
         if (m.presence == worker_api::Presence::gone) continue;
-        json::Out o;
+        json::Writer o;
         o.open().field("name", m.name).field("type", m.type).field("zone", m.zone);
         o.field("spot", m.spot).field("up", m.up()).field("sick", m.quarantined);
         o.field("tasks", static_cast<std::uint64_t>(m.allocations.size()));
@@ -90,7 +90,7 @@
 }  // namespace
 
 Controller::Controller(EventLoop& loop, settings::Settings settings,
-                       settings::Operator operatorSettings, const std::string& incarnation)
+                       settings::OperatorSettings operatorSettings, const std::string& incarnation)
     : loop_(loop),
       settings_(std::move(settings)),
       operator_(std::move(operatorSettings)),
@@ -110,7 +110,7 @@
                       true,
                       true,
                       incarnation,
-                      std::min(LeaderElection::newestSupportedFormat, operator_.storedFormat)};
+                      std::min(LeaderElection::newestSupportedFormat, operator_.maxStoredFormat)};
               },
               [this](const peer_rpc::Hello& hello) {
                   if (!hello.leading) {
@@ -148,10 +148,10 @@
                   return term_->delegate(q, allKnow);
               }}),
       server_(
-          loop, settings_.listen, http::ServerLimits{settings_.servedSockets()},
+          loop, settings_.listenAddress, http::ServerLimits{settings_.inboundSockets()},
           [this](http::Request r) { return handleRequest(std::move(r)); }, classify),
       delegate_(lease_delegation::DelegationLimits::from(settings_), settings_.zone, loop.now()),
-      relays_(loop, settings_.directSockets()),
+      relays_(loop, settings_.directCommandSockets()),
       leaderSeenAt_(loop.now()) {
     if (settings_.peers.empty()) return;
     store_.setRelay([this](http::Request r, Duration timeout, Scope& scope) {
@@ -247,7 +247,7 @@
         // What is malformed is so whoever leads; a leader finds out by itself.
         auto parsed = jobs::parseSubmission(r.body);
         if (std::holds_alternative<jobs::SubmissionError>(parsed)) {
-            json::Out o;
+            json::Writer o;
             o.open().field("error", std::get<jobs::SubmissionError>(parsed).message).close();
             co_return http::Response{400, o.text()};
         }
@@ -385,7 +385,7 @@
     if (to == known->node)
         for (const auto& p : settings_.peers)
             if (p.name != known->node && peers_.connected(p.name)) to = p.name;
-    json::Out o;
+    json::Writer o;
     o.open().field("steward", to).close();
     co_return http::Response{421, o.text()};
 }
@@ -467,7 +467,7 @@
 }
 
 http::Response Controller::statusResponse() {
-    json::Out o;
+    json::Writer o;
     o.open().field("node", settings_.node).field("leading", election_.leaseValid());
     if (const auto known = election_.knownLeader())
         o.field("leader", known->node).field("token", known->token);
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -14,8 +14,8 @@
 /// One controller: serves users and workers, follows or leads, and speaks to its peers.
 class Controller : private LeaderElectionListener, private ElectionPeers {
   public:
-    Controller(EventLoop& loop, settings::Settings settings, settings::Operator operatorSettings,
-               const std::string& incarnation);
+    Controller(EventLoop& loop, settings::Settings settings,
+               settings::OperatorSettings operatorSettings, const std::string& incarnation);
     void start();
     Task<void> shutDown();
     /// Ends every duty as it stands, as a process that is killed would: nothing is given back.
@@ -66,7 +66,7 @@
 
     EventLoop& loop_;
     settings::Settings settings_;
-    settings::Operator operator_;
+    settings::OperatorSettings operator_;
     Scope scope_;
     kv_store::Client store_;
     LeaderElection election_;
--- a/src/controller/controller_test.cpp
+++ b/src/controller/controller_test.cpp
@@ -23,7 +23,7 @@
     testing::CloudService cloud{world};
     struct Node {
         settings::Settings settings;
-        settings::Operator operatorSettings;
+        settings::OperatorSettings operatorSettings;
         std::unique_ptr<Controller> controller;
         std::unique_ptr<http::Client> client;
     };
@@ -36,22 +36,22 @@
             auto n = std::make_unique<Node>();
             n->settings = testing::someSettings();
             n->settings.node = "rig-" + std::to_string(i);
-            n->settings.listen = testing::freeAddress();
-            n->settings.meshListen = testing::freeAddress();
-            n->settings.state = state.address();
-            n->settings.cloud = cloud.address();
+            n->settings.listenAddress = testing::freeAddress();
+            n->settings.peerListenAddress = testing::freeAddress();
+            n->settings.stateAddress = state.address();
+            n->settings.cloudAddress = cloud.address();
             nodes.push_back(std::move(n));
         }
         for (auto& n : nodes)
             for (auto& other : nodes)
                 if (n != other)
                     n->settings.peers.push_back(
-                        {other->settings.node, "a", other->settings.meshListen});
+                        {other->settings.node, "a", other->settings.peerListenAddress});
         for (auto& n : nodes)
             for (std::size_t i = 0; i < absent; ++i)
                 n->settings.peers.push_back({"gone-" + std::to_string(i), "a", "127.0.0.1:1"});
         for (auto& n : nodes) {
-            n->client = std::make_unique<http::Client>(world.loop, n->settings.listen);
+            n->client = std::make_unique<http::Client>(world.loop, n->settings.listenAddress);
             launch(*n);
         }
         world.run(4s);
@@ -258,7 +258,7 @@
     const std::size_t first = leader();
     const std::size_t held = (first + 1) % 3, other = (first + 2) % 3;
     kill(held);
-    nodes[held]->operatorSettings.storedFormat = 1;  // greets as a version before chains does
+    nodes[held]->operatorSettings.maxStoredFormat = 1;  // greets as a version before chains does
     launch(*nodes[held]);
     world.run(2s);
     ASSERT_EQ(leader(), first);
--- a/src/controller/leader_term.cpp
+++ b/src/controller/leader_term.cpp
@@ -29,14 +29,14 @@
 }
 
 http::Response refuse(int status, const std::string& why) {
-    json::Out o;
+    json::Writer o;
     o.open().field("error", why).close();
     return {status, o.text()};
 }
 }  // namespace
 
 LeaderTerm::LeaderTerm(EventLoop& loop, const settings::Settings& settings,
-                       const settings::Operator& operatorSettings, kv_store::Client& state,
+                       const settings::OperatorSettings& operatorSettings, kv_store::Client& state,
                        LeaderElection& leadership, kv_store::Precondition guard, Hooks hooks)
     : loop_(loop),
       settings_(settings),
@@ -53,12 +53,12 @@
       writer_(loop, state, settings.txnOps, std::move(guard), *this, *this),
       cloud_(loop, settings, [this] { return mayAct(); }),
       autoscaler_(cluster_, loop.now()),
-      commandSender_(loop, settings.directSockets(), std::move(hooks.relay)),
+      commandSender_(loop, settings.directCommandSockets(), std::move(hooks.relay)),
       onLoaded_(std::move(hooks.loaded)),
       peerConnected_(std::move(hooks.peerConnected)),
       allSupportFormat_(std::move(hooks.allSupportFormat)) {
     cluster_.setOperatorSettings(operatorSettings);
-    delegator_.setEnabled(operatorSettings.zoneLoans);
+    delegator_.setEnabled(operatorSettings.leaseDelegationEnabled);
     cluster_.setDelegator(delegator_);
 }
 
@@ -86,10 +86,10 @@
 Task<void> LeaderTerm::load() {
     while (!scope_.cancelled()) {
         // Nobody else writes meanwhile: whoever did before is fenced by this leader's key.
-        kv_store::ListResult all = co_await store_.list(jobs::blockPrefix, scope_);
+        kv_store::ListResult all = co_await store_.list(jobs::jobKeyPrefix, scope_);
         kv_store::ListResult parts;
         if (all.status == kv_store::Status::ok)
-            parts = co_await store_.list(jobs::pagePrefix, scope_);
+            parts = co_await store_.list(jobs::partKeyPrefix, scope_);
         if (parts.status != kv_store::Status::ok) {
             co_await loop_.sleep(200ms, scope_);
             continue;
@@ -131,7 +131,7 @@
 Task<bool> LeaderTerm::enablePages() {
     if (election_.storedFormat() < partedFormat) {
         // A node that does not know it might lead next, and would lose what it cannot read.
-        if (cluster_.operatorSettings().storedFormat < partedFormat ||
+        if (cluster_.operatorSettings().maxStoredFormat < partedFormat ||
             !allSupportFormat_(partedFormat) || !mayAct())
             co_return false;
         const bool stands = co_await election_.raiseStoredFormat(partedFormat, scope_);
@@ -288,9 +288,9 @@
             }
         }
         // Those who die together are found together: one look for all of them.
-        const Wake woke =
+        const WakeReason woke =
             co_await loop_.wait(machineUnresponsive_, loop_.now() + planEvery, scope_);
-        if (woke == Wake::signalled) co_await loop_.sleep(planGather, scope_);
+        if (woke == WakeReason::signalled) co_await loop_.sleep(planGather, scope_);
     }
 }
 
@@ -326,8 +326,8 @@
 
 Task<void> LeaderTerm::persistStatistics() {
     while (!scope_.cancelled()) {
-        const Wake woke = co_await loop_.sleep(experienceEvery, scope_);
-        if (woke == Wake::cancelled) co_return;
+        const WakeReason woke = co_await loop_.sleep(experienceEvery, scope_);
+        if (woke == WakeReason::cancelled) co_return;
         const auto& changed = autoscaler_.statistics().changed();
         for (const auto& type : changed)
             if (const std::string key = experiencePrefix + type; kv_store::isValidKey(key))
@@ -360,8 +360,8 @@
         // What the state service does not take now is refused now: the user is told when to
         // come back, and finds the job waiting for its turn.
         if (!writer_.healthy() || loop_.now() >= until || !mayAct()) co_return false;
-        const Wake woke = co_await loop_.wait(recordWritten_, until, scope_);
-        if (woke == Wake::cancelled) co_return false;
+        const WakeReason woke = co_await loop_.wait(recordWritten_, until, scope_);
+        if (woke == WakeReason::cancelled) co_return false;
     }
     co_return mayAct();
 }
@@ -441,12 +441,12 @@
     if (!job->accepted()) co_return serviceUnavailable();
     if (job->cancelDurable()) {
         cluster_.acknowledgeCancellation(*job, loop_.now());
-        co_return http::Response{200, jobs::statusText(*job, "cancelled")};
+        co_return http::Response{200, jobs::encodeStatusResponse(*job, "cancelled")};
     }
     if (!job->cancelled && job->doneDurable())
-        co_return http::Response{200, jobs::statusText(*job, "done")};
-    co_return http::Response{200,
-                             jobs::statusText(*job, job->runningCount > 0 ? "running" : "pending")};
+        co_return http::Response{200, jobs::encodeStatusResponse(*job, "done")};
+    co_return http::Response{
+        200, jobs::encodeStatusResponse(*job, job->runningCount > 0 ? "running" : "pending")};
 }
 
 Task<http::Response> LeaderTerm::cancel(JobId id) {
@@ -468,7 +468,8 @@
         co_return wait;
     }
     if (job->cancelled) cluster_.acknowledgeCancellation(*job, loop_.now());
-    co_return http::Response{200, jobs::statusText(id, job->cancelled ? "cancelled" : "done")};
+    co_return http::Response{200,
+                             jobs::encodeStatusResponse(id, job->cancelled ? "cancelled" : "done")};
 }
 
 std::optional<lease_delegation::Delegation> LeaderTerm::delegate(
--- a/src/controller/leader_term.h
+++ b/src/controller/leader_term.h
@@ -23,7 +23,7 @@
         std::function<bool(unsigned format)> allSupportFormat;
     };
     LeaderTerm(EventLoop& loop, const settings::Settings& settings,
-               const settings::Operator& operatorSettings, kv_store::Client& state,
+               const settings::OperatorSettings& operatorSettings, kv_store::Client& state,
                LeaderElection& leadership, kv_store::Precondition guard, Hooks hooks);
     void start();
     Task<void> end() { return scope_.cancelAndWait(); }
--- a/src/controller/main.cpp
+++ b/src/controller/main.cpp
@@ -52,14 +52,14 @@
         return 2;
     }
     const auto& platform = std::get<settings::Settings>(loaded);
-    settings::Operator operatorSettings;
+    settings::OperatorSettings operatorSettings;
     if (!operatorPath.empty()) {
-        auto own = settings::loadOperator(operatorPath, platform);
+        auto own = settings::loadOperatorSettings(operatorPath, platform);
         if (const auto* error = std::get_if<settings::Error>(&own)) {
             std::cerr << operatorPath << ": " << *error << '\n';
             return 2;
         }
-        operatorSettings = std::get<settings::Operator>(std::move(own));
+        operatorSettings = std::get<settings::OperatorSettings>(std::move(own));
     }
     if (config.empty()) return 0;
 
--- a/src/controller/wire_format_test.cpp
+++ b/src/controller/wire_format_test.cpp
@@ -21,13 +21,13 @@
     Scope users{world.loop};
 
     void start() {
-        settings.listen = testing::freeAddress();
-        settings.meshListen = testing::freeAddress();
-        settings.state = state.address();
-        settings.cloud = cloud.address();
-        client = std::make_unique<http::Client>(world.loop, settings.listen);
-        controller =
-            std::make_unique<Controller>(world.loop, settings, settings::Operator{}, "process-1");
+        settings.listenAddress = testing::freeAddress();
+        settings.peerListenAddress = testing::freeAddress();
+        settings.stateAddress = state.address();
+        settings.cloudAddress = cloud.address();
+        client = std::make_unique<http::Client>(world.loop, settings.listenAddress);
+        controller = std::make_unique<Controller>(world.loop, settings,
+                                                  settings::OperatorSettings{}, "process-1");
         controller->start();
         world.run(4s);
     }
--- a/src/gateway/amqp/connection_test.cpp
+++ b/src/gateway/amqp/connection_test.cpp
@@ -136,8 +136,8 @@
             const long n = co_await from.read(data, TimePoint::max(), w.scope);
             if (n <= 0) co_return;
             while (stop != nullptr && *stop) {
-                const Wake woke = co_await w.loop.sleep(1s, w.scope);
-                if (woke == Wake::cancelled) co_return;
+                const WakeReason woke = co_await w.loop.sleep(1s, w.scope);
+                if (woke == WakeReason::cancelled) co_return;
             }
             co_await to.write(data, TimePoint::max(), w.scope);
         }
--- a/src/gateway/app/client_listener.cpp
+++ b/src/gateway/app/client_listener.cpp
@@ -168,7 +168,7 @@
     while (!scope.cancelled()) {
         auto socket = co_await listener_.accept(scope);
         if (!socket) co_return;
-        const std::string peer = socket->peer();
+        const std::string peer = socket->peerIp();
         if (sessions_.size() >= settings_.limits.connections || !settings_.networks.hold(peer)) {
             ++counters_.connectionsRefused;
             spdlog::debug("connection from {} refused", peer);
--- a/src/gateway/app/gateway.cpp
+++ b/src/gateway/app/gateway.cpp
@@ -26,7 +26,7 @@
 }
 
 http::Response text(int status, const std::string& error) {
-    json::Out out;
+    json::Writer out;
     out.open().field("error", error).close();
     return {status, out.text()};
 }
@@ -271,7 +271,7 @@
 }
 
 http::Response Gateway::queues() const {
-    json::Out out;
+    json::Writer out;
     out.open().field("instance", settings_.instance).field("draining", draining_);
     out.key("members").openArray();
     for (const auto& [name, m] : members_.all())
@@ -311,7 +311,7 @@
         return text(404, "no such queue: expected <team>/<class> of the settings");
     const auto t = tenure(queue);
     if (t && t->ready()) return std::nullopt;
-    json::Out out;
+    json::Writer out;
     out.open().field("error", "this instance does not hold the queue");
     if (const Member* holder = members_.holder(queue))
         out.field("instance", holder->instance).field("admin", holder->admin);
@@ -335,7 +335,7 @@
             if (lines.size() > most) lines.erase(lines.begin());  // the newest stay
         });
     }
-    json::Out out;
+    json::Writer out;
     out.open().field("queue", queue).field("entries", static_cast<std::uint64_t>(book.size()));
     out.key("lines").openArray();
     for (const auto& [ref, e] : lines) {
--- a/src/gateway/journal/job_id_allocator.cpp
+++ b/src/gateway/journal/job_id_allocator.cpp
@@ -43,7 +43,7 @@
     }
     const bool may = co_await turnstile_.acquire(1, scope);
     if (!may) co_return false;
-    json::Out out;
+    json::Writer out;
     out.open().field("next", to).close();
     kv_store::Transaction txn;
     txn.preconditions = {{key, revision}};
@@ -59,8 +59,8 @@
 Task<std::optional<std::string>> JobIdAllocator::next(Scope& scope) {
     while (next_ == end_) {
         if (reserving_) {
-            const Wake woke = co_await loop_.wait(reserved_, TimePoint::max(), scope);
-            if (woke == Wake::cancelled) co_return std::nullopt;
+            const WakeReason woke = co_await loop_.wait(reserved_, TimePoint::max(), scope);
+            if (woke == WakeReason::cancelled) co_return std::nullopt;
             if (next_ == end_ && !reserving_) co_return std::nullopt;
             continue;
         }
--- a/src/gateway/journal/message_journal.cpp
+++ b/src/gateway/journal/message_journal.cpp
@@ -169,7 +169,7 @@
 
 kv_store::EncodedRecord MessageJournal::encode(const std::string& recordKey) const {
     const auto number = pageOf(recordKey);
-    json::Out out;
+    json::Writer out;
     out.open().key("entries").openArray();
     const auto it = number ? pages_.find(*number) : pages_.end();
     if (it == pages_.end()) {
--- a/src/gateway/membership/membership.cpp
+++ b/src/gateway/membership/membership.cpp
@@ -79,7 +79,7 @@
     return settings_.statePrefix + "own/queue/" + queue;
 }
 std::string Membership::record() const {
-    json::Out out;
+    json::Writer out;
     out.open().field("instance", settings_.instance).field("incarnation", incarnation_);
     out.field("advertise", settings_.advertise).field("admin", settings_.admin);
     out.field("draining", draining_).key("queues").openArray();
@@ -248,7 +248,7 @@
 
 Task<void> Membership::claim(QueueName queue, Scope& scope) {
     const bool may = co_await turnstile_.acquire(1, scope);
-    json::Out out;
+    json::Writer out;
     out.open().field("incarnation", incarnation_).field("instance", settings_.instance).close();
     kv_store::Transaction txn;
     // Guarded by the own record too: a member that was taken for dead claims nothing.
--- a/src/gateway/membership/wire_format_test.cpp
+++ b/src/gateway/membership/wire_format_test.cpp
@@ -27,7 +27,7 @@
         s.advertise = "10.0.0.1:5672";
         s.admin = "10.0.0.1:5680";
         s.state = basaltchute::testing::someSettings();
-        s.state.state = address;
+        s.state.stateAddress = address;
         s.refsFrom = 17;
         s.refsTo = 5000;
         s.queues["red/render"].name = "red/render";
--- a/src/gateway/queue_owner/controllers.h
+++ b/src/gateway/queue_owner/controllers.h
@@ -6,7 +6,7 @@
 
 #include "gateway/settings/settings.h"
 #include "http/client.h"
-#include "runtime/budget.h"
+#include "runtime/rate_limiter.h"
 
 namespace basaltchute::gateway {
 
--- a/src/gateway/queue_owner/queue_owner.cpp
+++ b/src/gateway/queue_owner/queue_owner.cpp
@@ -258,8 +258,8 @@
 Task<Disposition> QueueOwner::enter(Prepared p) {
     const std::string key = p.entry.key;
     while (busy_.contains(key)) {
-        const Wake woke = co_await loop_.wait(freed_, TimePoint::max(), scope_);
-        if (woke == Wake::cancelled) co_return released();
+        const WakeReason woke = co_await loop_.wait(freed_, TimePoint::max(), scope_);
+        if (woke == WakeReason::cancelled) co_return released();
     }
     const JournalEntry* known = book_.find(key);
     if (known != nullptr && known->digest != p.entry.digest)
@@ -341,8 +341,8 @@
 Task<bool> QueueOwner::standing(std::string key) {
     while (!book_.isDurable(key)) {
         if (book_.find(key) == nullptr) co_return false;
-        const Wake woke = co_await loop_.wait(committed_, TimePoint::max(), scope_);
-        if (woke == Wake::cancelled) co_return false;
+        const WakeReason woke = co_await loop_.wait(committed_, TimePoint::max(), scope_);
+        if (woke == WakeReason::cancelled) co_return false;
     }
     co_return !scope_.cancelled();
 }
@@ -464,7 +464,7 @@
         m.subject = "result";
         m.contentType = "application/json";
         m.properties = {{"queue", queue_.name}, {"result-number", std::to_string(number)}};
-        json::Out body;
+        json::Writer body;
         body.open().field("ref", e.ref).field("status", e.status).field("number", number).close();
         m.body = body.text();
         const auto bytes = amqp::encode(m);
--- a/src/gateway/queue_owner/write_limiter.h
+++ b/src/gateway/queue_owner/write_limiter.h
@@ -3,8 +3,8 @@
 #include <cstdint>
 #include <vector>
 
-#include "runtime/budget.h"
 #include "runtime/loop.h"
+#include "runtime/rate_limiter.h"
 
 namespace basaltchute::gateway {
 
--- a/src/gateway/settings/settings.cpp
+++ b/src/gateway/settings/settings.cpp
@@ -73,7 +73,7 @@
         return t;
     }
     void state(const Value& s) {
-        checked("#/state/address", *json::string(s, "address"), out_.state.state);
+        checked("#/state/address", *json::string(s, "address"), out_.state.stateAddress);
         out_.statePrefix = json::string(s, "prefix").value_or(out_.statePrefix);
         const double share = json::number(s, "share").value_or(0.1);
         out_.state.stateRps = *json::number(s, "requestsPerSecond") * share;
--- a/src/gateway/settings/wire_format_test.cpp
+++ b/src/gateway/settings/wire_format_test.cpp
@@ -45,7 +45,7 @@
     EXPECT_EQ(s.advertise, "10.0.0.9:5671");
     EXPECT_EQ(s.admin, "127.0.0.1:7071");
     EXPECT_EQ(s.controllers, (std::vector<std::string>{"10.0.0.1:8080", "10.0.0.2:8080"}));
-    EXPECT_EQ(s.state.state, "10.2.0.1:2379");
+    EXPECT_EQ(s.state.stateAddress, "10.2.0.1:2379");
     EXPECT_EQ(s.statePrefix, "gate/");
     EXPECT_EQ(s.state.stateRps, 25);
     EXPECT_EQ(s.state.stateWriteRps, 10);
--- a/src/gateway/testing/broker.cpp
+++ b/src/gateway/testing/broker.cpp
@@ -180,7 +180,7 @@
 
 http::Response JobService::serve(const http::Request& r) {
     const std::string path = "/v1/jobs";
-    json::Out out;
+    json::Writer out;
     if (r.target == "/jobs") {  // for whoever checks: how many jobs each message became
         out.open();
         for (const auto& [marker, refs] : refsOf)
--- a/src/gateway/testing/client.cpp
+++ b/src/gateway/testing/client.cpp
@@ -18,7 +18,7 @@
         flag = true;
     }(scope_, gone));
     // NOLINTNEXTLINE(bugprone-infinite-loop): the spawned routine sets the flag.
-    while (!gone) loop_.turn(Duration::zero());
+    while (!gone) loop_.runOnce(Duration::zero());
 }
 
 void Client::start() {
--- a/src/gateway/testing/gateway_fixture.cpp
+++ b/src/gateway/testing/gateway_fixture.cpp
@@ -11,7 +11,7 @@
     settings.listen = settings.admin = "127.0.0.1:0";
     settings.controllers = {jobs.address()};
     settings.state = basaltchute::testing::someSettings();
-    settings.state.state = state.address();
+    settings.state.stateAddress = state.address();
     settings.grant = 3s;
     settings.refsFrom = 900'000'000;
     settings.refsTo = 900'999'999;
@@ -74,7 +74,7 @@
     amqp::Message m;
     if (!id.empty()) m.id = {amqp::Id::Kind::text, id};
     m.replyTo = replyTo;
-    json::Out out;
+    json::Writer out;
     out.open().field("build", marker).close();
     m.body = out.text();
     return m;
--- a/src/jobs/codec.cpp
+++ b/src/jobs/codec.cpp
@@ -149,14 +149,14 @@
     spec.demand = {reader.amount("cores"), reader.amount("gpus"), reader.amount("ramGb")};
     spec.image = reader.text("build");
     spec.imageGb = reader.amount("sizeGb");
-    spec.types = reader.optionalTexts("rigs");
+    spec.machineTypes = reader.optionalTexts("rigs");
     spec.zone = reader.optionalText("hall");
     spec.sameZone = reader.flag("together");
     spec.spread = reader.flag("spread");
     spec.spotAllowed = reader.flag("loaners");
-    spec.estimateS = reader.amount("parS");
-    spec.checkpointS = reader.amount("savepointS");
-    spec.saveS = reader.amount("flushS");
+    spec.estimatedRuntimeS = reader.amount("parS");
+    spec.checkpointIntervalS = reader.amount("savepointS");
+    spec.checkpointDurationS = reader.amount("flushS");
     spec.deadlineS = reader.optionalAmount("cutoffS");
     spec.dependencies = reader.ids("waitsOn");
     if (!reader.wrongField().empty())
@@ -164,25 +164,25 @@
     return spec;
 }
 
-void writeTexts(json::Out& out, const char* name, const std::vector<std::string>& texts) {
+void writeTexts(json::Writer& out, const char* name, const std::vector<std::string>& texts) {
     out.key(name).openArray();
     for (const auto& text : texts) out.value(text);
     out.closeArray();
 }
 
 std::string specText(const JobSpec& spec) {
-    json::Out out;
+    json::Writer out;
     out.open().field("ref", spec.id).field("category", spec.jobClass).field("crew", spec.team);
     out.field("shape", nameOf(shapes, spec.shape)).field("rank", nameOf(priorities, spec.priority));
     out.field("splits", spec.tasks);
     out.field("cores", spec.demand.cores).field("gpus", spec.demand.gpus);
     out.field("ramGb", spec.demand.ramGb).field("build", spec.image).field("sizeGb", spec.imageGb);
-    if (spec.types) writeTexts(out, "rigs", *spec.types);
+    if (spec.machineTypes) writeTexts(out, "rigs", *spec.machineTypes);
     if (spec.zone) out.field("hall", *spec.zone);
     out.field("together", spec.sameZone).field("spread", spec.spread);
     out.field("loaners", spec.spotAllowed);
-    out.field("parS", spec.estimateS).field("savepointS", spec.checkpointS);
-    out.field("flushS", spec.saveS);
+    out.field("parS", spec.estimatedRuntimeS).field("savepointS", spec.checkpointIntervalS);
+    out.field("flushS", spec.checkpointDurationS);
     if (spec.deadlineS) out.field("cutoffS", *spec.deadlineS);
     if (!spec.dependencies.empty()) writeTexts(out, "waitsOn", spec.dependencies);
     out.close();
@@ -190,10 +190,11 @@
 }
 
 /// The state of the job itself that changes after its submission.
-void writeState(json::Out& out, const Job& job) {
-    if (job.cancelled && job.cancelledWith.empty())
+void writeState(json::Writer& out, const Job& job) {
+    if (job.cancelled && job.cancelledDependency.empty())
         out.field(job.cancelCommitted ? "cancelled" : "withdrawing", true);
-    if (job.released) out.field("released", static_cast<std::int64_t>(job.released->count()));
+    if (job.releasedWallTime)
+        out.field("released", static_cast<std::int64_t>(job.releasedWallTime->count()));
 }
 
 void readState(const json::Value& v, Job& job) {
@@ -204,12 +205,12 @@
     // A former leader may have acknowledged it at any time.
     if (job.cancelCommitted) job.acknowledgedAt = TimePoint{};
     if (const auto at = json::number(v, "released"))
-        job.released = WallMillis(static_cast<std::int64_t>(*at));
+        job.releasedWallTime = WallMillis(static_cast<std::int64_t>(*at));
 }
 
 /// Done tasks as pairs of first and last, the rest as [task, attempt] or with its machine.
-void writeTasks(json::Out& out, const Job& job, std::uint32_t from, std::uint32_t to,
-                const MachineName& name) {
+void writeTasks(json::Writer& out, const Job& job, std::uint32_t from, std::uint32_t to,
+                const MachineNameLookup& name) {
     out.key("done").openArray();
     for (std::uint32_t i = from; i < to; ++i) {
         if (job.tasks[i].state != TaskState::done) continue;
@@ -243,7 +244,7 @@
 }
 
 /// Arrays of a task, its attempt, and for a bound one its machine and whether it is reserved.
-bool readBoundTasks(const json::Value& bound, Job& job, const MachineOf& machine) {
+bool readBoundTasks(const json::Value& bound, Job& job, const MachineIndexLookup& machine) {
     for (const auto& entry : bound.GetArray()) {
         if (!entry.IsArray() || entry.Size() < 2 || !entry[0].IsUint() || !entry[1].IsUint64())
             return false;
@@ -274,16 +275,16 @@
     return readSpec(*doc);
 }
 
-std::string statusText(const JobId& id, const char* status) {
-    json::Out out;
+std::string encodeStatusResponse(const JobId& id, const char* status) {
+    json::Writer out;
     out.open().field("ref", id).field("status", status).close();
     return out.text();
 }
-std::string statusText(const Job& job, const char* status) {
-    json::Out out;
+std::string encodeStatusResponse(const Job& job, const char* status) {
+    json::Writer out;
     out.open().field("ref", job.spec.id).field("status", status);
     out.field("done", job.doneCount).field("running", job.runningCount);
-    if (!job.cancelledWith.empty()) out.field("because", job.cancelledWith);
+    if (!job.cancelledDependency.empty()) out.field("because", job.cancelledDependency);
     out.close();
     return out.text();
 }
@@ -300,28 +301,28 @@
     auto job = std::make_unique<Job>();
     const std::size_t jobBytes = headBytes + specText(spec).size();
     const std::size_t taskBytes = valueBytes > jobBytes ? valueBytes - jobBytes : 0;
-    const std::size_t perBlock = std::max(minTasksPerBlock, taskBytes / bytesPerTask);
-    job->layout = RecordLayout(spec.tasks, static_cast<std::uint32_t>(perBlock));
+    const std::size_t tasksPerBlock = std::max(minTasksPerBlock, taskBytes / bytesPerTask);
+    job->layout = RecordLayout(spec.tasks, static_cast<std::uint32_t>(tasksPerBlock));
     job->tasks.resize(spec.tasks);
-    job->queue.resize(spec.tasks);
-    std::iota(job->queue.rbegin(), job->queue.rend(), 0U);
-    job->rank = spec.priority;
+    job->placementQueue.resize(spec.tasks);
+    std::iota(job->placementQueue.rbegin(), job->placementQueue.rend(), 0U);
+    job->effectivePriority = spec.priority;
     job->spec = std::move(spec);
     return job;
 }
 
-std::string encodeBlock(const Job& job, std::uint32_t block, const MachineName& name) {
-    json::Out out;
+std::string encodeBlock(const Job& job, std::uint32_t block, const MachineNameLookup& name) {
+    json::Writer out;
     out.open();
-    const std::uint32_t per = job.layout.perBlock();
+    const std::uint32_t per = job.layout.tasksPerBlock();
     if (block == 0) {
-        if (job.layout.texts > 0)
-            out.field("texts", job.layout.texts);
+        if (job.layout.specSections > 0)
+            out.field("texts", job.layout.specSections);
         else
             out.key("spec").raw(specText(job.spec));
-        out.field("at", static_cast<std::int64_t>(job.submitted.count())).field("per", per);
+        out.field("at", static_cast<std::int64_t>(job.submittedWallTime.count())).field("per", per);
         writeState(out, job);
-        if (job.layout.bare()) {
+        if (job.layout.firstBlockHasNoTasks()) {
             out.field("bare", true).close();
             return out.text();
         }
@@ -332,8 +333,8 @@
     return out.text();
 }
 
-std::string encodePage(const Job& job, const TaskRange& page, const MachineName& name) {
-    json::Out out;
+std::string encodePage(const Job& job, const TaskRange& page, const MachineNameLookup& name) {
+    json::Writer out;
     out.open();
     writeTasks(out, job, page.from, page.end(), name);
     out.close();
@@ -341,14 +342,14 @@
 }
 
 std::string encodeHead(const Job& job) {
-    json::Out out;
+    json::Writer out;
     out.open();
     writeState(out, job);
     out.close();
     return out.text();
 }
 
-std::vector<std::string> encodeTexts(const Job& job, std::size_t valueBytes) {
+std::vector<std::string> encodeSpecSections(const Job& job, std::size_t valueBytes) {
     const std::string all = specText(job.spec);
     // Quoted, each byte takes two at most, as the text has no control characters.
     const std::size_t sectionBytes =
@@ -358,7 +359,7 @@
         std::size_t to = std::min(all.size(), from + sectionBytes);
         // Not within a character.
         while (to < all.size() && (static_cast<unsigned char>(all[to]) & 0xC0U) == 0x80U) --to;
-        json::Out out;
+        json::Writer out;
         out.open().field("text", std::string_view(all).substr(from, to - from)).close();
         records.push_back(out.text());
         from = to;
@@ -366,11 +367,11 @@
     return records;
 }
 
-std::optional<std::string> decodeText(const json::Value& record) {
+std::optional<std::string> decodeSpecSection(const json::Value& record) {
     return json::string(record, "text");
 }
 
-std::optional<std::uint32_t> textsOf(const json::Value& block) {
+std::optional<std::uint32_t> specSectionCount(const json::Value& block) {
     const auto n = json::count(block, "texts");
     return n ? std::optional(static_cast<std::uint32_t>(*n)) : std::nullopt;
 }
@@ -379,7 +380,7 @@
                                std::size_t valueBytes) {
     std::optional<json::Document> joinedTexts;
     const json::Value* spec = json::find(block, "spec");
-    if (textsOf(block)) {
+    if (specSectionCount(block)) {
         joinedTexts = json::parse(texts);
         spec = joinedTexts ? &*joinedTexts : nullptr;
     }
@@ -390,9 +391,10 @@
     if (!std::holds_alternative<JobSpec>(parsed)) return nullptr;
     auto job = makeJob(std::get<JobSpec>(std::move(parsed)), valueBytes);
     job->layout = RecordLayout(job->spec.tasks, static_cast<std::uint32_t>(*per));
-    job->layout.texts = job->layout.textsDurable = textsOf(block).value_or(0);
-    job->submitted = WallMillis(static_cast<std::int64_t>(*at));
-    if (json::boolean(block, "bare").value_or(false)) job->layout.setBare();
+    job->layout.specSections = job->layout.durableSpecSections =
+        specSectionCount(block).value_or(0);
+    job->submittedWallTime = WallMillis(static_cast<std::int64_t>(*at));
+    if (json::boolean(block, "bare").value_or(false)) job->layout.moveTasksOutOfFirstBlock();
     readState(block, *job);
     return job;
 }
@@ -402,8 +404,8 @@
 }
 
 bool decodeTasks(const json::Value& record, const RecordName& name, Job& job,
-                 const MachineOf& machine) {
-    job.layout.restored(name);
+                 const MachineIndexLookup& machine) {
+    job.layout.markRestored(name);
     if (name.kind == RecordName::Kind::page) {
         // Newer than what other records say of these tasks.
         const std::uint32_t end =
--- a/src/jobs/codec.h
+++ b/src/jobs/codec.h
@@ -27,8 +27,8 @@
 [[nodiscard]] std::variant<JobSpec, SubmissionError> parseSubmission(const std::string& body);
 
 /// Body of a status response: `{"ref":...,"status":...}`; for a job with its counts of tasks.
-[[nodiscard]] std::string statusText(const JobId& id, const char* status);
-[[nodiscard]] std::string statusText(const Job& job, const char* status);
+[[nodiscard]] std::string encodeStatusResponse(const JobId& id, const char* status);
+[[nodiscard]] std::string encodeStatusResponse(const Job& job, const char* status);
 /// What a response says of a job, from oldest to newest.
 enum class JobState {
     none,     // nothing, or that the service is unavailable
@@ -40,22 +40,23 @@
 [[nodiscard]] JobState parseJobState(int httpStatus, const std::string& body);
 
 /// Maps machines to the names that records hold, and back.
-using MachineName = std::function<const std::string&(MachineIndex)>;
-using MachineOf = std::function<MachineIndex(const std::string&)>;
+using MachineNameLookup = std::function<const std::string&(MachineIndex)>;
+using MachineIndexLookup = std::function<MachineIndex(const std::string&)>;
 
 /// The record of a block: the job itself with its first tasks (block 0), or further tasks.
-[[nodiscard]] std::string encodeBlock(const Job& job, std::uint32_t block, const MachineName& name);
+[[nodiscard]] std::string encodeBlock(const Job& job, std::uint32_t block,
+                                      const MachineNameLookup& name);
 [[nodiscard]] std::string encodePage(const Job& job, const TaskRange& page,
-                                     const MachineName& name);
+                                     const MachineNameLookup& name);
 /// The head record: the changing state of a job whose first block must not be written again.
 [[nodiscard]] std::string encodeHead(const Job& job);
 /// The text records of the job's description: as many as values of that size need.
-[[nodiscard]] std::vector<std::string> encodeTexts(const Job& job, std::size_t valueBytes);
+[[nodiscard]] std::vector<std::string> encodeSpecSections(const Job& job, std::size_t valueBytes);
 
 /// How many text records hold the description; nothing if it is in the first block itself.
-[[nodiscard]] std::optional<std::uint32_t> textsOf(const json::Value& block);
+[[nodiscard]] std::optional<std::uint32_t> specSectionCount(const json::Value& block);
 /// The section of the description that a text record holds; nothing if it is malformed.
-[[nodiscard]] std::optional<std::string> decodeText(const json::Value& record);
+[[nodiscard]] std::optional<std::string> decodeSpecSection(const json::Value& record);
 /// The job of a first block, without its tasks; nullptr if it is malformed. `texts`: the sections
 /// of its text records, joined.
 [[nodiscard]] std::unique_ptr<Job> decodeJob(const json::Value& block, const std::string& texts,
@@ -65,7 +66,7 @@
 /// Takes the tasks of a block or page into the job; to be called for records of more tasks first.
 /// False if the record is malformed: then some tasks may have been taken.
 [[nodiscard]] bool decodeTasks(const json::Value& record, const RecordName& name, Job& job,
-                               const MachineOf& machine);
+                               const MachineIndexLookup& machine);
 
 /// A job of that description with all tasks waiting, laid out in blocks that fit into a value.
 [[nodiscard]] std::unique_ptr<Job> makeJob(JobSpec spec, std::size_t valueBytes);
--- a/src/jobs/job.h
+++ b/src/jobs/job.h
@@ -18,16 +18,16 @@
 enum class Shape { array, service, gang };  // a gang's tasks run all together or not at all
 enum class Priority { production, high, normal, low };
 
-struct Demand {
+struct Resources {
     double cores = 0, gpus = 0, ramGb = 0;
-    bool operator==(const Demand&) const = default;
-    Demand& operator+=(const Demand& d) {
+    bool operator==(const Resources&) const = default;
+    Resources& operator+=(const Resources& d) {
         cores += d.cores;
         gpus += d.gpus;
         ramGb += d.ramGb;
         return *this;
     }
-    Demand& operator-=(const Demand& d) {
+    Resources& operator-=(const Resources& d) {
         cores -= d.cores;
         gpus -= d.gpus;
         ramGb -= d.ramGb;
@@ -41,20 +41,21 @@
     Shape shape = Shape::array;
     Priority priority = Priority::normal;
     std::uint32_t tasks = 1;
-    Demand demand;
+    Resources demand;
     std::string image;
     double imageGb = 0;
-    std::optional<std::vector<std::string>> types;
+    std::optional<std::vector<std::string>> machineTypes;
     std::optional<std::string> zone;
     bool sameZone = false, spread = false, spotAllowed = false;
-    double estimateS = 0, checkpointS = 0, saveS = 0;
+    double estimatedRuntimeS = 0, checkpointIntervalS = 0, checkpointDurationS = 0;
     std::optional<double> deadlineS;
     std::vector<JobId>
         dependencies;  // that have to be done before any task of it starts; each once
 
     /// Whether its tasks may run on machines of the type.
     [[nodiscard]] bool allowsType(const std::string& type) const {
-        return !types || std::find(types->begin(), types->end(), type) != types->end();
+        return !machineTypes ||
+               std::find(machineTypes->begin(), machineTypes->end(), type) != machineTypes->end();
     }
 };
 
@@ -67,11 +68,11 @@
 
 enum class TaskState : std::uint8_t { waiting, bound, done };
 /// How far a bound task has come on its machine, as far as this leader knows.
-enum class Phase : std::uint8_t { pendingBind, launchSent, pulling, running, checkpointing };
+enum class TaskPhase : std::uint8_t { pendingBind, launchSent, pulling, running, checkpointing };
 
 struct JobTask {
     TaskState state = TaskState::waiting;
-    Phase phase = Phase::pendingBind;
+    TaskPhase phase = TaskPhase::pendingBind;
     bool reserved = false;  // bound in cells of its team's reservation
     bool stopping = false;  // told to stop: by preemption, draining or cancellation
     MachineIndex machine = noMachine;
@@ -81,19 +82,19 @@
 
 struct Job {
     JobSpec spec;
-    WallMillis submitted{};
+    WallMillis submittedWallTime{};
     TimePoint submittedAt{};
     /// From when its wait counts: its submission, or when the last of its dependencies was done.
     TimePoint releasedAt{};
-    std::optional<WallMillis> released;  // the latter, for the record
-    TimePoint startedAt{};               // when its first task ran, as far as is known
+    std::optional<WallMillis> releasedWallTime;  // the latter, for the record
+    TimePoint startedAt{};                       // when its first task ran, as far as is known
     /// A dependency is not done: no task of it starts, and it is no demand for capacity.
     bool blocked = false;
-    JobId cancelledWith;  // the dependency that was cancelled, and this job with it
+    JobId cancelledDependency;  // the dependency that was cancelled, and this job with it
     /// Its own priority or a higher one that a dependent has, and when its dependents need it to
     /// be done.
-    Priority rank = Priority::normal;
-    Deadlines deadlines{};
+    Priority effectivePriority = Priority::normal;
+    Deadlines inheritedDeadlines{};
     /// Its user has asked to cancel it: no task starts any more, and all are stopped.
     bool cancelled = false;
     /// And it may be acknowledged: whatever may still run ends in time. Until then the record says
@@ -107,11 +108,11 @@
     std::uint32_t doneCount = 0, boundCount = 0, runningCount = 0;
     /// Tasks to be placed, the next one last. What was adopted or done meanwhile is skipped when
     /// it comes up, so that no change of a task costs a search.
-    std::vector<std::uint32_t> queue;
+    std::vector<std::uint32_t> placementQueue;
     std::size_t queuePosition = notQueued;  // in the scheduler's list of jobs with tasks to place
     static constexpr std::size_t notQueued = SIZE_MAX;
     /// Tasks that are possibly in each zone; under "" those on machines that have not reported.
-    std::map<std::string, std::uint32_t> perZone;
+    std::map<std::string, std::uint32_t> tasksPerZone;
     jobs::RecordLayout layout;  // of its records
     // A job whose tasks fail on several machines is its owner's mistake: tried ever more rarely.
     std::map<MachineIndex, TimePoint> failedOn;
@@ -124,13 +125,13 @@
 
     [[nodiscard]] bool accepted() const { return layout.accepted(); }
     [[nodiscard]] bool cancelDurable() const {
-        return cancelCommitted && layout.head().durable >= cancelVersion;
+        return cancelCommitted && layout.head().durableVersion >= cancelVersion;
     }
     [[nodiscard]] std::uint32_t waitingCount() const { return spec.tasks - doneCount - boundCount; }
     /// The next task to be placed; there must be one.
     [[nodiscard]] std::uint32_t nextWaiting() {
-        while (tasks[queue.back()].state != TaskState::waiting) queue.pop_back();
-        return queue.back();
+        while (tasks[placementQueue.back()].state != TaskState::waiting) placementQueue.pop_back();
+        return placementQueue.back();
     }
     [[nodiscard]] bool allDone() const { return doneCount == spec.tasks; }
     [[nodiscard]] bool doneDurable() const { return allDone() && layout.durable(); }
--- a/src/jobs/record_layout.cpp
+++ b/src/jobs/record_layout.cpp
@@ -20,7 +20,7 @@
     if (text.starts_with('s')) {
         const auto from = parseNumber(text.substr(1));
         if (!from) return std::nullopt;
-        return RecordName{std::move(job), RecordName::Kind::text, *from, 0};
+        return RecordName{std::move(job), RecordName::Kind::specSection, *from, 0};
     }
     const auto dash = text.find('-');
     if (dash == std::string_view::npos) return std::nullopt;
@@ -35,22 +35,22 @@
 std::string RecordName::key() const {
     switch (kind) {
         case Kind::block:
-            return blockPrefix + job + (from == 0 ? "" : "/" + std::to_string(from));
+            return jobKeyPrefix + job + (from == 0 ? "" : "/" + std::to_string(from));
         case Kind::head:
-            return pagePrefix + job;
+            return partKeyPrefix + job;
         case Kind::page:
-            return pagePrefix + job + '/' + std::to_string(from) + '-' + std::to_string(count);
-        case Kind::text:
+            return partKeyPrefix + job + '/' + std::to_string(from) + '-' + std::to_string(count);
+        case Kind::specSection:
             break;
     }
-    return pagePrefix + job + "/s" + std::to_string(from);
+    return partKeyPrefix + job + "/s" + std::to_string(from);
 }
 
-std::optional<RecordName> RecordName::of(const std::string& key) {
-    const bool block = key.starts_with(blockPrefix);
-    if (!block && !key.starts_with(pagePrefix)) return std::nullopt;
+std::optional<RecordName> RecordName::parse(const std::string& key) {
+    const bool block = key.starts_with(jobKeyPrefix);
+    if (!block && !key.starts_with(partKeyPrefix)) return std::nullopt;
     std::string_view rest(key);
-    rest.remove_prefix(block ? blockPrefix.size() : pagePrefix.size());
+    rest.remove_prefix(block ? jobKeyPrefix.size() : partKeyPrefix.size());
     const auto slash = rest.find('/');
     std::string job(rest.substr(0, slash));
     if (job.empty()) return std::nullopt;
@@ -63,25 +63,26 @@
     return RecordName{std::move(job), Kind::block, *from, 0};
 }
 
-RecordLayout::RecordLayout(std::uint32_t tasks, std::uint32_t perBlock) : perBlock_(perBlock) {
+RecordLayout::RecordLayout(std::uint32_t tasks, std::uint32_t tasksPerBlock)
+    : tasksPerBlock_(tasksPerBlock) {
     // Only the first record says that the job exists; the others appear with their first change.
-    for (std::uint32_t from = 0; from < tasks; from += perBlock)
-        ranges_.push_back({from, std::min(perBlock, tasks - from), 0, 0, false});
+    for (std::uint32_t from = 0; from < tasks; from += tasksPerBlock)
+        ranges_.push_back({from, std::min(tasksPerBlock, tasks - from), 0, 0, false});
 }
 
 std::size_t RecordLayout::indexOf(std::uint32_t task) const {
-    if (!paged_) return task / perBlock_;
+    if (!paged_) return task / tasksPerBlock_;
     const auto after =
         std::upper_bound(ranges_.begin(), ranges_.end(), task,
                          [](auto wanted, const TaskRange& range) { return wanted < range.from; });
     return static_cast<std::size_t>(after - ranges_.begin()) - 1;
 }
 
-const TaskRange& RecordLayout::of(std::uint32_t task) const {
+const TaskRange& RecordLayout::rangeOf(std::uint32_t task) const {
     return ranges_[indexOf(task)];
 }
 
-const TaskRange& RecordLayout::touch(std::uint32_t task) {
+const TaskRange& RecordLayout::markTaskChanged(std::uint32_t task) {
     TaskRange& range = ranges_[indexOf(task)];
     ++range.version;
     return range;
@@ -89,23 +90,27 @@
 
 RecordName RecordLayout::nameOf(const std::string& job, const TaskRange& range) const {
     if (range.page) return {job, RecordName::Kind::page, range.from, range.count};
-    return {job, RecordName::Kind::block, range.from / perBlock_, 0};
+    return {job, RecordName::Kind::block, range.from / tasksPerBlock_, 0};
 }
 
 RecordName RecordLayout::headName(const std::string& job) const {
     // A first block that holds no tasks can be written again; one that does must not be, since
     // its pages are newer.
-    return {job, split_ && !bare_ ? RecordName::Kind::head : RecordName::Kind::block, 0, 0};
+    return {job,
+            split_ && !firstBlockHasNoTasks_ ? RecordName::Kind::head : RecordName::Kind::block, 0,
+            0};
 }
 
 bool RecordLayout::durable() const {
-    return head().durable >= head().version &&
-           std::all_of(ranges_.begin(), ranges_.end(),
-                       [](const TaskRange& range) { return range.durable >= range.version; });
+    return head().durableVersion >= head().version &&
+           std::all_of(ranges_.begin(), ranges_.end(), [](const TaskRange& range) {
+               return range.durableVersion >= range.version;
+           });
 }
 
 std::uint64_t RecordLayout::firstTask(const RecordName& name) const {
-    return name.kind == RecordName::Kind::page ? name.from : std::uint64_t{name.from} * perBlock_;
+    return name.kind == RecordName::Kind::page ? name.from
+                                               : std::uint64_t{name.from} * tasksPerBlock_;
 }
 
 const TaskRange* RecordLayout::find(const RecordName& name) const {
@@ -122,27 +127,28 @@
 bool RecordLayout::holdsHeadOnly(const RecordName& name) const {
     if (!split_) return false;
     const bool firstBlock = name.kind == RecordName::Kind::block && name.from == 0;
-    return name.kind == RecordName::Kind::head || (bare_ && firstBlock);
+    return name.kind == RecordName::Kind::head || (firstBlockHasNoTasks_ && firstBlock);
 }
 
-std::pair<std::uint32_t, std::uint32_t> RecordLayout::committed(const RecordName& name,
-                                                                std::uint64_t version) {
-    if (name.kind == RecordName::Kind::text) {
-        ++textsDurable;
+std::pair<std::uint32_t, std::uint32_t> RecordLayout::markDurable(const RecordName& name,
+                                                                  std::uint64_t version) {
+    if (name.kind == RecordName::Kind::specSection) {
+        ++durableSpecSections;
         return {0, 0};
     }
     if (holdsHeadOnly(name)) {
-        head_.durable = std::max(head_.durable, version);
+        head_.durableVersion = std::max(head_.durableVersion, version);
         return {0, 0};
     }
     const bool page = name.kind == RecordName::Kind::page;
-    if (split_ && !page && name.from == 0) head_.durable = std::max(head_.durable, version);
-    const std::uint32_t from = page ? name.from : name.from * perBlock_;
+    if (split_ && !page && name.from == 0)
+        head_.durableVersion = std::max(head_.durableVersion, version);
+    const std::uint32_t from = page ? name.from : name.from * tasksPerBlock_;
     const std::uint32_t end =
-        std::min(from + (page ? name.count : perBlock_), ranges_.back().end());
+        std::min(from + (page ? name.count : tasksPerBlock_), ranges_.back().end());
     // It may have been split since it was encoded: what was durable of it is so of both halves.
     for (std::size_t i = indexOf(from); i < ranges_.size() && ranges_[i].from < end; ++i)
-        ranges_[i].durable = std::max(ranges_[i].durable, version);
+        ranges_[i].durableVersion = std::max(ranges_[i].durableVersion, version);
     return {from, end};
 }
 
@@ -168,9 +174,9 @@
     return true;
 }
 
-void RecordLayout::setBare() {
-    if (bare_) return;
-    bare_ = paged_ = split_ = true;
+void RecordLayout::moveTasksOutOfFirstBlock() {
+    if (firstBlockHasNoTasks_) return;
+    firstBlockHasNoTasks_ = paged_ = split_ = true;
     head_ = ranges_.front();
     ranges_.front().page = true;
 }
@@ -185,20 +191,20 @@
     }
 }
 
-void RecordLayout::restored(const RecordName& name) {
+void RecordLayout::markRestored(const RecordName& name) {
     const bool page = name.kind == RecordName::Kind::page;
     const bool block = name.kind == RecordName::Kind::block;
     if (page && !splitDownTo(name)) return;
     if (block && firstTask(name) >= ranges_.back().end()) return;
     if (name.kind == RecordName::Kind::head) {
         TaskRange& head = mutableHead();
-        head.version = head.durable = std::max<std::uint64_t>(head.durable, 1);
+        head.version = head.durableVersion = std::max<std::uint64_t>(head.durableVersion, 1);
         return;
     }
     const bool firstBlock = block && name.from == 0;
     TaskRange& range =
         firstBlock ? mutableHead() : ranges_[indexOf(static_cast<std::uint32_t>(firstTask(name)))];
-    range.version = range.durable = 1;
+    range.version = range.durableVersion = 1;
 }
 
 }  // namespace basaltchute::jobs
--- a/src/jobs/wire_format_test.cpp
+++ b/src/jobs/wire_format_test.cpp
@@ -25,7 +25,7 @@
 
 std::unique_ptr<Job> jobOf(const std::string& submission) {
     auto job = makeJob(std::get<JobSpec>(parseSubmission(submission)), valueBytes);
-    job->submitted = WallMillis(1700000000123);
+    job->submittedWallTime = WallMillis(1700000000123);
     return job;
 }
 
@@ -63,17 +63,17 @@
     EXPECT_EQ(spec.shape, Shape::gang);
     EXPECT_EQ(spec.priority, Priority::high);
     EXPECT_EQ(spec.tasks, 12U);
-    EXPECT_EQ(spec.demand, (Demand{1.5, 2, 3.25}));
+    EXPECT_EQ(spec.demand, (Resources{1.5, 2, 3.25}));
     EXPECT_EQ(spec.image, "img:4");
     EXPECT_EQ(spec.imageGb, 0.5);
-    EXPECT_EQ(spec.types, (std::vector<std::string>{"c8", "g4"}));
+    EXPECT_EQ(spec.machineTypes, (std::vector<std::string>{"c8", "g4"}));
     EXPECT_EQ(spec.zone, "north");
     EXPECT_TRUE(spec.sameZone);
     EXPECT_FALSE(spec.spread);
     EXPECT_TRUE(spec.spotAllowed);
-    EXPECT_EQ(spec.estimateS, 10);
-    EXPECT_EQ(spec.checkpointS, 20.5);
-    EXPECT_EQ(spec.saveS, 1);
+    EXPECT_EQ(spec.estimatedRuntimeS, 10);
+    EXPECT_EQ(spec.checkpointIntervalS, 20.5);
+    EXPECT_EQ(spec.checkpointDurationS, 1);
     EXPECT_EQ(spec.deadlineS, 120.5);
     EXPECT_EQ(spec.dependencies, (std::vector<JobId>{"run-000001", "run-000002"}));
 }
@@ -82,7 +82,7 @@
     const auto spec = std::get<JobSpec>(parseSubmission(shortSubmission));
     EXPECT_EQ(spec.shape, Shape::service);
     EXPECT_EQ(spec.priority, Priority::low);
-    EXPECT_FALSE(spec.types);
+    EXPECT_FALSE(spec.machineTypes);
     EXPECT_FALSE(spec.zone);
     EXPECT_FALSE(spec.sameZone);
     EXPECT_TRUE(spec.spread);
@@ -128,16 +128,16 @@
 }
 
 TEST(WireFormat, StatusResponseBytes) {
-    EXPECT_EQ(statusText(JobId("run-000017"), "pending"),
+    EXPECT_EQ(encodeStatusResponse(JobId("run-000017"), "pending"),
               R"({"ref":"run-000017","status":"pending"})");
     const auto job = jobOf(fullSubmission);
     job->doneCount = 4;
     job->runningCount = 2;
     for (const std::string status : {"pending", "running", "done", "cancelled"})
-        EXPECT_EQ(statusText(*job, status.c_str()),
+        EXPECT_EQ(encodeStatusResponse(*job, status.c_str()),
                   R"({"ref":"run-000017","status":")" + status + R"(","done":4,"running":2})");
-    job->cancelledWith = "run-000001";
-    EXPECT_EQ(statusText(*job, "cancelled"),
+    job->cancelledDependency = "run-000001";
+    EXPECT_EQ(encodeStatusResponse(*job, "cancelled"),
               R"({"ref":"run-000017","status":"cancelled","done":4,"running":2,)"
               R"("because":"run-000001"})");
 }
@@ -162,13 +162,13 @@
         {{"run-000017", Kind::block, 3, 0}, "jobs/run-000017/3"},
         {{"run-000017", Kind::head, 0, 0}, "parts/run-000017"},
         {{"run-000017", Kind::page, 50, 25}, "parts/run-000017/50-25"},
-        {{"run-000017", Kind::text, 2, 0}, "parts/run-000017/s2"}};
+        {{"run-000017", Kind::specSection, 2, 0}, "parts/run-000017/s2"}};
     for (const auto& [name, key] : all) {
         EXPECT_EQ(name.key(), key);
-        EXPECT_EQ(RecordName::of(key), name) << key;
+        EXPECT_EQ(RecordName::parse(key), name) << key;
     }
-    EXPECT_EQ(blockPrefix, "jobs/");
-    EXPECT_EQ(pagePrefix, "parts/");
+    EXPECT_EQ(jobKeyPrefix, "jobs/");
+    EXPECT_EQ(partKeyPrefix, "parts/");
 }
 
 TEST(WireFormat, JobRecordBytes) {
@@ -181,10 +181,10 @@
     const auto doc = json::parse(record);
     const auto read = decodeJob(*doc, "", valueBytes);
     ASSERT_NE(read, nullptr);
-    ASSERT_TRUE(decodeTasks(*doc, *RecordName::of("jobs/run-000017"), *read,
+    ASSERT_TRUE(decodeTasks(*doc, *RecordName::parse("jobs/run-000017"), *read,
                             [](const std::string& name) { return name == "n-0" ? 0U : 1U; }));
-    EXPECT_EQ(read->submitted, WallMillis(1700000000123));
-    EXPECT_EQ(read->layout.perBlock(), 611U);
+    EXPECT_EQ(read->submittedWallTime, WallMillis(1700000000123));
+    EXPECT_EQ(read->layout.tasksPerBlock(), 611U);
     for (std::uint32_t task = 0; task < 12; ++task) {
         EXPECT_EQ(read->tasks[task].state, job->tasks[task].state) << task;
         if (job->tasks[task].state == TaskState::done) continue;
@@ -208,13 +208,13 @@
         const std::string from = R"("per":614,)";
         return text.substr(text.find(from) + from.size());
     };
-    job->released = WallMillis(1700000005000);
+    job->releasedWallTime = WallMillis(1700000005000);
     EXPECT_EQ(stateOf(), R"("released":1700000005000,"done":[],"bound":[]})");
     job->cancelled = true;
     EXPECT_EQ(stateOf(), R"("withdrawing":true,"released":1700000005000,"done":[],"bound":[]})");
     job->cancelCommitted = true;
     EXPECT_EQ(stateOf(), R"("cancelled":true,"released":1700000005000,"done":[],"bound":[]})");
-    job->cancelledWith = "run-000001";
+    job->cancelledDependency = "run-000001";
     EXPECT_EQ(stateOf(), R"("released":1700000005000,"done":[],"bound":[]})");
 }
 
@@ -240,7 +240,7 @@
     job->cancelled = true;
     EXPECT_EQ(encodeHead(*job), R"({"withdrawing":true})");
     job->cancelCommitted = true;
-    job->released = WallMillis(1700000005000);
+    job->releasedWallTime = WallMillis(1700000005000);
     EXPECT_EQ(encodeHead(*job), R"({"cancelled":true,"released":1700000005000})");
 
     const auto read = jobOf(fullSubmission);
@@ -248,12 +248,12 @@
     EXPECT_TRUE(read->cancelled && read->cancelRecorded && !read->cancelCommitted);
     decodeHead(*json::parse(R"({"cancelled":true,"released":1700000005000})"), *read);
     EXPECT_TRUE(read->cancelCommitted);
-    EXPECT_EQ(read->released, WallMillis(1700000005000));
+    EXPECT_EQ(read->releasedWallTime, WallMillis(1700000005000));
 }
 
 TEST(WireFormat, DescriptionInSeveralRecordsBytes) {
     auto job = jobOf(shortSubmission);
-    const auto texts = encodeTexts(*job, 432);
+    const auto texts = encodeSpecSections(*job, 432);
     ASSERT_EQ(texts.size(), 2U);
     EXPECT_EQ(
         texts[0],
@@ -263,19 +263,19 @@
         R"(\"loaners\":fal"})");
     EXPECT_EQ(texts[1], R"({"text":"se,\"parS\":0.0,\"savepointS\":0.0,\"flushS\":0.0}"})");
     std::string description;
-    for (const auto& text : texts) description += decodeText(*json::parse(text)).value();
+    for (const auto& text : texts) description += decodeSpecSection(*json::parse(text)).value();
     EXPECT_EQ(description, shortSubmission);
 
-    job->layout.texts = 2;
-    job->layout.setBare();
+    job->layout.specSections = 2;
+    job->layout.moveTasksOutOfFirstBlock();
     const std::string record = R"({"texts":2,"at":1700000000123,"per":614,"bare":true})";
     EXPECT_EQ(encodeBlock(*job, 0, machineName), record);
     const auto doc = json::parse(record);
-    EXPECT_EQ(textsOf(*doc), 2U);
+    EXPECT_EQ(specSectionCount(*doc), 2U);
     const auto read = decodeJob(*doc, description, valueBytes);
     ASSERT_NE(read, nullptr);
     EXPECT_EQ(read->spec.id, "run-000018");
-    EXPECT_TRUE(read->layout.bare());
+    EXPECT_TRUE(read->layout.firstBlockHasNoTasks());
 }
 
 }  // namespace
--- a/src/json/json.h
+++ b/src/json/json.h
@@ -29,67 +29,67 @@
 const Value* array(const Value& object, const char* name);
 
 /// Builds JSON text piece by piece.
-class Out {
+class Writer {
   public:
-    Out& open() {
+    Writer& open() {
         w_.StartObject();
         return *this;
     }
-    Out& close() {
+    Writer& close() {
         w_.EndObject();
         return *this;
     }
-    Out& openArray() {
+    Writer& openArray() {
         w_.StartArray();
         return *this;
     }
-    Out& closeArray() {
+    Writer& closeArray() {
         w_.EndArray();
         return *this;
     }
-    Out& key(std::string_view k) {
+    Writer& key(std::string_view k) {
         w_.Key(k.data(), static_cast<unsigned>(k.size()));
         return *this;
     }
-    Out& value(std::string_view v) {
+    Writer& value(std::string_view v) {
         w_.String(v.data(), static_cast<unsigned>(v.size()));
         return *this;
     }
-    Out& value(const char* v) { return value(std::string_view(v)); }
-    Out& value(std::uint64_t v) {
+    Writer& value(const char* v) { return value(std::string_view(v)); }
+    Writer& value(std::uint64_t v) {
         w_.Uint64(v);
         return *this;
     }
-    Out& value(std::int64_t v) {
+    Writer& value(std::int64_t v) {
         w_.Int64(v);
         return *this;
     }
-    Out& value(std::uint32_t v) {
+    Writer& value(std::uint32_t v) {
         w_.Uint(v);
         return *this;
     }
-    Out& value(int v) {
+    Writer& value(int v) {
         w_.Int(v);
         return *this;
     }
-    Out& value(double v) {
+    Writer& value(double v) {
         w_.Double(v);
         return *this;
     }
-    Out& value(bool v) {
+    Writer& value(bool v) {
         w_.Bool(v);
         return *this;
     }
-    Out& null() {
+    Writer& null() {
         w_.Null();
         return *this;
     }
-    Out& raw(std::string_view v) {
+    Writer& raw(std::string_view v) {
         w_.RawValue(v.data(), v.size(), rapidjson::kObjectType);
         return *this;
     }
     template <typename T>
-    Out& field(std::string_view k, const T& v) {
+    Writer& field(std::string_view k, const T& v) {
         key(k);
         return value(v);
     }
--- a/src/kv_store/client.cpp
+++ b/src/kv_store/client.cpp
@@ -56,7 +56,7 @@
 }
 
 std::string encode(const Transaction& txn) {
-    json::Out out;
+    json::Writer out;
     out.open().key("guards").openArray();
     for (const auto& precondition : txn.preconditions)
         out.open().field("key", precondition.key).field("stamp", precondition.revision).close();
@@ -88,7 +88,7 @@
 
 Client::Client(EventLoop& loop, const settings::Settings& s)
     : loop_(loop),
-      http_(loop, s.state, maxIdleConnections),
+      http_(loop, s.stateAddress, maxIdleConnections),
       requestLimiter_(s.stateRps * requestRateShare, s.stateRps * requestBurstShare, loop.now()),
       writeLimiter_(s.stateWriteRps * writeRateShare, s.stateWriteRps * writeBurstShare,
                     loop.now()),
@@ -161,8 +161,8 @@
 Task<http::RequestOutcome> Client::sendDirectly(http::Request request, Duration timeout,
                                                 Scope& scope) {
     while (!requestLimiter_.tryTake(loop_.now())) {
-        const Wake woke = co_await loop_.sleep(requestLimiter_.timeUntil(loop_.now()), scope);
-        if (woke == Wake::cancelled) co_return http::RequestOutcome{};
+        const WakeReason woke = co_await loop_.sleep(requestLimiter_.timeUntil(loop_.now()), scope);
+        if (woke == WakeReason::cancelled) co_return http::RequestOutcome{};
     }
     auto outcome = co_await http_.request(std::move(request), timeout, scope);
     co_return outcome;
@@ -266,7 +266,7 @@
 }
 
 Task<LeaseResult> Client::grantLease(Duration ttl, Scope& scope) {
-    json::Out out;
+    json::Writer out;
     out.open().field("lifeMs", toMillis(ttl)).close();
     http::Request request{"POST", "/grants", out.text()};
     LeaseResult lease;
--- a/src/kv_store/client.h
+++ b/src/kv_store/client.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "http/client.h"
-#include "runtime/budget.h"
+#include "runtime/rate_limiter.h"
 #include "settings/settings.h"
 
 namespace basaltchute::kv_store {
--- a/src/kv_store/client_test.cpp
+++ b/src/kv_store/client_test.cpp
@@ -23,7 +23,7 @@
     });
     service.start(world.scope);
     auto settings = testing::someSettings();
-    settings.state = service.address();
+    settings.stateAddress = service.address();
     Client client(world.loop, settings);
     client.setRelay([&](http::Request, Duration, Scope&) -> Task<http::RequestOutcome> {
         ++relayed;
@@ -69,7 +69,7 @@
                          [&](http::Request) -> Task<http::Response> { co_return answer; });
     service.start(world.scope);
     auto settings = testing::someSettings();
-    settings.state = service.address();
+    settings.stateAddress = service.address();
     Client client(world.loop, settings);
     bool done = false;
     const auto commit = [&](int httpStatus, const std::string& body) {
@@ -150,7 +150,7 @@
     });
     way.start(world.scope);
     auto settings = testing::someSettings();
-    settings.state = way.address();
+    settings.stateAddress = way.address();
     Client client(world.loop, settings);
     std::optional<Status> status;
     world.loop.spawn([](Client& c, Scope& scope, std::optional<Status>& out) -> Task<void> {
--- a/src/kv_store/transaction_writer_test.cpp
+++ b/src/kv_store/transaction_writer_test.cpp
@@ -29,7 +29,7 @@
         service = std::make_unique<simulator::StateService>(world.loop, world.scope, "127.0.0.1:0",
                                                             terms);
         service->keys["lead/holder"] = {"{}", 1, 0};
-        settings.state = service->address();
+        settings.stateAddress = service->address();
         client = std::make_unique<Client>(world.loop, settings);
         writer = std::make_unique<TransactionWriter>(world.loop, *client, settings.txnOps,
                                                      Precondition{"lead/holder", 1}, *this, *this);
--- a/src/kv_store/wire_format_test.cpp
+++ b/src/kv_store/wire_format_test.cpp
@@ -20,7 +20,7 @@
 
     static settings::Settings settingsFor(const std::string& address) {
         auto s = testing::someSettings();
-        s.state = address;
+        s.stateAddress = address;
         return s;
     }
     void TearDown() override { world.end(world.scope); }
--- a/src/leader_election/election_records.cpp
+++ b/src/leader_election/election_records.cpp
@@ -12,7 +12,7 @@
 }  // namespace
 
 std::string encode(const LeaderRecord& record) {
-    json::Out out;
+    json::Writer out;
     out.open().field("node", record.node).field("incarnation", record.incarnation);
     out.field("token", record.token);
     if (record.lease) out.field("grant", *record.lease);
@@ -31,7 +31,7 @@
 }
 
 std::string encode(const TokenCounter& counter, const std::string& node) {
-    json::Out out;
+    json::Writer out;
     out.open().field(tokenField(counter.format), counter.token).field("node", node);
     if (counter.format > 1) out.field("format", counter.format);
     out.close();
@@ -53,7 +53,7 @@
 }
 
 std::string encodeAbsentNodes(const std::set<std::string>& nodes) {
-    json::Out out;
+    json::Writer out;
     out.open().key("nodes").openArray();
     for (const auto& node : nodes) out.value(node);
     out.closeArray().close();
--- a/src/leader_election/wire_format_test.cpp
+++ b/src/leader_election/wire_format_test.cpp
@@ -44,7 +44,7 @@
     }
     void start() {
         auto settings = testing::someSettings();
-        settings.state = service.address();
+        settings.stateAddress = service.address();
         settings.peers = {{"rig-1", "a", "127.0.0.1:1"}, {"rig-2", "b", "127.0.0.1:1"}};
         client = std::make_unique<kv_store::Client>(world.loop, settings);
         peers.othersAreKnownFollowers = true;
--- a/src/lease_delegation/lease_delegation_test.cpp
+++ b/src/lease_delegation/lease_delegation_test.cpp
@@ -264,7 +264,7 @@
   public:
     explicit ScenarioRun(const Scenario& scenario) : scenario_(scenario) {
         settings_.lease = 4s;
-        settings_.reportEvery = 1s;
+        settings_.heartbeatInterval = 1s;
         settings_.cancelWithin = 11s;
         limits_ = DelegationLimits{8s, 4s, 11s, 2s};
         lead(1);
--- a/src/peer_rpc/peer_rpc.cpp
+++ b/src/peer_rpc/peer_rpc.cpp
@@ -154,7 +154,7 @@
 }
 
 PeerRpc::PeerRpc(EventLoop& loop, const settings::Settings& s, Hooks hooks)
-    : loop_(loop), listen_(s.meshListen), peers_(s.peers), hooks_(std::move(hooks)) {}
+    : loop_(loop), listen_(s.peerListenAddress), peers_(s.peers), hooks_(std::move(hooks)) {}
 
 void PeerRpc::start(Scope& scope) {
     listener_ = std::make_unique<Listener>(loop_, listen_);
--- a/src/peer_rpc/peer_rpc_test.cpp
+++ b/src/peer_rpc/peer_rpc_test.cpp
@@ -39,11 +39,11 @@
     for (int i = 0; i < 2; ++i) {
         auto s = testing::someSettings();
         s.node = "rig-" + std::to_string(i);
-        s.meshListen = testing::freeAddress();
+        s.peerListenAddress = testing::freeAddress();
         settings.push_back(s);
     }
-    settings[0].peers = {{"rig-1", "a", settings[1].meshListen}};
-    settings[1].peers = {{"rig-0", "a", settings[0].meshListen}};
+    settings[0].peers = {{"rig-1", "a", settings[1].peerListenAddress}};
+    settings[1].peers = {{"rig-0", "a", settings[0].peerListenAddress}};
     int asked = 0;
     for (auto& s : settings) {
         nodes.push_back(std::make_unique<PeerRpc>(
@@ -91,11 +91,11 @@
     testing::World world;
     auto near = testing::someSettings(), far = near;
     near.node = "rig-0";
-    near.meshListen = testing::freeAddress();
+    near.peerListenAddress = testing::freeAddress();
     far.node = "rig-1";
-    far.meshListen = testing::freeAddress();
-    near.peers = {{"rig-1", "a", far.meshListen}};
-    far.peers = {{"rig-0", "a", near.meshListen}};
+    far.peerListenAddress = testing::freeAddress();
+    near.peers = {{"rig-1", "a", far.peerListenAddress}};
+    far.peers = {{"rig-0", "a", near.peerListenAddress}};
     const auto hooks = [&](std::string node, std::string process) {
         return PeerRpc::Hooks{
             [=] { return Hello{node, false, 0, false, 0, true, true, process}; },
@@ -124,7 +124,7 @@
         }(here, world.scope, out, done));
     world.run(100ms);
     auto again = far;
-    again.meshListen = testing::freeAddress();
+    again.peerListenAddress = testing::freeAddress();
     PeerRpc after(world.loop, again, hooks("rig-1", "3"));
     const TimePoint since = world.clock.now();
     after.start(world.scope);
--- a/src/runtime/loop.cpp
+++ b/src/runtime/loop.cpp
@@ -30,17 +30,17 @@
 }  // namespace
 
 Event::~Event() {
-    while (!waiters_.empty()) loop_.wake(*waiters_.front(), Wake::cancelled);
+    while (!waiters_.empty()) loop_.wake(*waiters_.front(), WakeReason::cancelled);
 }
 void Event::notify() {
-    while (!waiters_.empty()) loop_.wake(*waiters_.front(), Wake::signalled);
+    while (!waiters_.empty()) loop_.wake(*waiters_.front(), WakeReason::signalled);
 }
 Scope::~Scope() {
     cancel();
 }
 void Scope::cancel() {
     cancelled_ = true;
-    while (!waiters_.empty()) loop_.wake(*waiters_.front(), Wake::cancelled);
+    while (!waiters_.empty()) loop_.wake(*waiters_.front(), WakeReason::cancelled);
 }
 
 void Scope::spawn(Task<void> task) {
@@ -69,9 +69,10 @@
     co_await ended;
 }
 
-EventLoop::EventLoop(const Clock& clock) : EventLoop(clock, std::make_unique<Kernel>()) {}
-EventLoop::EventLoop(const Clock& clock, std::unique_ptr<Host> host)
-    : clock_(clock), host_(std::move(host)) {}
+EventLoop::EventLoop(const Clock& clock)
+    : EventLoop(clock, std::make_unique<EpollSocketBackend>()) {}
+EventLoop::EventLoop(const Clock& clock, std::unique_ptr<SocketBackend> host)
+    : clock_(clock), socketBackend_(std::move(host)) {}
 EventLoop::~EventLoop() = default;
 
 void EventLoop::spawn(Task<void> task) {
@@ -80,16 +81,16 @@
 
 void EventLoop::add(int fd, FdHandler& handler) {
     handlers_[fd] = &handler;
-    host_->watch(fd);
+    socketBackend_->watch(fd);
 }
 void EventLoop::remove(int fd) {
     handlers_.erase(fd);
-    host_->unwatch(fd);
+    socketBackend_->unwatch(fd);
 }
 
 bool EventLoop::Wait::await_ready() {
     if (scope->cancelled()) {
-        waiter.result = Wake::cancelled;
+        waiter.result = WakeReason::cancelled;
         return true;
     }
     return false;
@@ -106,7 +107,7 @@
     }
 }
 
-void EventLoop::wake(detail::Waiter& waiter, Wake result) {
+void EventLoop::wake(detail::Waiter& waiter, WakeReason result) {
     waiter.result = result;
     if (waiter.event != nullptr) waiter.event->waiters_.erase(waiter.inEvent);
     waiter.scope->waiters_.erase(waiter.inScope);
@@ -117,7 +118,7 @@
 void EventLoop::fireTimers() {
     const TimePoint t = now();
     while (!timers_.empty() && timers_.begin()->first <= t)
-        wake(*timers_.begin()->second, Wake::timeout);
+        wake(*timers_.begin()->second, WakeReason::timeout);
 }
 void EventLoop::runReady() {
     // Only what is ready now: routines that wake each other must not starve the sockets.
@@ -127,10 +128,10 @@
         h.resume();
     }
 }
-bool EventLoop::turn(Duration most) {
+bool EventLoop::runOnce(Duration most) {
     // The host fills it; only what it wrote is read.
     // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init)
-    std::array<Host::Ready, 64> events;
+    std::array<SocketBackend::Ready, 64> events;
     fireTimers();
     bool busy = !ready_.empty();
     runReady();
@@ -138,7 +139,7 @@
         most = Duration::zero();
     else if (!timers_.empty())
         most = std::clamp(timers_.begin()->first - now(), Duration::zero(), most);
-    const std::size_t n = host_->wait(events, most);
+    const std::size_t n = socketBackend_->wait(events, most);
     for (std::size_t i = 0; i < n; ++i) {
         // A handler may have been removed by one that ran before it in this batch.
         const auto it = handlers_.find(events[i].fd);
@@ -150,7 +151,7 @@
 }
 
 void EventLoop::run() {
-    while (!stopping_) turn(std::chrono::seconds(60));
+    while (!stopping_) runOnce(std::chrono::seconds(60));
 }
 
 }  // namespace basaltchute
--- a/src/runtime/loop.h
+++ b/src/runtime/loop.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "runtime/clock.h"
-#include "runtime/host.h"
+#include "runtime/socket_backend.h"
 #include "runtime/task.h"
 
 namespace basaltchute {
@@ -16,13 +16,13 @@
 class Event;
 class Scope;
 
-enum class Wake { signalled, timeout, cancelled };
+enum class WakeReason { signalled, timeout, cancelled };
 
 namespace detail {
 /// One suspended wait: linked to an event, a scope and a timer, whichever wakes it first.
 struct Waiter {
     std::coroutine_handle<> handle;
-    Wake result = Wake::signalled;
+    WakeReason result = WakeReason::signalled;
     Event* event = nullptr;
     Scope* scope = nullptr;
     std::list<Waiter*>::iterator inEvent, inScope;
@@ -83,14 +83,14 @@
   public:
     /// On the machine that the process runs on.
     explicit EventLoop(const Clock& clock);
-    EventLoop(const Clock& clock, std::unique_ptr<Host> host);
+    EventLoop(const Clock& clock, std::unique_ptr<SocketBackend> host);
     ~EventLoop();
     EventLoop(const EventLoop&) = delete;
     EventLoop& operator=(const EventLoop&) = delete;
 
     [[nodiscard]] TimePoint now() const { return clock_.now(); }
     [[nodiscard]] const Clock& clock() const { return clock_; }
-    [[nodiscard]] Host& host() { return *host_; }
+    [[nodiscard]] SocketBackend& socketBackend() { return *socketBackend_; }
     /// When the next timer is due, if nothing else happens.
     [[nodiscard]] TimePoint nextTimer() const {
         return timers_.empty() ? TimePoint::max() : timers_.begin()->first;
@@ -99,7 +99,7 @@
     void run();
     /// One round: timers, routines that are ready, then sockets, blocking at most `most`.
     /// Returns false if there was nothing to do.
-    bool turn(Duration most);
+    bool runOnce(Duration most);
     void stop() { stopping_ = true; }
     /// Starts a routine that nobody awaits; it is destroyed when it ends.
     void spawn(Task<void> task);
@@ -114,7 +114,7 @@
         detail::Waiter waiter{};
         bool await_ready();
         void await_suspend(std::coroutine_handle<> h);
-        Wake await_resume() const { return waiter.result; }
+        WakeReason await_resume() const { return waiter.result; }
     };
     Wait wait(Event& event, TimePoint until, Scope& scope) {
         return {*this, &event, until, &scope};
@@ -126,12 +126,12 @@
   private:
     friend class Event;
     friend class Scope;
-    void wake(detail::Waiter& waiter, Wake result);
+    void wake(detail::Waiter& waiter, WakeReason result);
     void fireTimers();
     void runReady();
 
     const Clock& clock_;
-    std::unique_ptr<Host> host_;
+    std::unique_ptr<SocketBackend> socketBackend_;
     bool stopping_ = false;
     std::deque<std::coroutine_handle<>> ready_;
     std::multimap<TimePoint, detail::Waiter*> timers_;
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -34,7 +34,7 @@
 }
 Socket::~Socket() {
     loop_.remove(fd_);
-    loop_.host().close(fd_);
+    loop_.socketBackend().close(fd_);
 }
 void Socket::ready(bool readable, bool writable) {
     if (readable) readable_.notify();
@@ -44,13 +44,13 @@
 Task<std::unique_ptr<Socket>> Socket::connect(EventLoop& loop, sockaddr_in to, TimePoint until,
                                               Scope& scope) {
     errno = 0;
-    const int fd = loop.host().connect(to);
+    const int fd = loop.socketBackend().connect(to);
     if (fd < 0) co_return nullptr;
     const bool underWay = errno == EINPROGRESS;
     auto out = std::make_unique<Socket>(loop, fd);
     if (underWay) {
-        const Wake woke = co_await loop.wait(out->writable_, until, scope);
-        if (woke != Wake::signalled || loop.host().error(fd) != 0) co_return nullptr;
+        const WakeReason woke = co_await loop.wait(out->writable_, until, scope);
+        if (woke != WakeReason::signalled || loop.socketBackend().error(fd) != 0) co_return nullptr;
     }
     co_return std::move(out);
 }
@@ -60,42 +60,42 @@
     // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init)
     std::array<char, 16384> buffer;
     while (true) {
-        const ssize_t n = loop_.host().receive(fd_, buffer);
+        const ssize_t n = loop_.socketBackend().receive(fd_, buffer);
         if (n >= 0) {
             into.append(buffer.data(), static_cast<std::size_t>(n));
             co_return static_cast<long>(n);
         }
         if (errno == EINTR) continue;
         if (errno != EAGAIN && errno != EWOULDBLOCK) co_return -1;
-        const Wake woke = co_await loop_.wait(readable_, until, scope);
-        if (woke != Wake::signalled) co_return -1;
+        const WakeReason woke = co_await loop_.wait(readable_, until, scope);
+        if (woke != WakeReason::signalled) co_return -1;
     }
 }
 
 Task<bool> Socket::write(std::string_view data, TimePoint until, Scope& scope) {
     while (!data.empty()) {
-        const ssize_t n = loop_.host().send(fd_, data);
+        const ssize_t n = loop_.socketBackend().send(fd_, data);
         if (n > 0) {
             data.remove_prefix(static_cast<std::size_t>(n));
             continue;
         }
         if (n < 0 && errno == EINTR) continue;
         if (n < 0 && errno != EAGAIN && errno != EWOULDBLOCK) co_return false;
-        const Wake woke = co_await loop_.wait(writable_, until, scope);
-        if (woke != Wake::signalled) co_return false;
+        const WakeReason woke = co_await loop_.wait(writable_, until, scope);
+        if (woke != WakeReason::signalled) co_return false;
     }
     co_return true;
 }
 
 bool Socket::stale() const {
-    return loop_.host().stale(fd_);
+    return loop_.socketBackend().stale(fd_);
 }
-std::string Socket::peer() const {
-    const std::string text = formatAddress(loop_.host().remote(fd_));
+std::string Socket::peerIp() const {
+    const std::string text = formatAddress(loop_.socketBackend().remote(fd_));
     return text.substr(0, text.rfind(':'));
 }
 void Socket::shutDown() {
-    loop_.host().shutDown(fd_);
+    loop_.socketBackend().shutDown(fd_);
     readable_.notify();
     writable_.notify();
 }
@@ -104,7 +104,7 @@
     const auto addr = parseAddress(address);
     if (!addr) throw std::runtime_error("not an IPv4 address with a port: " + address);
     try {
-        fd_ = loop_.host().listen(*addr);
+        fd_ = loop_.socketBackend().listen(*addr);
     } catch (const std::system_error& e) {
         throw std::system_error(e.code(), "listen on " + address);
     }
@@ -112,25 +112,25 @@
 }
 Listener::~Listener() {
     loop_.remove(fd_);
-    loop_.host().close(fd_);
+    loop_.socketBackend().close(fd_);
 }
 std::string Listener::address() const {
-    return formatAddress(loop_.host().local(fd_));
+    return formatAddress(loop_.socketBackend().local(fd_));
 }
 void Listener::ready(bool readable, bool) {
     if (readable) acceptable_.notify();
 }
 Task<std::unique_ptr<Socket>> Listener::accept(Scope& scope) {
     while (true) {
-        const int fd = loop_.host().accept(fd_);
+        const int fd = loop_.socketBackend().accept(fd_);
         if (fd >= 0) co_return std::make_unique<Socket>(loop_, fd);
         if (errno == EINTR || errno == ECONNABORTED) continue;
         // Out of sockets: edge-triggered readiness will not come again, so look again shortly.
         const bool dry = errno == EAGAIN || errno == EWOULDBLOCK;
         const TimePoint until =
             dry ? TimePoint::max() : loop_.now() + std::chrono::milliseconds(50);
-        const Wake woke = co_await loop_.wait(acceptable_, until, scope);
-        if (woke == Wake::cancelled) co_return nullptr;
+        const WakeReason woke = co_await loop_.wait(acceptable_, until, scope);
+        if (woke == WakeReason::cancelled) co_return nullptr;
     }
 }
 
--- a/src/runtime/socket.h
+++ b/src/runtime/socket.h
@@ -31,7 +31,7 @@
     /// True when the peer has closed or sent something unasked: not fit for another request.
     [[nodiscard]] bool stale() const;
     /// The address of the other side, without its port.
-    [[nodiscard]] std::string peer() const;
+    [[nodiscard]] std::string peerIp() const;
     /// Ends both directions: whoever waits on it is woken and finds the end of the stream.
     void shutDown();
     void ready(bool readable, bool writable) override;
--- a/src/runtime/host.cpp
+++ b/src/runtime/socket_backend.cpp
@@ -1,4 +1,4 @@
-#include "runtime/host.h"
+#include "runtime/socket_backend.h"
 
 #include <netinet/tcp.h>
 #include <sys/epoll.h>
@@ -22,14 +22,14 @@
 }
 }  // namespace
 
-Kernel::Kernel() : epoll_(epoll_create1(EPOLL_CLOEXEC)) {
+EpollSocketBackend::EpollSocketBackend() : epoll_(epoll_create1(EPOLL_CLOEXEC)) {
     if (epoll_ < 0) throw std::system_error(errno, std::generic_category(), "epoll_create1");
 }
-Kernel::~Kernel() {
+EpollSocketBackend::~EpollSocketBackend() {
     ::close(epoll_);
 }
 
-int Kernel::connect(const sockaddr_in& to) {
+int EpollSocketBackend::connect(const sockaddr_in& to) {
     const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (fd < 0) return -1;
     const int rc = ::connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to);
@@ -44,7 +44,7 @@
     errno = state;
     return fd;
 }
-int Kernel::listen(const sockaddr_in& at) {
+int EpollSocketBackend::listen(const sockaddr_in& at) {
     const int fd = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     const int one = 1;
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
@@ -56,57 +56,57 @@
     }
     return fd;
 }
-int Kernel::accept(int fd) {
+int EpollSocketBackend::accept(int fd) {
     const int got = ::accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (got >= 0) sendAtOnce(got);
     return got;
 }
-ssize_t Kernel::receive(int fd, std::span<char> into) {
+ssize_t EpollSocketBackend::receive(int fd, std::span<char> into) {
     return ::recv(fd, into.data(), into.size(), 0);
 }
-bool Kernel::stale(int fd) const {
+bool EpollSocketBackend::stale(int fd) const {
     char c = 0;
     const ssize_t n = ::recv(fd, &c, 1, MSG_PEEK);
     return n >= 0 || (errno != EAGAIN && errno != EWOULDBLOCK);
 }
-ssize_t Kernel::send(int fd, std::span<const char> data) {
+ssize_t EpollSocketBackend::send(int fd, std::span<const char> data) {
     return ::send(fd, data.data(), data.size(), MSG_NOSIGNAL);
 }
-void Kernel::shutDown(int fd) {
+void EpollSocketBackend::shutDown(int fd) {
     ::shutdown(fd, SHUT_RDWR);
 }
-void Kernel::close(int fd) {
+void EpollSocketBackend::close(int fd) {
     ::close(fd);
 }
-int Kernel::error(int fd) const {
+int EpollSocketBackend::error(int fd) const {
     int err = 0;
     socklen_t len = sizeof err;
     getsockopt(fd, SOL_SOCKET, SO_ERROR, &err, &len);
     return err;
 }
-sockaddr_in Kernel::local(int fd) const {
+sockaddr_in EpollSocketBackend::local(int fd) const {
     sockaddr_in addr{};
     socklen_t len = sizeof addr;
     getsockname(fd, reinterpret_cast<sockaddr*>(&addr), &len);
     return addr;
 }
-sockaddr_in Kernel::remote(int fd) const {
+sockaddr_in EpollSocketBackend::remote(int fd) const {
     sockaddr_in addr{};
     socklen_t len = sizeof addr;
     getpeername(fd, reinterpret_cast<sockaddr*>(&addr), &len);
     return addr;
 }
 
-void Kernel::watch(int fd) {
+void EpollSocketBackend::watch(int fd) {
     epoll_event ev{};
     ev.events = EPOLLIN | EPOLLOUT | EPOLLRDHUP | EPOLLET;
     ev.data.fd = fd;
     epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &ev);
 }
-void Kernel::unwatch(int fd) {
+void EpollSocketBackend::unwatch(int fd) {
     epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr);
 }
-std::size_t Kernel::wait(std::span<Ready> into, Duration most) {
+std::size_t EpollSocketBackend::wait(std::span<Ready> into, Duration most) {
     std::array<epoll_event, 64> events{};
     const auto timeout = std::chrono::ceil<std::chrono::milliseconds>(most).count();
     const int n =
--- a/src/runtime/host.h
+++ b/src/runtime/socket_backend.h
@@ -12,9 +12,9 @@
 /// What a loop asks of the machine it runs on, as descriptors of connections: the kernel's calls on
 /// real machines, a simulated network's in the lab. Results and errors are the kernel's: -1 with
 /// errno set, EAGAIN where there is nothing yet.
-class Host {
+class SocketBackend {
   public:
-    virtual ~Host() = default;
+    virtual ~SocketBackend() = default;
     struct Ready {
         int fd;
         bool readable, writable;
@@ -42,12 +42,12 @@
 };
 
 /// The machine that the process runs on.
-class Kernel final : public Host {
+class EpollSocketBackend final : public SocketBackend {
   public:
-    Kernel();
-    ~Kernel() override;
-    Kernel(const Kernel&) = delete;
-    Kernel& operator=(const Kernel&) = delete;
+    EpollSocketBackend();
+    ~EpollSocketBackend() override;
+    EpollSocketBackend(const EpollSocketBackend&) = delete;
+    EpollSocketBackend& operator=(const EpollSocketBackend&) = delete;
     int connect(const sockaddr_in& to) override;
     int listen(const sockaddr_in& at) override;
     int accept(int fd) override;
--- a/src/runtime_statistics/quantile_histogram.cpp
+++ b/src/runtime_statistics/quantile_histogram.cpp
@@ -55,7 +55,7 @@
     return axis.value(static_cast<double>(bins));
 }
 
-void QuantileHistogram::encode(json::Out& out, std::size_t maxBins) const {
+void QuantileHistogram::encode(json::Writer& out, std::size_t maxBins) const {
     std::vector<double> weights;
     weights.reserve(bins);
     for (int i = 0; i < static_cast<int>(bins); ++i) weights.push_back(observed_.at(i));
--- a/src/runtime_statistics/quantile_histogram.h
+++ b/src/runtime_statistics/quantile_histogram.h
@@ -25,7 +25,7 @@
     static constexpr std::size_t bins = 96;
     /// Writes the observations as an array of bins and weights: the heaviest bins, `maxBins` at
     /// most.
-    void encode(json::Out& out, std::size_t maxBins = bins) const;
+    void encode(json::Writer& out, std::size_t maxBins = bins) const;
     /// Replaces the observations. False if the value is not what encode() wrote; then nothing has
     /// changed.
     bool decode(const json::Value& value);
--- a/src/runtime_statistics/runtime_statistics.cpp
+++ b/src/runtime_statistics/runtime_statistics.cpp
@@ -32,7 +32,7 @@
 
 std::string RuntimeStatistics::encode(const std::string& type, std::size_t maxBytes) {
     const auto withBins = [&](std::size_t bins) {
-        json::Out out;
+        json::Writer out;
         out.open().field("format", recordFormat).key("boots").open().key(type);
         bootTimesOf(bootTimes_, type).encode(out, bins);
         out.close().close();
--- a/src/scheduler/allocations.cpp
+++ b/src/scheduler/allocations.cpp
@@ -34,7 +34,7 @@
                    std::vector<cells::CellIndex> cells) {
     JobTask& t = job.tasks[task];
     t.state = TaskState::bound;
-    t.phase = Phase::pendingBind;
+    t.phase = TaskPhase::pendingBind;
     t.stopping = false;
     t.machine = machine;
     ++t.attempt;
@@ -43,12 +43,13 @@
     // Low-priority work is bound by what the others leave of the write rate: a large array once
     // held up everybody's bindings.
     markTaskDirty(job, task,
-                  job.rank == Priority::low ? WritePriority::background : WritePriority::immediate);
+                  job.effectivePriority == Priority::low ? WritePriority::background
+                                                         : WritePriority::immediate);
     Allocation allocation;
     allocation.job = &job;
     allocation.task = task;
     allocation.attempt = t.attempt;
-    allocation.recordVersion = job.layout.of(task).version;
+    allocation.recordVersion = job.layout.rangeOf(task).version;
     allocation.cells = std::move(cells);
     t.reserved = !allocation.cells.empty();
     allocate(machine, std::move(allocation));
@@ -56,13 +57,13 @@
 
 void Cluster::unbind(Job& job, std::uint32_t task) {
     JobTask& t = job.tasks[task];
-    if (t.phase == Phase::running || t.phase == Phase::checkpointing) --job.runningCount;
+    if (t.phase == TaskPhase::running || t.phase == TaskPhase::checkpointing) --job.runningCount;
     t.state = TaskState::waiting;
-    t.phase = Phase::pendingBind;
+    t.phase = TaskPhase::pendingBind;
     t.stopping = false;
     t.machine = noMachine;
     --job.boundCount;
-    job.queue.push_back(task);
+    job.placementQueue.push_back(task);
     hasNewWork_ = true;
     listWaiting(job);
     markTaskDirty(job, task, WritePriority::progress);
@@ -73,7 +74,7 @@
     Job& job = *allocation.job;
     markCapacityDirty(quota_.occupyCells(allocation, machine, m));
     quota_.addUse(job.spec);
-    ++job.perZone[m.zone];
+    ++job.tasksPerZone[m.zone];
     // Found on a machine after its job's cancellation was acknowledged: leases in its zone may not
     // be delegated for longer than that leaves.
     if (job.cancelled) cancellations_.insert(&job);
@@ -90,8 +91,8 @@
     markCapacityDirty(quota_.vacateCells(allocation, machine, m));
     m.allocations.erase(m.allocations.begin() + static_cast<std::ptrdiff_t>(position));
     quota_.removeUse(job.spec);
-    const auto zone = job.perZone.find(m.zone);
-    if (--zone->second == 0) job.perZone.erase(zone);
+    const auto zone = job.tasksPerZone.find(m.zone);
+    if (--zone->second == 0) job.tasksPerZone.erase(zone);
     markCapacityDirty(machine);
     if (ownsAllocation(allocation, machine)) unbind(job, allocation.task);
 }
@@ -181,10 +182,10 @@
     for (const Allocation& allocation : m.allocations) {
         const JobTask& task = allocation.job->tasks[allocation.task];
         const JobSpec& spec = allocation.job->spec;
-        if (!ownsAllocation(allocation, machine) || task.stopping || spec.checkpointS <= 0)
+        if (!ownsAllocation(allocation, machine) || task.stopping || spec.checkpointIntervalS <= 0)
             continue;
         // As late as the checkpoint allows: the task may still finish.
-        const TimePoint last = until - fromSeconds(spec.saveS) - interruptionMargin;
+        const TimePoint last = until - fromSeconds(spec.checkpointDurationS) - interruptionMargin;
         if (now < last)
             scheduleTimer(machine, last);
         else
@@ -229,9 +230,9 @@
     if (now >= m.inboundPartitionedUntil) m.inboundPartitioned = false;
     markCapacityDirty(machine);
     // Heartbeats move these on; the next look is at what they were when this one was due.
-    for (const TimePoint t :
-         {m.lastHeardAt + settings_.reportEvery * 2, m.lastHeartbeatAt + settings_.reportEvery * 2,
-          m.backOffUntil, m.inboundPartitionedUntil, m.leaseEnd})
+    for (const TimePoint t : {m.lastHeardAt + settings_.heartbeatInterval * 2,
+                              m.lastHeartbeatAt + settings_.heartbeatInterval * 2, m.backOffUntil,
+                              m.inboundPartitionedUntil, m.leaseEnd})
         if (t > now) scheduleTimer(machine, t);
 }
 
--- a/src/scheduler/capacity_index.cpp
+++ b/src/scheduler/capacity_index.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-bool moreThan(const Demand& now, const Demand& before) {
+bool moreThan(const Resources& now, const Resources& before) {
     return now.cores > before.cores + epsilon || now.gpus > before.gpus + epsilon ||
            now.ramGb > before.ramGb + epsilon;
 }
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-std::uint32_t maxReplicasThatFit(const Demand& each, const Demand& have) {
+std::uint32_t maxReplicasThatFit(const Resources& each, const Resources& have) {
     double n = 1e6;
     const auto limit = [&](double need, double available) {
         if (need > epsilon) n = std::min(n, std::floor((available + epsilon) / need));
@@ -96,7 +96,7 @@
     capacities_.erase(it);
 }
 
-void CapacityIndex::addWarmDemand(const std::string& jobClass, Priority rank, const Demand& each,
+void CapacityIndex::addWarmDemand(const std::string& jobClass, Priority rank, const Resources& each,
                                   const std::string& image, std::uint32_t tasks) {
     Warm& w = warm_[jobClass];
     ++w.jobs[image];
@@ -120,11 +120,11 @@
     if (w->second.jobs.empty()) warm_.erase(w);
 }
 
-bool CapacityIndex::keepsWarmCapacity(MachineIndex machine, const Demand& taken,
+bool CapacityIndex::keepsWarmCapacity(MachineIndex machine, const Resources& taken,
                                       Priority rank) const {
     const FreeCapacity* o = find(machine);
     if (o == nullptr || o->spot || o->outboundPartitioned) return true;
-    Demand left = o->free;
+    Resources left = o->free;
     left -= taken;
     for (const auto& [name, w] : warm_) {
         if (w.rank >= rank) continue;
--- a/src/scheduler/capacity_index.h
+++ b/src/scheduler/capacity_index.h
@@ -23,12 +23,12 @@
 inline constexpr double epsilon = 1e-6;  // amounts are decimal fractions
 
 /// In every resource.
-inline bool fits(const Demand& need, const Demand& have) {
+inline bool fits(const Resources& need, const Resources& have) {
     return need.cores <= have.cores + epsilon && need.gpus <= have.gpus + epsilon &&
            need.ramGb <= have.ramGb + epsilon;
 }
 /// How many of them fit at once; a million at most.
-std::uint32_t maxReplicasThatFit(const Demand& each, const Demand& have);
+std::uint32_t maxReplicasThatFit(const Resources& each, const Resources& have);
 
 /// What placement has to know of a machine that is open to work: computed anew whenever something
 /// on that machine changes.
@@ -38,10 +38,10 @@
     bool hasServices = false;          // replicas of services are on it
     bool outboundPartitioned = false;  // what is placed there ends with a lease that nothing renews
     int reservationDistance = 2;       // from bound cells: `cells::CellPool::distanceToBoundCells`
-    Demand free;                       // beside everything that is possibly on it
+    Resources free;                    // beside everything that is possibly on it
     /// By rank: what would be free if everything gave way that work of that rank may preempt.
     static constexpr std::size_t preempting = 3;
-    std::array<Demand, preempting> reclaimable;
+    std::array<Resources, preempting> reclaimable;
     std::vector<std::string> images, fetching;  // in its cache, and on their way there; sorted
 
     bool operator==(const FreeCapacity&) const = default;
@@ -50,10 +50,10 @@
 /// Machines ordered by their free capacity.
 class CapacitySet {
   public:
-    void insert(const Demand& free, MachineIndex machine) {
+    void insert(const Resources& free, MachineIndex machine) {
         byCapacity_.emplace(free.cores, free.ramGb, free.gpus, machine);
     }
-    void erase(const Demand& free, MachineIndex machine) {
+    void erase(const Resources& free, MachineIndex machine) {
         byCapacity_.erase({free.cores, free.ramGb, free.gpus, machine});
     }
     [[nodiscard]] bool empty() const { return byCapacity_.empty(); }
@@ -62,7 +62,7 @@
     /// true. Machines that have the cores but not the memory are skipped as a group, so that the
     /// search costs what it finds and not what there is.
     template <typename Visit>
-    bool visitFitting(const Demand& need, Visit visit) const {
+    bool visitFitting(const Resources& need, Visit visit) const {
         const double ram = need.ramGb - epsilon;
         auto it = byCapacity_.lower_bound({need.cores - epsilon, ram, 0, 0});
         while (it != byCapacity_.end()) {
@@ -115,12 +115,12 @@
     // Warm capacity: on ordinary machines that have the images of a class whose tasks must start at
     // once. A class counts what the largest of its jobs asked for, and images while a job with
     // them is open.
-    void addWarmDemand(const std::string& jobClass, Priority rank, const Demand& each,
+    void addWarmDemand(const std::string& jobClass, Priority rank, const Resources& each,
                        const std::string& image, std::uint32_t tasks);
     void removeWarmDemand(const std::string& jobClass, const std::string& image);
     /// Whether work of this rank may take that much there and leave enough warm capacity to the
     /// ranks above it.
-    [[nodiscard]] bool keepsWarmCapacity(MachineIndex machine, const Demand& taken,
+    [[nodiscard]] bool keepsWarmCapacity(MachineIndex machine, const Resources& taken,
                                          Priority rank) const;
 
     /// Which share of the images that have to stay warm the machine has, from 0 to 1.
@@ -135,7 +135,7 @@
   private:
     struct Warm {
         Priority rank = Priority::production;
-        Demand perTask;
+        Resources perTask;
         std::uint32_t replicasPerImage = 3;  // to keep free: for all tasks of the largest job
         std::map<std::string, std::uint32_t> jobs, freeReplicas;  // by image
         bool operator==(const Warm&) const = default;
--- a/src/scheduler/cluster.h
+++ b/src/scheduler/cluster.h
@@ -34,7 +34,7 @@
 #include "scheduler/queue_order.h"
 #include "scheduler/quota.h"
 #include "scheduler/runtime_estimates.h"
-#include "settings/operator.h"
+#include "settings/operator_settings.h"
 #include "settings/settings.h"
 #include "worker_api/machine.h"
 
@@ -66,8 +66,8 @@
     Cluster(const Cluster&) = delete;  // its parts refer to each other
     Cluster& operator=(const Cluster&) = delete;
     ~Cluster() = default;
-    void setOperatorSettings(const settings::Operator& settings) { operator_ = settings; }
-    [[nodiscard]] const settings::Operator& operatorSettings() const { return operator_; }
+    void setOperatorSettings(const settings::OperatorSettings& settings) { operator_ = settings; }
+    [[nodiscard]] const settings::OperatorSettings& operatorSettings() const { return operator_; }
     [[nodiscard]] const std::map<std::string, cells::CellPool>& pools() const {
         return quota_.pools();
     }
@@ -195,7 +195,7 @@
     /// Reported recently enough to be worth placing work on.
     [[nodiscard]] bool isResponsive(const worker_api::Machine& m, TimePoint now) const;
     /// Beside everything that is possibly on it.
-    [[nodiscard]] Demand freeCapacityOn(const worker_api::Machine& m) const;
+    [[nodiscard]] Resources freeCapacityOn(const worker_api::Machine& m) const;
     void setCatalogue(autoscaler::Catalogue catalogue);
     [[nodiscard]] const autoscaler::Catalogue& catalogue() const { return catalogue_; }
 
@@ -217,7 +217,7 @@
     }
     /// Runs on what others leave idle: low priority, beyond its team's reservation, and it ends.
     [[nodiscard]] bool isOpportunistic(const Job& job) const {
-        return job.rank == Priority::low && job.spec.shape != Shape::service &&
+        return job.effectivePriority == Priority::low && job.spec.shape != Shape::service &&
                !quota_.withinReservation(job.spec);
     }
 
@@ -278,7 +278,7 @@
     void onJobClosed(Job& job);
     /// Lists the job among those with tasks to place, or removes it from them.
     void listWaiting(Job& job);
-    void setPhase(Job& job, JobTask& task, Phase phase, TimePoint now);
+    void setPhase(Job& job, JobTask& task, TaskPhase phase, TimePoint now);
     void finish(Job& job, std::uint32_t task);
     /// Commits cancellations that may be acknowledged now; the record says of those that have to
     /// wait for long that they are being cancelled.
@@ -378,7 +378,7 @@
 
     // Placement
     struct PlannedShare {
-        Demand demand;
+        Resources demand;
         std::uint32_t tasks = 0;
     };
     using Planned =
@@ -420,10 +420,10 @@
         double loss = std::numeric_limits<double>::infinity();  // seconds of work and delay
     };
     /// What is free on it when everything that has been told to stop has gone.
-    [[nodiscard]] Demand capacityOnceStopped(const worker_api::Machine& m) const;
+    [[nodiscard]] Resources capacityOnceStopped(const worker_api::Machine& m) const;
     /// The same, less what is reclaimed for other jobs or planned for this one.
-    [[nodiscard]] Demand capacityOnceStoppedFor(const Job& job, MachineIndex machine,
-                                                const Planned& planned) const;
+    [[nodiscard]] Resources capacityOnceStoppedFor(const Job& job, MachineIndex machine,
+                                                   const Planned& planned) const;
     [[nodiscard]] bool mayPreempt(Priority rank, const worker_api::Allocation& allocation) const;
     /// Nothing if it is not enough, or loses as much as `best`.
     [[nodiscard]] std::optional<PreemptionPlan> planPreemption(const Job& job, MachineIndex machine,
@@ -440,7 +440,7 @@
                          const std::function<bool(const worker_api::Allocation&)>& victim);
 
     const settings::Settings& settings_;
-    settings::Operator operator_;
+    settings::OperatorSettings operator_;
     FencingToken token_;
     autoscaler::Catalogue catalogue_;
     Quota quota_{settings_, operator_, catalogue_};
--- a/src/scheduler/cluster_test.cpp
+++ b/src/scheduler/cluster_test.cpp
@@ -15,7 +15,7 @@
     // still.
     Worker w("n-1"), other("n-2");
     exchangeHeartbeat(w);
-    clock.advance(settings.reportEvery);
+    clock.advance(settings.heartbeatInterval);
     w.newSession();
     cluster->onStatusReport(w.next(), Cluster::ReportSource::commandResponse, clock.now());
     Job& job = submit(testing::spec("run-1", 1));
@@ -25,7 +25,7 @@
     ASSERT_EQ(w.report.tasks.size(), 1U);
     exchangeHeartbeat(other);
     // The former incarnation's lease has ended by any clock.
-    clock.advance(settings.lease - settings.reportEvery + 1500ms);
+    clock.advance(settings.lease - settings.heartbeatInterval + 1500ms);
     cluster->advanceTo(clock.now());
     EXPECT_EQ(job.boundCount, 1U) << "it lives on, and nothing has arrived since";
     EXPECT_EQ(job.tasks[0].machine, cluster->indexOf("n-1"));
@@ -145,7 +145,7 @@
     takeOver();
     Job& known = *cluster->find("run-1");
     EXPECT_EQ(known.boundCount, 1U);
-    EXPECT_FALSE(known.perZone.empty()) << "it may be on n-2";
+    EXPECT_FALSE(known.tasksPerZone.empty()) << "it may be on n-2";
     other.set(0, TaskStatus::exited, ExitCause::done);
     heartbeat(other);
     EXPECT_EQ(known.doneCount, 1U);
@@ -464,8 +464,8 @@
 TEST_F(ClusterTest, ProductionPreemptsLowerWorkWithTimeForACheckpointAndNothingElse) {
     Worker w("n-1");
     JobSpec low = testing::spec("run-1", 2);
-    low.checkpointS = 10;
-    low.saveS = 5;
+    low.checkpointIntervalS = 10;
+    low.checkpointDurationS = 5;
     Job& victim = submitAndRun(w, low);
     JobSpec same = testing::spec("run-2");
     submit(same);
@@ -591,7 +591,7 @@
     w.set(1, TaskStatus::exited, ExitCause::done);
     heartbeat(w);  // the record changes again before the first result is on record
     cluster->onRecordCommitted("jobs/run-1", resultVersion);
-    ASSERT_LT(job.layout.head().durable, job.layout.head().version);
+    ASSERT_LT(job.layout.head().durableVersion, job.layout.head().version);
     const auto commands = heartbeat(w);
     ASSERT_EQ(commands.size(), 1U) << "the second result is not on record yet";
     EXPECT_EQ(kindOf(commands[0]), CommandKind::forget);
@@ -749,8 +749,8 @@
 TEST_F(ClusterTest, ATaskOnAnInterruptedSpotMachineWritesItsCheckpointAsLateAsItCan) {
     Worker w("n-1");
     JobSpec s = testing::spec("run-1");
-    s.checkpointS = 10;
-    s.saveS = 4;
+    s.checkpointIntervalS = 10;
+    s.checkpointDurationS = 4;
     submitAndRun(w, s);
     w.report.interruptionNotice = 15s;
     heartbeat(w);
@@ -851,7 +851,7 @@
             s.spread = below(3) == 0;
             s.sameZone = !s.spread && below(4) == 0;
             s.spotAllowed = below(2) == 0;
-            s.checkpointS = below(2) == 0 ? 10 : 0;
+            s.checkpointIntervalS = below(2) == 0 ? 10 : 0;
             if (below(4) == 0) {
                 s.shape = Shape::service;
                 s.jobClass = "web";
--- a/src/scheduler/commands.cpp
+++ b/src/scheduler/commands.cpp
@@ -40,7 +40,8 @@
 bool Cluster::mayLaunch(const Allocation& allocation) const {
     const Job& job = *allocation.job;
     // Launched before its binding is on record, it could be started a second time by a successor.
-    if (job.layout.of(allocation.task).durable < allocation.recordVersion || !job.accepted())
+    if (job.layout.rangeOf(allocation.task).durableVersion < allocation.recordVersion ||
+        !job.accepted())
         return false;
     // A gang starts once all of its bindings are on record.
     return job.spec.shape != Shape::gang || allTasksBound(job);
@@ -53,7 +54,7 @@
         const auto job = jobs_.find(ended.job);
         // What the exit proves must be on record first: a forgotten result is lost for good.
         if (job != jobs_.end() && ended.task < job->second->spec.tasks &&
-            job->second->layout.of(ended.task).durable < version)
+            job->second->layout.rangeOf(ended.task).durableVersion < version)
             continue;
         out.emplace_back(ForgetTask{ended});
     }
@@ -64,14 +65,16 @@
     if (channel == CommandChannel::direct && allocation.stopSent) return;
     const JobSpec& spec = allocation.job->spec;
     const JobTask& task = allocation.job->tasks[allocation.task];
-    const bool checkpoints = task.stopping && allocation.job->open() && spec.checkpointS > 0;
+    const bool checkpoints =
+        task.stopping && allocation.job->open() && spec.checkpointIntervalS > 0;
     if (!allocation.state.confirmed() && allocation.state.directLaunchUnresolved())
         // The launch may arrive yet. Making the attempt known and ending it at once turns the late
         // one into a repetition, which does nothing.
         out.emplace_back(LaunchTask{attemptIn(allocation)});
-    out.emplace_back(
-        StopTask{attemptIn(allocation),
-                 checkpoints ? fromSeconds(spec.saveS + checkpointMarginS) : Duration::zero()});
+    out.emplace_back(StopTask{attemptIn(allocation),
+                              checkpoints
+                                  ? fromSeconds(spec.checkpointDurationS + checkpointMarginS)
+                                  : Duration::zero()});
     allocation.stopSent = true;
 }
 
@@ -84,7 +87,7 @@
         allocation.state.onDirectLaunchSent();
     else
         allocation.state.onLaunchInResponse();
-    allocation.job->tasks[allocation.task].phase = Phase::launchSent;
+    allocation.job->tasks[allocation.task].phase = TaskPhase::launchSent;
 }
 
 std::vector<Command> Cluster::commandsFor(MachineIndex machine, CommandChannel channel) {
--- a/src/scheduler/dependency_tracking.cpp
+++ b/src/scheduler/dependency_tracking.cpp
@@ -61,7 +61,7 @@
 }
 
 std::optional<Duration> Cluster::slack(const Job& job, TimePoint now) const {
-    const TimePoint end = std::min(deadlinesOf(job).first, job.deadlines.first);
+    const TimePoint end = std::min(deadlinesOf(job).first, job.inheritedDeadlines.first);
     if (end == Deadlines::never) return std::nullopt;
     return end - (expectedRelease(job, now) + estimatedDuration(job.spec));
 }
@@ -72,8 +72,8 @@
     double least = 0, most = 0;
     for (const auto& o : settings_.objectives) {
         if (o.jobClass != job.spec.jobClass || o.kind != "deadline") continue;
-        least = least == 0 ? o.times : std::min(least, o.times);
-        most = std::max(most, o.times);
+        least = least == 0 ? o.deadlineFactor : std::min(least, o.deadlineFactor);
+        most = std::max(most, o.deadlineFactor);
     }
     if (most == 0) least = most = 1;
     ends.first = job.submittedAt + fromSeconds(*job.spec.deadlineS * least);
@@ -133,19 +133,20 @@
     Job& job = *find(dependent.id);
     addToDependencyGraph(job);
     dependencies_.addDependencies(dependent.id, dependent.dependencies);
-    if (job.released) estimates_.recordLeadTime(job.spec, *job.released - job.submitted);
+    if (job.releasedWallTime)
+        estimates_.recordLeadTime(job.spec, *job.releasedWallTime - job.submittedWallTime);
     if (const JobId* cancelled = dependencies_.cancelledWith(dependent.id)) {
         if (!job.cancelled) cancelWithDependency(job, *cancelled);
     } else if (dependencies_.isBlocked(dependent.id)) {
         if (!job.open()) return;
         job.blocked = true;
         blocked_.insert(&job);
-    } else if (job.released) {
-        job.releasedAt += std::max(WallMillis(0), *job.released - job.submitted);
+    } else if (job.releasedWallTime) {
+        job.releasedAt += std::max(WallMillis(0), *job.releasedWallTime - job.submittedWallTime);
     } else {
         // Released since the former leader last wrote its record.
         job.releasedAt = now_;
-        job.released = wall_;
+        job.releasedWallTime = wall_;
     }
 }
 
@@ -157,7 +158,8 @@
 void Cluster::releaseBlocked(Job& job, TimePoint now) {
     unblock(job);
     job.releasedAt = now;
-    job.released = job.submitted + std::chrono::duration_cast<WallMillis>(now - job.submittedAt);
+    job.releasedWallTime =
+        job.submittedWallTime + std::chrono::duration_cast<WallMillis>(now - job.submittedAt);
     spdlog::debug("job is released: job={} class={} blocked_s={:.2f}", job.spec.id,
                   job.spec.jobClass, toSeconds(now - job.submittedAt));
     onJobOpened(job);
@@ -169,18 +171,18 @@
     // there is nothing to stop, since no task of it ever started.
     job.cancelled = job.cancelCommitted = true;
     job.cancelVersion = 0;
-    job.cancelledWith = dependency;
+    job.cancelledDependency = dependency;
     spdlog::debug("job is cancelled: job={} reason=dependency_cancelled dependency={}", job.spec.id,
                   dependency);
 }
 
 void Cluster::applyInheritedUrgency(Job& job) {
     const dependencies::InheritedUrgency inherited = dependencies_.inheritedUrgency(job.spec.id);
-    job.deadlines = inherited.deadlines;
+    job.inheritedDeadlines = inherited.deadlines;
     hasNewWork_ = true;
     const Priority rank = std::min(job.spec.priority, inherited.priority);
-    if (rank == job.rank) return;
-    job.rank = rank;
+    if (rank == job.effectivePriority) return;
+    job.effectivePriority = rank;
     if (job.boundCount == 0) return;
     // Who may preempt it has changed.
     for (const auto& t : job.tasks)
--- a/src/scheduler/dependency_tracking_test.cpp
+++ b/src/scheduler/dependency_tracking_test.cpp
@@ -126,7 +126,7 @@
     cluster->advanceTo(clock.now());
     for (const char* id : {"run-2", "run-3", "run-4"}) {
         EXPECT_TRUE(job(id).cancelDurable()) << id;
-        EXPECT_EQ(job(id).cancelledWith, "run-1");
+        EXPECT_EQ(job(id).cancelledDependency, "run-1");
         EXPECT_EQ(records.at("jobs/" + std::string(id)), before.at("jobs/" + std::string(id)))
             << "it follows, and is not written";
     }
@@ -218,14 +218,14 @@
     submit("run-1", {}, 8, low);
     submit("run-2", {}, 8, low);  // no dependency of the others, and first in line otherwise
     submit("run-3", {"run-1"}, 1, low);
-    EXPECT_EQ(job("run-1").rank, Priority::low);
+    EXPECT_EQ(job("run-1").effectivePriority, Priority::low);
     submit("run-4", {"run-3"}, 1, [](JobSpec& s) {
         s.jobClass = "post";
         s.priority = Priority::high;
         s.deadlineS = 100;
     });
-    EXPECT_EQ(job("run-1").rank, Priority::high);
-    EXPECT_EQ(job("run-3").rank, Priority::high);
+    EXPECT_EQ(job("run-1").effectivePriority, Priority::high);
+    EXPECT_EQ(job("run-3").effectivePriority, Priority::high);
     // 100 s less what the two after it take, and its own run.
     const Duration after = cluster->estimatedDuration(job("run-3").spec) +
                            cluster->estimatedDuration(job("run-4").spec);
@@ -242,8 +242,8 @@
     cluster->cancel(job("run-4"), clock.now());
     commit();
     round();
-    EXPECT_EQ(job("run-1").rank, Priority::low) << "nobody asks for more any longer";
-    EXPECT_EQ(job("run-1").deadlines, Deadlines{});
+    EXPECT_EQ(job("run-1").effectivePriority, Priority::low) << "nobody asks for more any longer";
+    EXPECT_EQ(job("run-1").inheritedDeadlines, Deadlines{});
 }
 
 TEST_F(DependencyTrackingTest, ADependencyPreemptsByItsInheritedRankAndIsNotPreemptedBelowIt) {
--- a/src/scheduler/fault_interactions_test.cpp
+++ b/src/scheduler/fault_interactions_test.cpp
@@ -181,7 +181,7 @@
     cluster->acknowledgeCancellation(job, clock.now());
     const auto stops = heartbeat(w);
     EXPECT_EQ(kindsOf(stops), std::vector{CommandKind::stop}) << "it may be there";
-    EXPECT_FALSE(job.perZone.empty());
+    EXPECT_FALSE(job.tasksPerZone.empty());
     w.report.token = cluster->token() - 1;  // that answer was lost
     w.execute(held);                        // the machine goes on
     ASSERT_EQ(w.report.tasks.size(), 1U);
@@ -189,7 +189,7 @@
     ASSERT_EQ(kindsOf(again), std::vector{CommandKind::stop});
     w.execute(again);
     heartbeat(w);
-    EXPECT_TRUE(job.perZone.empty()) << "proven";
+    EXPECT_TRUE(job.tasksPerZone.empty()) << "proven";
 }
 
 TEST_F(FaultInteractionTest,
@@ -296,8 +296,8 @@
 TEST_F(FaultInteractionTest, AnOutboundPartitionedMachineIsUsedLastAndWritesItsCheckpoints) {
     Worker partitioned("n-1"), other("n-2");
     JobSpec saves = testing::spec("run-1");
-    saves.checkpointS = 10;
-    saves.saveS = 1;
+    saves.checkpointIntervalS = 10;
+    saves.checkpointDurationS = 1;
     Job& job = submitAndRun(partitioned, saves);
     Job& cancelled = submit(testing::spec("run-2"));
     place();
@@ -316,7 +316,7 @@
     ASSERT_EQ(kindsOf(cluster->takeDirectCommands(at, clock.now())),
               std::vector{CommandKind::stop});
     cluster->onDirectCommandEnded(at, true);
-    pass(settings.reportEvery * 5 / 4 + 2s);
+    pass(settings.heartbeatInterval * 5 / 4 + 2s);
     inspect();
     EXPECT_TRUE(cluster->machines()[at].outboundPartitioned);
     EXPECT_TRUE(cluster->takeEffects().machinesToCommand.contains(at))
@@ -326,7 +326,7 @@
     partitioned.execute(stops);
     cluster->onDirectCommandEnded(at, false);
     inspect();
-    EXPECT_TRUE(cancelled.perZone.empty()) << "proven long before its lease ends";
+    EXPECT_TRUE(cancelled.tasksPerZone.empty()) << "proven long before its lease ends";
     // There is capacity, and its image, but what is placed there is lost with the lease: any other
     // is taken.
     exchangeHeartbeat(other);
@@ -361,12 +361,12 @@
     // moment.
     Worker partitioned("n-1"), other("n-2");
     JobSpec saves = testing::spec("run-1");
-    saves.checkpointS = 10;
-    saves.saveS = 1;
+    saves.checkpointIntervalS = 10;
+    saves.checkpointDurationS = 1;
     submitAndRun(partitioned, saves);
     takeOver();
     exchangeHeartbeat(other);
-    pass(settings.reportEvery * 5 / 4 + 2s);
+    pass(settings.heartbeatInterval * 5 / 4 + 2s);
     cluster->onStatusReport(partitioned.next(), Cluster::ReportSource::commandResponse,
                             clock.now());
     pass(500ms);
@@ -459,7 +459,7 @@
     exchangeHeartbeat(fresh);
     place();
     ASSERT_EQ(job.boundCount, 2U);
-    EXPECT_EQ(job.perZone, (std::map<std::string, std::uint32_t>{{"a", 1}, {"b", 1}}));
+    EXPECT_EQ(job.tasksPerZone, (std::map<std::string, std::uint32_t>{{"a", 1}, {"b", 1}}));
 }
 
 }  // namespace
--- a/src/scheduler/free_capacity.cpp
+++ b/src/scheduler/free_capacity.cpp
@@ -50,7 +50,7 @@
     // Closed to replicas as well, such machines cost users more than by the leases that end: where
     // every machine is in use there is no other capacity, and replicas start again on them at once.
     capacity.outboundPartitioned =
-        m.outboundPartitioned || now_ - m.lastHeartbeatAt >= settings_.reportEvery * 2;
+        m.outboundPartitioned || now_ - m.lastHeartbeatAt >= settings_.heartbeatInterval * 2;
     capacity.reservationDistance = quota_.reservationDistance(machine, m);
     capacity.free = freeCapacityOn(m);
     capacity.reclaimable.fill(capacity.free);
@@ -92,11 +92,11 @@
     refreshCapacities();
     if (auto found = findCapacityInconsistency(); !found.empty()) return found;
     if (auto found = findUseInconsistency(); !found.empty()) return found;
-    std::map<const Job*, TasksPerZone> perZone;
+    std::map<const Job*, TasksPerZone> tasksPerZone;
     for (const Machine& m : machines_)
-        for (const Allocation& allocation : m.allocations) ++perZone[allocation.job][m.zone];
+        for (const Allocation& allocation : m.allocations) ++tasksPerZone[allocation.job][m.zone];
     for (const auto& [id, job] : jobs_)
-        if (auto found = findJobInconsistency(*job, perZone[job.get()]); !found.empty())
+        if (auto found = findJobInconsistency(*job, tasksPerZone[job.get()]); !found.empty())
             return found;
     return dependencies_.findInconsistency();
 }
@@ -115,12 +115,12 @@
 
 std::string Cluster::findUseInconsistency() const {
     constexpr double tolerance = 1e-3;
-    std::unordered_map<std::string, Demand> recounted;
+    std::unordered_map<std::string, Resources> recounted;
     for (const Machine& m : machines_)
         for (const Allocation& allocation : m.allocations)
             recounted[allocation.job->spec.team] += allocation.job->spec.demand;
     for (const auto& [team, use] : quota_.useByTeam()) {
-        Demand left = use;
+        Resources left = use;
         left -= recounted[team];
         if (std::abs(left.cores) + std::abs(left.ramGb) + std::abs(left.gpus) > tolerance)
             return "the use of team " + team;
@@ -130,7 +130,7 @@
 
 std::string Cluster::findJobInconsistency(Job& job, const TasksPerZone& recounted) const {
     const JobId& id = job.spec.id;
-    if (job.perZone != recounted) return "the zones of " + id;
+    if (job.tasksPerZone != recounted) return "the zones of " + id;
     const auto waiting = static_cast<std::uint32_t>(
         std::count_if(job.tasks.begin(), job.tasks.end(),
                       [](const JobTask& t) { return t.state == TaskState::waiting; }));
--- a/src/scheduler/job_lifecycle.cpp
+++ b/src/scheduler/job_lifecycle.cpp
@@ -39,7 +39,7 @@
     if (spec.sameZone && spec.spread && spec.tasks > 1) return SubmitResult::contradictoryPlacement;
     if (quota_.exceedsLimit(spec)) return SubmitResult::overTeamLimit;
     auto job = jobs::makeJob(spec, valueBytes_);
-    job->submitted = wall;
+    job->submittedWallTime = wall;
     job->submittedAt = job->releasedAt = now;
     now_ = now;
     Job& submitted = *job;
@@ -47,8 +47,8 @@
     spdlog::debug(
         "job is submitted: job={} class={} tasks={} cores={} estimate_s={:.0f} rank={} "
         "checkpoint_interval_s={}",
-        spec.id, spec.jobClass, spec.tasks, spec.demand.cores, spec.estimateS,
-        static_cast<int>(spec.priority), spec.checkpointS);
+        spec.id, spec.jobClass, spec.tasks, spec.demand.cores, spec.estimatedRuntimeS,
+        static_cast<int>(spec.priority), spec.checkpointIntervalS);
     markHeadDirty(submitted, WritePriority::userRequest);
     if (spec.dependencies.empty()) {
         estimates_.recordLeadTime(spec, Duration::zero());
@@ -96,7 +96,8 @@
     JobTask& t = job.tasks[task];
     if (t.state == TaskState::done) return;
     if (t.state == TaskState::bound) {
-        if (t.phase == Phase::running || t.phase == Phase::checkpointing) --job.runningCount;
+        if (t.phase == TaskPhase::running || t.phase == TaskPhase::checkpointing)
+            --job.runningCount;
         --job.boundCount;
         markCapacityDirty(t.machine);
     }
@@ -141,7 +142,7 @@
     if (delegator_ == nullptr) return true;
     const TimePoint latest =
         now + std::max(Duration::zero(), delegator_->limits().maxDelegationAfterCancellation());
-    return std::all_of(job.perZone.begin(), job.perZone.end(), [&](const auto& zone) {
+    return std::all_of(job.tasksPerZone.begin(), job.tasksPerZone.end(), [&](const auto& zone) {
         return delegator_->delegationsEnd(zone.first) <= latest;
     });
 }
@@ -150,7 +151,7 @@
     Duration wait{};
     if (delegator_ == nullptr || job.cancelCommitted) return wait;
     const TimePoint latest = now + delegator_->limits().maxDelegationAfterCancellation();
-    for (const auto& [zone, tasks] : job.perZone)
+    for (const auto& [zone, tasks] : job.tasksPerZone)
         wait = std::max(wait, delegator_->delegationsEnd(zone) - latest);
     return wait;
 }
@@ -160,7 +161,7 @@
     if (delegator_ == nullptr) return cap;
     for (const Job* job : cancellations_)
         // A machine that has not reported to this leader may be in any zone.
-        if (job->perZone.contains(zone) || job->perZone.contains(""))
+        if (job->tasksPerZone.contains(zone) || job->tasksPerZone.contains(""))
             cap = std::min(cap, job->acknowledgedAt.value_or(now) +
                                     delegator_->limits().maxDelegationAfterCancellation());
     return cap;
@@ -181,7 +182,8 @@
             job.cancelRecorded = true;
             markHeadDirty(job, WritePriority::userRequest);
         }
-        it = job.cancelCommitted && job.perZone.empty() ? cancellations_.erase(it) : std::next(it);
+        it = job.cancelCommitted && job.tasksPerZone.empty() ? cancellations_.erase(it)
+                                                             : std::next(it);
     }
 }
 
--- a/src/scheduler/persistence.cpp
+++ b/src/scheduler/persistence.cpp
@@ -23,7 +23,7 @@
 // ---------------------------------------------------------------- reading
 
 Job& Cluster::add(std::unique_ptr<Job> job) {
-    job->submittedAt = now_ - std::max(WallMillis(0), wall_ - job->submitted);
+    job->submittedAt = now_ - std::max(WallMillis(0), wall_ - job->submittedWallTime);
     job->releasedAt = job->submittedAt;
     Job& ref = *job;
     jobs_[ref.spec.id] = std::move(job);
@@ -34,7 +34,7 @@
                          WallMillis wall) {
     now_ = now;
     wall_ = wall;
-    const auto name = RecordName::of(key);
+    const auto name = RecordName::parse(key);
     if (!name) return false;
     const auto doc = json::parse(data);
     const auto unreadable = [&] {
@@ -44,7 +44,7 @@
     if (!doc || !doc->IsObject()) return unreadable();
     const bool first = name->kind == Kind::block && name->from == 0;
     Job* job = first ? nullptr : find(name->job);
-    if (first && !jobs::textsOf(*doc)) {
+    if (first && !jobs::specSectionCount(*doc)) {
         auto decoded = jobs::decodeJob(*doc, "", valueBytes_);
         if (decoded == nullptr || decoded->spec.id != name->job) return unreadable();
         job = &add(std::move(decoded));
@@ -67,10 +67,10 @@
 bool Cluster::addFromTexts(const RecordName& name, const json::Document& doc,
                            const std::map<std::string, std::string>& records) {
     std::string description;
-    for (std::uint32_t i = 0; i < *jobs::textsOf(doc); ++i) {
-        const auto text = records.find(RecordName{name.job, Kind::text, i, 0}.key());
+    for (std::uint32_t i = 0; i < *jobs::specSectionCount(doc); ++i) {
+        const auto text = records.find(RecordName{name.job, Kind::specSection, i, 0}.key());
         if (text != records.end())
-            description += jobs::decodeText(*json::parse(text->second)).value_or("");
+            description += jobs::decodeSpecSection(*json::parse(text->second)).value_or("");
     }
     auto decoded = jobs::decodeJob(doc, description, valueBytes_);
     if (decoded == nullptr || decoded->spec.id != name.job) {
@@ -87,7 +87,7 @@
     if (job == nullptr) return;
     if (name.kind == Kind::head) {
         jobs::decodeHead(doc, *job);
-        job->layout.restored(name);
+        job->layout.markRestored(name);
         return;
     }
     const auto indexOf = [&](const std::string& machine) { return machines_.indexOf(machine); };
@@ -102,8 +102,8 @@
     std::vector<Deferred> whole, pages;
     const auto records = std::exchange(deferredRecords_, {});
     for (const auto& [key, data] : records) {
-        const auto name = *RecordName::of(key);
-        if (name.kind == Kind::text) continue;
+        const auto name = *RecordName::parse(key);
+        if (name.kind == Kind::specSection) continue;
         auto doc = *json::parse(data);
         const bool first = name.kind == Kind::block && name.from == 0;
         if (first && !addFromTexts(name, doc, records)) continue;
@@ -161,14 +161,14 @@
 // ---------------------------------------------------------------- writing
 
 void Cluster::markTaskDirty(Job& job, std::uint32_t task, WritePriority priority) {
-    const TaskRange& s = job.layout.touch(task);
+    const TaskRange& s = job.layout.markTaskChanged(task);
     // No page is written before the job is accepted: nobody would find it.
     if (s.page && !job.accepted()) return;
     effects_.dirtyRecords.emplace_back(job.layout.nameOf(job.spec.id, s).key(), priority);
 }
 
 void Cluster::markHeadDirty(Job& job, WritePriority priority) {
-    job.layout.touchHead();
+    job.layout.markHeadChanged();
     effects_.dirtyRecords.emplace_back(job.layout.headName(job.spec.id).key(), priority);
 }
 
@@ -181,25 +181,25 @@
             return jobs::encodePage(job, *job.layout.find(name), machine);
         case Kind::head:
             return jobs::encodeHead(job);
-        case Kind::text:
+        case Kind::specSection:
             break;
     }
-    const auto texts = jobs::encodeTexts(job, job.layout.textBytes);
+    const auto texts = jobs::encodeSpecSections(job, job.layout.sectionValueBytes);
     return name.from < texts.size() ? texts[name.from] : "{}";
 }
 
 std::optional<EncodedRecord> Cluster::encode(const std::string& key) {
-    const auto name = RecordName::of(key);
+    const auto name = RecordName::parse(key);
     if (!name) return std::nullopt;
     Job& job = *jobs_.at(name->job);
     const jobs::RecordLayout& l = job.layout;
-    if (name->kind == Kind::text) {
-        if (job.accepted() || name->from >= l.texts) return std::nullopt;
+    if (name->kind == Kind::specSection) {
+        if (job.accepted() || name->from >= l.specSections) return std::nullopt;
         return EncodedRecord{encodeRecord(job, *name), 1};
     }
     const bool head = *name == l.headName(job.spec.id);
-    if (name->kind == Kind::head || (head && l.bare())) {
-        if (!head || l.textsDurable < l.texts) return std::nullopt;
+    if (name->kind == Kind::head || (head && l.firstBlockHasNoTasks())) {
+        if (!head || l.durableSpecSections < l.specSections) return std::nullopt;
         return EncodedRecord{encodeRecord(job, *name), l.head().version};
     }
     return encodeTasks(job, *name);
@@ -220,7 +220,7 @@
     }
     const bool first = name.kind == Kind::block && name.from == 0;
     if (first && !job.accepted()) {
-        l.setBare();
+        l.moveTasksOutOfFirstBlock();
         data = encodeRecord(job, name);
         if (data.size() <= valueBytes_) return EncodedRecord{std::move(data), l.head().version};
         splitHead(job);
@@ -232,12 +232,12 @@
         return std::nullopt;
     }
     for (const std::uint32_t task : {whole.from, whole.from + whole.count / 2})
-        effects_.dirtyRecords.emplace_back(l.nameOf(job.spec.id, l.of(task)).key(),
+        effects_.dirtyRecords.emplace_back(l.nameOf(job.spec.id, l.rangeOf(task)).key(),
                                            WritePriority::immediate);
     if (first) {
         const bool headDurable = !job.cancelled || job.cancelDurable();
         if (headDurable)
-            l.settleHead();
+            l.discardHeadChange();
         else
             effects_.dirtyRecords.emplace_back(l.headName(job.spec.id).key(),
                                                WritePriority::userRequest);
@@ -247,11 +247,11 @@
 
 void Cluster::splitHead(Job& job) {
     jobs::RecordLayout& l = job.layout;
-    l.textBytes = valueBytes_;
-    l.texts = static_cast<std::uint32_t>(jobs::encodeTexts(job, valueBytes_).size());
-    l.textsDurable = 0;
-    for (std::uint32_t i = 0; i < l.texts; ++i)
-        effects_.dirtyRecords.emplace_back(RecordName{job.spec.id, Kind::text, i, 0}.key(),
+    l.sectionValueBytes = valueBytes_;
+    l.specSections = static_cast<std::uint32_t>(jobs::encodeSpecSections(job, valueBytes_).size());
+    l.durableSpecSections = 0;
+    for (std::uint32_t i = 0; i < l.specSections; ++i)
+        effects_.dirtyRecords.emplace_back(RecordName{job.spec.id, Kind::specSection, i, 0}.key(),
                                            WritePriority::userRequest);
 }
 
@@ -259,10 +259,10 @@
     // The limit has fallen below the known one: try half, and half again if that is still too
     // large.
     valueBytes_ = std::max<std::size_t>(std::min(valueBytes_, bytes / 2), minValueBytes);
-    const auto name = RecordName::of(key);
+    const auto name = RecordName::parse(key);
     if (!name) return;
     Job& job = *jobs_.at(name->job);
-    if (!job.accepted() && job.layout.texts > 0) return splitHead(job);
+    if (!job.accepted() && job.layout.specSections > 0) return splitHead(job);
     if (supportsPages_)
         effects_.dirtyRecords.emplace_back(key, WritePriority::immediate);
     else
@@ -276,22 +276,22 @@
 }
 
 void Cluster::onRecordCommitted(const std::string& key, std::uint64_t version) {
-    const auto name = RecordName::of(key);
+    const auto name = RecordName::parse(key);
     if (!name) return;
     Job& job = *jobs_.at(name->job);
     jobs::RecordLayout& l = job.layout;
     const bool before = job.accepted();
-    auto [from, to] = l.committed(*name, version);
-    if (name->kind == Kind::text) {
-        if (!before && l.textsDurable == l.texts)
+    auto [from, to] = l.markDurable(*name, version);
+    if (name->kind == Kind::specSection) {
+        if (!before && l.durableSpecSections == l.specSections)
             effects_.dirtyRecords.emplace_back(l.headName(job.spec.id).key(),
                                                WritePriority::userRequest);
         return;
     }
     const bool justAccepted = !before && job.accepted();
-    if (justAccepted && l.bare())
+    if (justAccepted && l.firstBlockHasNoTasks())
         for (const TaskRange& s : l.ranges())
-            if (s.page && s.durable < s.version)
+            if (s.page && s.durableVersion < s.version)
                 effects_.dirtyRecords.emplace_back(l.nameOf(job.spec.id, s).key(),
                                                    WritePriority::immediate);
     if (dependencies_.contains(job.spec.id)) {
@@ -307,7 +307,7 @@
     if (justAccepted) std::tie(from, to) = std::pair(0U, job.spec.tasks);
     for (std::uint32_t t = from; t < to; ++t)
         if (job.tasks[t].state == TaskState::bound &&
-            (job.cancelled || job.tasks[t].phase == Phase::pendingBind))
+            (job.cancelled || job.tasks[t].phase == TaskPhase::pendingBind))
             effects_.machinesToCommand.insert(job.tasks[t].machine);
 }
 
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -28,10 +28,10 @@
 
 }  // namespace
 
-Demand Cluster::freeCapacityOn(const Machine& m) const {
+Resources Cluster::freeCapacityOn(const Machine& m) const {
     const auto type = catalogue_.find(m.type);
     if (type == catalogue_.end()) return {};
-    Demand free = type->second.capacity;
+    Resources free = type->second.capacity;
     for (const auto& c : m.allocations) free -= c.job->spec.demand;
     return free;
 }
@@ -46,7 +46,7 @@
     // Judged against everything of the job that may be somewhere, not only what is reported. A
     // machine that has not reported yet may be in any zone.
     std::uint32_t here = 0;
-    for (const auto& [other, tasks] : job.perZone) {
+    for (const auto& [other, tasks] : job.tasksPerZone) {
         if (other == zone || (other.empty() && s.spread))
             here += tasks;
         else if (s.sameZone)
@@ -90,17 +90,18 @@
 bool Cluster::hasCapacityFor(const Job& job, MachineIndex machine, const Planned& planned,
                              TimePoint now) const {
     ++visitedMachines_;
-    const Demand& demand = job.spec.demand;
+    const Resources& demand = job.spec.demand;
     if (!placeable(job, machine, now) ||
-        !capacityIndex_.keepsWarmCapacity(machine, demand, job.rank))
+        !capacityIndex_.keepsWarmCapacity(machine, demand, job.effectivePriority))
         return false;
-    Demand free = capacityIndex_.find(machine)->free;
+    Resources free = capacityIndex_.find(machine)->free;
     if (const auto p = planned.find(machine); p != planned.end()) free -= p->second.demand;
     // Capacity that is being reclaimed is not for those who had to give way: they once took each
     // piece of it back as it came free, to be stopped again in the next pass.
     const auto [from, to] = reclaimedFor_.equal_range(machine);
     for (auto p = from; p != to; ++p)
-        if (p->second != &job && p->second->rank <= job.rank) free -= p->second->spec.demand;
+        if (p->second != &job && p->second->effectivePriority <= job.effectivePriority)
+            free -= p->second->spec.demand;
     return fits(demand, free);
 }
 
@@ -187,7 +188,7 @@
     estimates_.measureDrainRate(openJobs_, now);
     std::map<Priority, std::vector<Job*>> ranks;
     for (Job* job : waiting_)
-        if (now >= job->backOffUntil) ranks[job->rank].push_back(job);
+        if (now >= job->backOffUntil) ranks[job->effectivePriority].push_back(job);
     for (const auto& [rank, waiting] : ranks)
         if (placeRank(waiting, most, now)) return true;
     return false;
@@ -256,7 +257,7 @@
     TaskList chosen;
     for (const Allocation& allocation : machines_[machine].allocations) {
         const Job& job = *allocation.job;
-        if (job.spec.checkpointS > 0 && isOpportunistic(job) && !mustStop(allocation))
+        if (job.spec.checkpointIntervalS > 0 && isOpportunistic(job) && !mustStop(allocation))
             chosen.emplace_back(allocation.job, allocation.task);
     }
     stopAll(chosen);
@@ -270,7 +271,7 @@
     for (const auto& c : m.allocations) {
         if (c.job->spec.shape != Shape::service || !ownsAllocation(c, machine)) continue;
         JobTask& task = c.job->tasks[c.task];
-        if (task.phase != Phase::running || now - task.runningSince < settledReplica) continue;
+        if (task.phase != TaskPhase::running || now - task.runningSince < settledReplica) continue;
         const MachineIndex to = chooseMachine(*c.job, {}, now);
         if (to == noMachine || startDelay(c.job->spec, machines_[to]) > 0) continue;
         stop(*c.job, c.task);
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -18,23 +18,23 @@
 /// Seconds of work that are lost if the allocation's task is stopped now.
 double lostWork(const Allocation& allocation, TimePoint now) {
     const JobSpec& spec = allocation.job->spec;
-    if (spec.checkpointS > 0) return spec.saveS;
+    if (spec.checkpointIntervalS > 0) return spec.checkpointDurationS;
     const JobTask& task = allocation.job->tasks[allocation.task];
-    return task.phase == Phase::running ? toSeconds(now - task.runningSince) : 0;
+    return task.phase == TaskPhase::running ? toSeconds(now - task.runningSince) : 0;
 }
 
 }  // namespace
 
-Demand Cluster::capacityOnceStopped(const Machine& m) const {
-    Demand capacity = freeCapacityOn(m);
+Resources Cluster::capacityOnceStopped(const Machine& m) const {
+    Resources capacity = freeCapacityOn(m);
     for (const Allocation& allocation : m.allocations)
         if (mustStop(allocation)) capacity += allocation.job->spec.demand;
     return capacity;
 }
 
-Demand Cluster::capacityOnceStoppedFor(const Job& job, MachineIndex machine,
-                                       const Planned& planned) const {
-    Demand capacity = capacityOnceStopped(machines_[machine]);
+Resources Cluster::capacityOnceStoppedFor(const Job& job, MachineIndex machine,
+                                          const Planned& planned) const {
+    Resources capacity = capacityOnceStopped(machines_[machine]);
     const auto [from, to] = reclaimedFor_.equal_range(machine);
     for (auto p = from; p != to; ++p)
         if (p->second != &job) capacity -= p->second->spec.demand;
@@ -46,9 +46,9 @@
 bool Cluster::reclaimCapacity(const Job& job, MachineIndex machine,
                               const std::function<bool(const Allocation&)>& victim) {
     const Machine& m = machines_[machine];
-    const Demand& demand = job.spec.demand;
+    const Resources& demand = job.spec.demand;
     if (fits(demand, freeCapacityOn(m))) return true;
-    Demand capacity = capacityOnceStopped(m);
+    Resources capacity = capacityOnceStopped(m);
     TaskList chosen;
     for (const Allocation& allocation : m.allocations) {
         if (fits(demand, capacity)) break;
@@ -61,7 +61,8 @@
 }
 
 bool Cluster::mayPreempt(Priority rank, const Allocation& allocation) const {
-    return !mustStop(allocation) && allocation.cells.empty() && allocation.job->rank > rank;
+    return !mustStop(allocation) && allocation.cells.empty() &&
+           allocation.job->effectivePriority > rank;
 }
 
 std::optional<Cluster::PreemptionPlan> Cluster::planPreemption(const Job& job, MachineIndex machine,
@@ -70,21 +71,21 @@
                                                                TimePoint now) const {
     ++visitedMachines_;
     const Machine& m = machines_[machine];
-    const Demand& demand = job.spec.demand;
+    const Resources& demand = job.spec.demand;
     std::vector<std::pair<double, std::size_t>> candidates;
     for (std::size_t i = 0; i < m.allocations.size(); ++i)
-        if (mayPreempt(job.rank, m.allocations[i]))
+        if (mayPreempt(job.effectivePriority, m.allocations[i]))
             candidates.emplace_back(lostWork(m.allocations[i], now), i);
     std::sort(candidates.begin(), candidates.end());
 
-    Demand capacity = capacityOnceStoppedFor(job, machine, planned);
-    Demand taken = demand;
+    Resources capacity = capacityOnceStoppedFor(job, machine, planned);
+    Resources taken = demand;
     PreemptionPlan plan;
     plan.machine = machine;
     plan.loss = startDelay(job.spec, m);
     for (const auto& [lost, i] : candidates) {
         if (fits(demand, capacity)) break;
-        const Demand& freed = m.allocations[i].job->spec.demand;
+        const Resources& freed = m.allocations[i].job->spec.demand;
         capacity += freed;
         taken -= freed;
         plan.loss += lost + restartCost;
@@ -92,7 +93,8 @@
     }
     if (!fits(demand, capacity) || plan.loss >= best.loss) return std::nullopt;
     // Capacity that must stay warm for others would not be taken: nobody is stopped for it.
-    if (!capacityIndex_.keepsWarmCapacity(machine, taken, job.rank)) return std::nullopt;
+    if (!capacityIndex_.keepsWarmCapacity(machine, taken, job.effectivePriority))
+        return std::nullopt;
     return plan;
 }
 
@@ -102,7 +104,8 @@
     for (const auto& [key, pool] : capacityIndex_.pools()) {
         if (key.outboundPartitioned) continue;
         if (!allowed(job, key.type, key.zone, key.spot, planned)) continue;
-        const CapacitySet& machines = pool.reclaimable[static_cast<std::size_t>(job.rank)];
+        const CapacitySet& machines =
+            pool.reclaimable[static_cast<std::size_t>(job.effectivePriority)];
         std::size_t compared = 0;
         machines.visitFitting(job.spec.demand, [&](MachineIndex machine) {
             if (placeable(job, machine, now))
@@ -115,7 +118,7 @@
 }
 
 void Cluster::preemptFor(const Job& job, std::uint32_t tasks, TimePoint now) {
-    if (job.rank == Priority::low) return;
+    if (job.effectivePriority == Priority::low) return;
     Planned planned;  // what is being reclaimed for the job already
     for (const auto& [machine, beneficiary] : reclaimedFor_) {
         if (beneficiary != &job) continue;
--- a/src/scheduler/queue_order.cpp
+++ b/src/scheduler/queue_order.cpp
@@ -72,14 +72,17 @@
         if (o.kind == "finished") starts.addEndWithin(job.releasedAt, o.within);
         if (o.kind == "deadline" && job.spec.deadlineS) {
             hasDeadlineObjective = true;
-            starts.addEndWithin(job.submittedAt, fromSeconds(*job.spec.deadlineS * o.times));
+            starts.addEndWithin(job.submittedAt,
+                                fromSeconds(*job.spec.deadlineS * o.deadlineFactor));
         }
     }
     if (job.spec.deadlineS && !hasDeadlineObjective)
         starts.addEndWithin(job.submittedAt, fromSeconds(*job.spec.deadlineS));
     // What its dependents ask of it: the jobs of a dependency graph are late together.
-    if (job.deadlines.first != Deadlines::never) starts.addEndBy(job.deadlines.first);
-    if (job.deadlines.last != job.deadlines.first) starts.addEndBy(job.deadlines.last);
+    if (job.inheritedDeadlines.first != Deadlines::never)
+        starts.addEndBy(job.inheritedDeadlines.first);
+    if (job.inheritedDeadlines.last != job.inheritedDeadlines.first)
+        starts.addEndBy(job.inheritedDeadlines.last);
     return starts.build();
 }
 
@@ -113,8 +116,8 @@
 
   private:
     static bool goesBefore(const QueueEntry& a, const QueueEntry& b) {
-        return std::tie(a.priority, a.job->submitted, a.job->spec.id) <
-               std::tie(b.priority, b.job->submitted, b.job->spec.id);
+        return std::tie(a.priority, a.job->submittedWallTime, a.job->spec.id) <
+               std::tie(b.priority, b.job->submittedWallTime, b.job->spec.id);
     }
 
     SchedulingPriority priorityOf(const Job& job, std::size_t conceded) const {
@@ -129,7 +132,7 @@
         std::set<std::pair<double, std::size_t>> keeping;  // by cores that wait
         for (std::size_t i = 0; i < entries.size(); ++i) {
             const auto& [priority, job] = entries[i];
-            const double drainRate = estimates_.drainRate(job->rank);
+            const double drainRate = estimates_.drainRate(job->effectivePriority);
             const double work = job->spec.demand.cores * job->waitingCount();
             coresAhead_ += work;
             if (!priority.canMeetAnother || job->spec.shape == Shape::service || drainRate <= 0)
--- a/src/scheduler/queue_order_test.cpp
+++ b/src/scheduler/queue_order_test.cpp
@@ -23,7 +23,7 @@
         job.spec.id = id;
         job.spec.jobClass = jobClass;
         job.spec.demand.cores = cores;
-        job.spec.estimateS = 10;
+        job.spec.estimatedRuntimeS = 10;
         job.submittedAt = job.releasedAt = start;
         return job;
     }
@@ -49,7 +49,7 @@
     /// As if so many cores of the jobs' rank were freed each second.
     void setDrainRate(double coresPerS) {
         Job running;
-        running.spec.estimateS = 1;
+        running.spec.estimatedRuntimeS = 1;
         running.spec.demand.cores = coresPerS;
         running.boundCount = 1;
         estimates.measureDrainRate({&running}, start);
@@ -98,7 +98,7 @@
 
 TEST_F(QueueOrderTest, DependentsHandDownTheirDeadlines) {
     Job& job = add("run-1", "etl");
-    job.deadlines = {start + 50s, start + 80s};
+    job.inheritedDeadlines = {start + 50s, start + 80s};
     const SchedulingPriority priority = priorityOf(job, start);
     EXPECT_EQ(priority.missedObjectives, 0U);
     EXPECT_EQ(priority.startBy, start + 40s);
@@ -111,7 +111,7 @@
     add("run-3", "web");
     add("run-1", "web");
     add("run-2", "api");
-    jobs[1].submitted = WallMillis(1);
+    jobs[1].submittedWallTime = WallMillis(1);
     EXPECT_EQ(order(start), (std::vector<JobId>{"run-2", "run-3", "run-1"}));
 }
 
--- a/src/scheduler/quota.cpp
+++ b/src/scheduler/quota.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-Demand useOf(const std::unordered_map<std::string, Demand>& uses, const std::string& team) {
+Resources useOf(const std::unordered_map<std::string, Resources>& uses, const std::string& team) {
     const auto it = uses.find(team);
-    return it == uses.end() ? Demand{} : it->second;
+    return it == uses.end() ? Resources{} : it->second;
 }
 
 }  // namespace
@@ -42,7 +42,7 @@
 bool Quota::withinLimit(const JobSpec& spec) const {
     const settings::Team* team = find(spec.team);
     if (team == nullptr) return false;
-    const Demand used = useOf(use_, spec.team);
+    const Resources used = useOf(use_, spec.team);
     return (team->coresMax <= 0 || used.cores + spec.demand.cores <= team->coresMax + epsilon) &&
            (team->gpusMax <= 0 || used.gpus + spec.demand.gpus <= team->gpusMax + epsilon);
 }
@@ -53,7 +53,7 @@
     const bool hasCells = std::any_of(operator_.reservations.begin(), operator_.reservations.end(),
                                       [&](const auto& r) { return r.team == spec.team; });
     if (hasCells) return true;  // the cells themselves are the bound
-    const Demand used = useOf(reservedUse_, spec.team);
+    const Resources used = useOf(reservedUse_, spec.team);
     return (team->cores > 0 && used.cores + spec.demand.cores <= team->cores + epsilon) ||
            (team->gpus > 0 && spec.demand.gpus > 0 &&
             used.gpus + spec.demand.gpus <= team->gpus + epsilon);
@@ -117,7 +117,7 @@
     const auto share = [&](double demand, double capacity) {
         return capacity > 0 ? demand * slots / capacity : 0.0;
     };
-    const Demand& whole = machineType->second.capacity;
+    const Resources& whole = machineType->second.capacity;
     const double needed =
         std::max({share(spec.demand.cores, whole.cores), share(spec.demand.gpus, whole.gpus),
                   share(spec.demand.ramGb, whole.ramGb), 1.0});
--- a/src/scheduler/quota.h
+++ b/src/scheduler/quota.h
@@ -21,7 +21,7 @@
 #include "autoscaler/catalogue.h"
 #include "cells/cells.h"
 #include "jobs/job.h"
-#include "settings/operator.h"
+#include "settings/operator_settings.h"
 #include "settings/settings.h"
 #include "worker_api/machine.h"
 
@@ -38,7 +38,7 @@
 
     /// All of them must live as long as the quota; the operator's settings and the catalogue may
     /// change meanwhile.
-    Quota(const settings::Settings& settings, const settings::Operator& operatorSettings,
+    Quota(const settings::Settings& settings, const settings::OperatorSettings& operatorSettings,
           const autoscaler::Catalogue& catalogue)
         : settings_(settings), operator_(operatorSettings), catalogue_(catalogue) {}
 
@@ -54,7 +54,9 @@
     /// Cores in use by the team over its fair-share weight: the team with the least goes next.
     [[nodiscard]] double weightedUse(const std::string& team) const;
     /// Of everything that is possibly running, by team.
-    [[nodiscard]] const std::unordered_map<std::string, Demand>& useByTeam() const { return use_; }
+    [[nodiscard]] const std::unordered_map<std::string, Resources>& useByTeam() const {
+        return use_;
+    }
     void addUse(const JobSpec& spec) { use_[spec.team] += spec.demand; }
     void removeUse(const JobSpec& spec) { use_[spec.team] -= spec.demand; }
 
@@ -104,9 +106,9 @@
                                                                  const UsableMachine& usable) const;
 
     const settings::Settings& settings_;
-    const settings::Operator& operator_;
+    const settings::OperatorSettings& operator_;
     const autoscaler::Catalogue& catalogue_;
-    std::unordered_map<std::string, Demand> use_, reservedUse_;                   // by team
+    std::unordered_map<std::string, Resources> use_, reservedUse_;                // by team
     std::map<std::string, cells::CellPool> pools_;                                // by machine type
     std::map<std::pair<std::string, cells::CellIndex>, SharedCell> sharedCells_;  // by machine type
 };
--- a/src/scheduler/quota_test.cpp
+++ b/src/scheduler/quota_test.cpp
@@ -15,7 +15,7 @@
 class QuotaTest : public ::testing::Test {
   protected:
     settings::Settings settings = testing::someSettings();
-    settings::Operator operatorSettings;
+    settings::OperatorSettings operatorSettings;
     autoscaler::Catalogue catalogue = testing::someCatalogue();
     Job job;
 
--- a/src/scheduler/reconciliation.cpp
+++ b/src/scheduler/reconciliation.cpp
@@ -36,21 +36,21 @@
 constexpr std::uint32_t maxIgnoredResponses = 2;  // in a row, of a machine that receives them
 constexpr Duration heartbeatDelay = 1500ms;       // that an undisturbed network may cause
 
-bool occupiesMachine(Phase phase) {
-    return phase == Phase::running || phase == Phase::checkpointing;
+bool occupiesMachine(TaskPhase phase) {
+    return phase == TaskPhase::running || phase == TaskPhase::checkpointing;
 }
 
-Phase phaseOf(TaskStatus status) {
-    if (status == TaskStatus::pulling) return Phase::pulling;
-    if (status == TaskStatus::checkpointing) return Phase::checkpointing;
-    return Phase::running;
+TaskPhase phaseOf(TaskStatus status) {
+    if (status == TaskStatus::pulling) return TaskPhase::pulling;
+    if (status == TaskStatus::checkpointing) return TaskPhase::checkpointing;
+    return TaskPhase::running;
 }
 
 }  // namespace
 
 // ---------------------------------------------------------------- tasks
 
-void Cluster::setPhase(Job& job, JobTask& task, Phase phase, TimePoint now) {
+void Cluster::setPhase(Job& job, JobTask& task, TaskPhase phase, TimePoint now) {
     if (occupiesMachine(phase) && !occupiesMachine(task.phase)) {
         ++job.runningCount;
         task.runningSince = now;
@@ -66,7 +66,7 @@
     // than its failures did speaks for it; machines differ in speed.
     const Duration longEnough = std::max<Duration>(minHealthyRun, job.longestFailure * 5 / 4);
     return std::any_of(job.tasks.begin(), job.tasks.end(), [&](const JobTask& t) {
-        return t.state == TaskState::bound && t.phase == Phase::running &&
+        return t.state == TaskState::bound && t.phase == TaskPhase::running &&
                now - t.runningSince >= longEnough;
     });
 }
@@ -102,8 +102,8 @@
     const JobTask& task = job.tasks[t.task];
     const bool bound = task.state == TaskState::bound;
     const double ranS = toSeconds(now - task.runningSince);
-    if (bound && task.attempt == 1 && job.spec.estimateS > 0 && ranS > 0)
-        estimates_.recordRun(job.spec.jobClass, job.spec.estimateS, ranS);
+    if (bound && task.attempt == 1 && job.spec.estimatedRuntimeS > 0 && ranS > 0)
+        estimates_.recordRun(job.spec.jobClass, job.spec.estimatedRuntimeS, ranS);
     // A result is a result, whichever attempt brought it: but not while another attempt may be on
     // another machine. The record would no longer say where, and a successor would neither count
     // it nor wait for its end. It ends by itself as soon as it has its image.
@@ -126,7 +126,7 @@
             break;
         case ExitCause::error:
             if (!ownsAllocation(allocation, machine)) break;
-            if (task.phase == Phase::running)
+            if (task.phase == TaskPhase::running)
                 job.longestFailure = std::max(job.longestFailure, now - task.runningSince);
             onTaskFailed(machine, job, now);
             break;
@@ -192,10 +192,10 @@
     allocation.state.onReported();
     if (!ownsAllocation(allocation, machine)) return;
     JobTask& task = job->tasks[t.task];
-    const Phase before = task.phase;
-    const Phase phase = phaseOf(t.status);
+    const TaskPhase before = task.phase;
+    const TaskPhase phase = phaseOf(t.status);
     setPhase(*job, task, phase, now);
-    if (phase != Phase::pulling && before != Phase::running &&
+    if (phase != TaskPhase::pulling && before != TaskPhase::running &&
         m.images.insert_or_assign(job->spec.image, now).second)
         markCapacityDirty(machine);
 }
@@ -219,7 +219,7 @@
     m.reportBytes = r.bytes;
     if ((capacityIndex_.find(index) != nullptr) != acceptsWork(m))
         markCapacityDirty(index);  // unresponsive for a while, new, or its reports are full
-    scheduleTimer(index, now + settings_.reportEvery * 2);
+    scheduleTimer(index, now + settings_.heartbeatInterval * 2);
     if (r.interruptionNotice) noteInterruption(index, *r.interruptionNotice, now);
     reconcileTasks(index, r, now);
     releaseUnreported(index, r, source);
@@ -234,10 +234,10 @@
     m.spot = r.spot;
     // Bound by a former leader, in a zone that was not known until now.
     for (const Allocation& allocation : m.allocations) {
-        auto& perZone = allocation.job->perZone;
-        --perZone[""];
-        ++perZone[m.zone];
-        std::erase_if(perZone, [](const auto& zone) { return zone.second == 0; });
+        auto& tasksPerZone = allocation.job->tasksPerZone;
+        --tasksPerZone[""];
+        ++tasksPerZone[m.zone];
+        std::erase_if(tasksPerZone, [](const auto& zone) { return zone.second == 0; });
     }
     enterPool(machine);
     markCapacityDirty(machine);
@@ -315,7 +315,7 @@
         onTaskExited(machine, t, now);
         const Job* job = find(t.job);
         const bool onRecord = job != nullptr && t.task < job->spec.tasks;
-        m.terminalStatuses.emplace(ended, onRecord ? job->layout.of(t.task).version : 0);
+        m.terminalStatuses.emplace(ended, onRecord ? job->layout.rangeOf(t.task).version : 0);
     }
 }
 
@@ -376,7 +376,7 @@
     Machine& m = machines_[machine];
     // Known only since it answered a request, it has had no time to send a heartbeat yet.
     if (m.lastHeartbeatAt == TimePoint{}) m.lastHeartbeatAt = now;
-    const Duration overdue = settings_.reportEvery * 5 / 4 + heartbeatDelay;
+    const Duration overdue = settings_.heartbeatInterval * 5 / 4 + heartbeatDelay;
     if (now - m.lastHeartbeatAt <= overdue) return;
     if (!std::exchange(m.outboundPartitioned, true)) {
         spdlog::warn("machine is outbound-partitioned: machine={} reason=heartbeats_overdue",
@@ -426,7 +426,7 @@
 
 bool Cluster::isResponsive(const Machine& m, TimePoint now) const {
     return m.up() && m.incarnation > m.endedIncarnation &&
-           now - m.lastHeardAt < settings_.reportEvery * 2;
+           now - m.lastHeardAt < settings_.heartbeatInterval * 2;
 }
 
 }  // namespace basaltchute::scheduler
--- a/src/scheduler/reservations.cpp
+++ b/src/scheduler/reservations.cpp
@@ -52,7 +52,8 @@
     // lower priority.
     const auto isOpportunisticHere = [&](const Allocation& allocation) {
         const Job& other = *allocation.job;
-        return allocation.cells.empty() && (other.spec.team != spec.team || other.rank > job.rank);
+        return allocation.cells.empty() &&
+               (other.spec.team != spec.team || other.effectivePriority > job.effectivePriority);
     };
     for (const auto& [type, pool] : quota_.pools()) {
         if (!spec.allowsType(type)) continue;
--- a/src/scheduler/reservations_test.cpp
+++ b/src/scheduler/reservations_test.cpp
@@ -16,7 +16,7 @@
     std::unique_ptr<Cluster> cluster;
     std::map<std::string, std::string> records;
 
-    void start(const settings::Operator& own, FencingToken token = 1) {
+    void start(const settings::OperatorSettings& own, FencingToken token = 1) {
         cluster = std::make_unique<Cluster>(settings, token);
         cluster->setOperatorSettings(own);
         cluster->setCatalogue(testing::someCatalogue());
@@ -40,10 +40,10 @@
             for (Worker* w : workers) exchange(*w);
         }
     }
-    static settings::Operator machineFor(const std::string& team) {
-        settings::Operator own;
+    static settings::OperatorSettings machineFor(const std::string& team) {
+        settings::OperatorSettings own;
         own.reservations = {{team, "box", cells::Level::machine, 1}};
-        own.held = {{"box", 2}};
+        own.pooledMachines = {{"box", 2}};
         return own;
     }
 };
@@ -109,7 +109,7 @@
 }
 
 TEST_F(ReservationsTest, UnreservedCapacityIsSharedByWeight) {
-    settings::Operator own;
+    settings::OperatorSettings own;
     own.weights = {{"blue", 3.0}};
     settings.teams = {{"red", 0, 0, 0, 0}, {"blue", 0, 0, 0, 0}};
     start(own);
--- a/src/scheduler/runtime_estimates.cpp
+++ b/src/scheduler/runtime_estimates.cpp
@@ -19,9 +19,10 @@
 constexpr double minRunTimeS = 1.0;         // shorter ones count as this long
 }  // namespace
 
-void RuntimeEstimates::recordRun(const std::string& jobClass, double estimateS, double ranS) {
+void RuntimeEstimates::recordRun(const std::string& jobClass, double estimatedRuntimeS,
+                                 double ranS) {
     double& logBias = logBias_[jobClass];
-    const double observed = std::clamp(std::log(ranS / estimateS), -maxLogBias, maxLogBias);
+    const double observed = std::clamp(std::log(ranS / estimatedRuntimeS), -maxLogBias, maxLogBias);
     logBias += learningRate * (observed - logBias);
 }
 
@@ -31,7 +32,7 @@
 }
 
 Duration RuntimeEstimates::estimatedRunTime(const JobSpec& spec) const {
-    return fromSeconds(spec.estimateS * bias(spec.jobClass));
+    return fromSeconds(spec.estimatedRuntimeS * bias(spec.jobClass));
 }
 
 Duration RuntimeEstimates::jobDuration(const JobSpec& spec, double imageFetchS) const {
@@ -75,7 +76,7 @@
     std::array<double, 4> cores{}, coreSeconds{};
     for (const Job* job : openJobs) {
         if (job->spec.shape == Shape::service || job->boundCount == 0) continue;
-        const auto rank = static_cast<std::size_t>(job->rank);
+        const auto rank = static_cast<std::size_t>(job->effectivePriority);
         const double bound = job->spec.demand.cores * job->boundCount;
         cores[rank] += bound;
         coreSeconds[rank] += bound * std::max(minRunTimeS, toSeconds(estimatedRunTime(job->spec)));
--- a/src/scheduler/runtime_estimates.h
+++ b/src/scheduler/runtime_estimates.h
@@ -21,10 +21,10 @@
 
 class RuntimeEstimates {
   public:
-    /// A task ended that ran for `ranS` seconds with its first attempt; `estimateS` is its owner's
-    /// estimate, more than 0. The bias is a moving average of the logarithm of run time over
-    /// estimate, since owners' estimates are off in the same direction for most of a day.
-    void recordRun(const std::string& jobClass, double estimateS, double ranS);
+    /// A task ended that ran for `ranS` seconds with its first attempt; `estimatedRuntimeS` is its
+    /// owner's estimate, more than 0. The bias is a moving average of the logarithm of run time
+    /// over estimate, since owners' estimates are off in the same direction for most of a day.
+    void recordRun(const std::string& jobClass, double estimatedRuntimeS, double ranS);
 
     /// Run time over estimate, as observed in the class; 1 if nothing was.
     [[nodiscard]] double bias(const std::string& jobClass) const;
--- a/src/scheduler/runtime_estimates_test.cpp
+++ b/src/scheduler/runtime_estimates_test.cpp
@@ -11,11 +11,11 @@
 
 constexpr TimePoint start{1h};
 
-JobSpec specOf(const std::string& jobClass, double estimateS = 10) {
+JobSpec specOf(const std::string& jobClass, double estimatedRuntimeS = 10) {
     JobSpec spec;
     spec.id = "run-1";
     spec.jobClass = jobClass;
-    spec.estimateS = estimateS;
+    spec.estimatedRuntimeS = estimatedRuntimeS;
     return spec;
 }
 
@@ -92,7 +92,7 @@
     batch.spec = specOf("etl", 10);
     batch.spec.demand.cores = 4;
     batch.boundCount = 5;
-    batch.rank = Priority::high;
+    batch.effectivePriority = Priority::high;
     service.spec = specOf("web", 10);
     service.spec.shape = Shape::service;
     service.spec.demand.cores = 4;
--- a/src/scheduler/upgrade_test.cpp
+++ b/src/scheduler/upgrade_test.cpp
@@ -178,8 +178,8 @@
                 EXPECT_TRUE(is.allDone()) << id;
             }
             for (std::uint32_t t = 0; t < was.spec.tasks; ++t) {
-                const auto& s = was.layout.of(t);
-                if (s.durable < s.version) continue;
+                const auto& s = was.layout.rangeOf(t);
+                if (s.durableVersion < s.version) continue;
                 const JobTask &a = was.tasks[t], &b = is.tasks[t];
                 ASSERT_EQ(a.state, b.state) << id << '/' << t;
                 // Of a cancelled job no attempt is ever made again.
@@ -248,7 +248,7 @@
     for (const auto& [id, j] : *old) {
         const Job& job = *cluster->find(id);
         EXPECT_EQ(j.tasks, job.spec.tasks);
-        EXPECT_EQ(j.at, job.submitted.count());
+        EXPECT_EQ(j.at, job.submittedWallTime.count());
         EXPECT_EQ(j.cancelled, job.cancelCommitted) << id;
         EXPECT_EQ(j.withdrawing, job.cancelled && !job.cancelCommitted) << id;
         for (std::uint32_t t = 0; t < job.spec.tasks; ++t) {
--- a/src/settings/operator.cpp
+++ b/src/settings/operator_settings.cpp
@@ -1,4 +1,4 @@
-#include "settings/operator.h"
+#include "settings/operator_settings.h"
 
 #include <algorithm>
 
@@ -16,7 +16,8 @@
 
 }  // namespace
 
-std::variant<Operator, Error> parseOperator(const std::string& text, const Settings& settings) {
+std::variant<OperatorSettings, Error> parseOperatorSettings(const std::string& text,
+                                                            const Settings& settings) {
     const auto doc = json::parse(text);
     if (!doc) return Error("not JSON");
     if (auto error = json::schemaError(*doc, operatorSchema)) return std::move(*error);
@@ -24,7 +25,7 @@
         return std::any_of(settings.teams.begin(), settings.teams.end(),
                            [&](const auto& t) { return t.name == name; });
     };
-    Operator out;
+    OperatorSettings out;
     if (const auto* weights = json::find(*doc, "weights")) {
         for (const auto& w : weights->GetObject()) {
             if (!knownTeam(w.name.GetString()))
@@ -34,16 +35,16 @@
     }
     if (const auto n = json::count(*doc, "machinesPerZoneCell"))
         out.machinesPerZoneCell = static_cast<std::uint32_t>(*n);
-    out.zoneLoans = json::boolean(*doc, "zoneLoans").value_or(true);
+    out.leaseDelegationEnabled = json::boolean(*doc, "zoneLoans").value_or(true);
     if (const auto n = json::count(*doc, "storedFormat"))
-        out.storedFormat = static_cast<unsigned>(*n);
+        out.maxStoredFormat = static_cast<unsigned>(*n);
     struct Room {
         std::uint64_t machines = 0, slotsPerMachine = 1, slotsWanted = 0;
     };
     std::map<std::string, Room> rooms;
     if (const auto* pools = json::array(*doc, "pools"))
         for (const auto& p : pools->GetArray()) {
-            out.held[*json::string(p, "type")] =
+            out.pooledMachines[*json::string(p, "type")] =
                 static_cast<std::uint32_t>(*json::count(p, "machines"));
             rooms[*json::string(p, "type")] = {*json::count(p, "machines"),
                                                *json::count(p, "slotsPerMachine"), 0};
@@ -72,10 +73,11 @@
     return out;
 }
 
-std::variant<Operator, Error> loadOperator(const std::string& path, const Settings& settings) {
+std::variant<OperatorSettings, Error> loadOperatorSettings(const std::string& path,
+                                                           const Settings& settings) {
     const auto text = readFile(path);
     if (!text) return Error("cannot be read");
-    return parseOperator(*text, settings);
+    return parseOperatorSettings(*text, settings);
 }
 
 }  // namespace basaltchute::settings
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -102,14 +102,14 @@
     Reader root(&*doc, "", error);
     s.node = root.text("node_name");
     s.zone = root.text("area");
-    s.listen = root.address("client_listen");
-    s.meshListen = root.address("mesh_addr");
+    s.listenAddress = root.address("client_listen");
+    s.peerListenAddress = root.address("mesh_addr");
     root.each("seeds", [&](const json::Value&, Reader r) {
         s.peers.push_back({r.text("node_name"), r.text("area"), r.address("address")});
     });
     Reader endpoints = root.object("endpoints");
-    s.cloud = endpoints.address("cloud");
-    s.state = endpoints.address("state");
+    s.cloudAddress = endpoints.address("cloud");
+    s.stateAddress = endpoints.address("state");
     Reader params = root.object("params");
     params.each("zones", [&](const json::Value& v, Reader r) {
         if (!v.IsString()) return r.fail("", "a string");
@@ -125,7 +125,7 @@
                                 r.amountOr("times", 1)});
     });
     Reader workers = params.object("workers");
-    s.reportEvery = fromSeconds(workers.positive("report_s"));
+    s.heartbeatInterval = fromSeconds(workers.positive("report_s"));
     s.lease = fromSeconds(workers.positive("lease_s"));
     s.cancelWithin = fromSeconds(workers.positive("cancel_s"));
     Reader state = params.object("state");
@@ -134,8 +134,8 @@
     readLimits(state, s);
     Reader cloud = params.object("cloud");
     s.cloudRps = cloud.positive("rps");
-    s.listLag = fromSeconds(cloud.amount("list_lag_s"));
-    s.sockets = static_cast<std::size_t>(params.object("machine_limits").positive("fd_limit"));
+    s.cloudListLag = fromSeconds(cloud.amount("list_lag_s"));
+    s.maxSockets = static_cast<std::size_t>(params.object("machine_limits").positive("fd_limit"));
     if (!error.empty()) return error;
     return s;
 }
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -19,17 +19,17 @@
     std::string kind, jobClass;
     Duration within{};
     double share = 0;
-    double times = 1;  // of the job's own deadline, where that is what counts
+    double deadlineFactor = 1;  // of the job's own deadline, where that is what counts
 };
 
 /// What the platform hands to each controller.
 struct Settings {
-    std::string node, zone, listen, meshListen, cloud, state;
+    std::string node, zone, listenAddress, peerListenAddress, cloudAddress, stateAddress;
     std::vector<Peer> peers;
     std::vector<std::string> zones;
     std::vector<Team> teams;
     std::vector<Objective> objectives;
-    Duration reportEvery{}, lease{}, cancelWithin{};
+    Duration heartbeatInterval{}, lease{}, cancelWithin{};
     double stateRps = 0, stateWriteRps = 0;
     /// The smaller of the limits that the state service has now and those that it will have from
     /// some moment on: what is written first must take a change after it.
@@ -37,12 +37,14 @@
     std::size_t valueBytesNow = 0;
     double stateWriteRpsNext = 0;  // 0: as now
     double cloudRps = 0;
-    Duration listLag{};
-    std::size_t sockets = 0;
+    Duration cloudListLag{};
+    std::size_t maxSockets = 0;
     /// Of the sockets, a third is for direct orders to workers; what users and workers open may
     /// take the rest, less a few for the peers, the state service and the cloud.
-    [[nodiscard]] std::size_t directSockets() const { return sockets / 3; }
-    [[nodiscard]] std::size_t servedSockets() const { return sockets - sockets / 3 - sockets / 12; }
+    [[nodiscard]] std::size_t directCommandSockets() const { return maxSockets / 3; }
+    [[nodiscard]] std::size_t inboundSockets() const {
+        return maxSockets - maxSockets / 3 - maxSockets / 12;
+    }
 };
 
 /// One line: which field is wrong and what was expected there.
--- a/src/settings/settings_test.cpp
+++ b/src/settings/settings_test.cpp
@@ -2,7 +2,7 @@
 
 #include <gtest/gtest.h>
 
-#include "settings/operator.h"
+#include "settings/operator_settings.h"
 #include "testing/world.h"
 
 namespace basaltchute::settings {
@@ -78,7 +78,7 @@
 TEST(OperatorSettings, UnknownMembersAndImpossibleValuesAreErrorsThatNameTheField) {
     const auto platform = testing::someSettings();
     const auto error = [&](const std::string& text) {
-        const auto s = parseOperator(text, platform);
+        const auto s = parseOperatorSettings(text, platform);
         return std::holds_alternative<Error>(s) ? std::get<Error>(s) : "";
     };
     EXPECT_EQ(error("{}"), "");
--- a/src/settings/wire_format_test.cpp
+++ b/src/settings/wire_format_test.cpp
@@ -1,7 +1,7 @@
 // The field names of the platform's settings file and of the operators' file.
 #include <gtest/gtest.h>
 
-#include "settings/operator.h"
+#include "settings/operator_settings.h"
 #include "settings/settings.h"
 
 namespace basaltchute::settings {
@@ -28,14 +28,14 @@
     const auto& s = std::get<Settings>(parsed);
     EXPECT_EQ(s.node, "rig-0");
     EXPECT_EQ(s.zone, "north");
-    EXPECT_EQ(s.listen, "10.0.0.1:8080");
-    EXPECT_EQ(s.meshListen, "10.0.0.1:8081");
+    EXPECT_EQ(s.listenAddress, "10.0.0.1:8080");
+    EXPECT_EQ(s.peerListenAddress, "10.0.0.1:8081");
     ASSERT_EQ(s.peers.size(), 1U);
     EXPECT_EQ(s.peers[0].name, "rig-1");
     EXPECT_EQ(s.peers[0].zone, "south");
     EXPECT_EQ(s.peers[0].address, "10.0.0.2:8081");
-    EXPECT_EQ(s.cloud, "10.2.0.2:8443");
-    EXPECT_EQ(s.state, "10.2.0.1:2379");
+    EXPECT_EQ(s.cloudAddress, "10.2.0.2:8443");
+    EXPECT_EQ(s.stateAddress, "10.2.0.1:2379");
     EXPECT_EQ(s.zones, (std::vector<std::string>{"north", "south"}));
     ASSERT_EQ(s.teams.size(), 1U);
     EXPECT_EQ(s.teams[0].name, "red");
@@ -48,8 +48,8 @@
     EXPECT_EQ(s.objectives[0].jobClass, "web");
     EXPECT_EQ(s.objectives[0].within, Duration(15s));
     EXPECT_EQ(s.objectives[0].share, 0.8);
-    EXPECT_EQ(s.objectives[0].times, 1.5);
-    EXPECT_EQ(s.reportEvery, Duration(2500ms));
+    EXPECT_EQ(s.objectives[0].deadlineFactor, 1.5);
+    EXPECT_EQ(s.heartbeatInterval, Duration(2500ms));
     EXPECT_EQ(s.lease, Duration(16s));
     EXPECT_EQ(s.cancelWithin, Duration(41s));
     EXPECT_EQ(s.stateRps, 100);
@@ -59,13 +59,13 @@
     EXPECT_EQ(s.valueBytesNow, 16384U);
     EXPECT_EQ(s.txnOps, 5U);
     EXPECT_EQ(s.cloudRps, 8);
-    EXPECT_EQ(s.listLag, Duration(7s));
-    EXPECT_EQ(s.sockets, 1800U);
+    EXPECT_EQ(s.cloudListLag, Duration(7s));
+    EXPECT_EQ(s.maxSockets, 1800U);
 }
 
 TEST(WireFormat, OperatorFileFields) {
     const auto settings = std::get<Settings>(parse(settingsFile));
-    const auto parsed = parseOperator(
+    const auto parsed = parseOperatorSettings(
         R"({"weights":{"red":2.5},"machinesPerZoneCell":3,"zoneLoans":false,"storedFormat":1,)"
         R"("pools":[{"type":"c8","machines":6,"slotsPerMachine":4},)"
         R"({"type":"g4","machines":9,"slotsPerMachine":2}],)"
@@ -73,13 +73,13 @@
         R"({"team":"red","type":"c8","level":"machine","cells":2},)"
         R"({"team":"red","type":"g4","level":"zone","cells":1}]})",
         settings);
-    ASSERT_TRUE(std::holds_alternative<Operator>(parsed)) << std::get<Error>(parsed);
-    const auto& o = std::get<Operator>(parsed);
+    ASSERT_TRUE(std::holds_alternative<OperatorSettings>(parsed)) << std::get<Error>(parsed);
+    const auto& o = std::get<OperatorSettings>(parsed);
     EXPECT_EQ(o.weights, (std::map<std::string, double>{{"red", 2.5}}));
     EXPECT_EQ(o.machinesPerZoneCell, 3U);
-    EXPECT_FALSE(o.zoneLoans);
-    EXPECT_EQ(o.storedFormat, 1U);
-    EXPECT_EQ(o.held, (std::map<std::string, std::uint32_t>{{"c8", 6}, {"g4", 9}}));
+    EXPECT_FALSE(o.leaseDelegationEnabled);
+    EXPECT_EQ(o.maxStoredFormat, 1U);
+    EXPECT_EQ(o.pooledMachines, (std::map<std::string, std::uint32_t>{{"c8", 6}, {"g4", 9}}));
     ASSERT_EQ(o.reservations.size(), 3U);
     EXPECT_EQ(o.reservations[0].team, "red");
     EXPECT_EQ(o.reservations[0].type, "c8");
--- a/src/simulator/agent.cpp
+++ b/src/simulator/agent.cpp
@@ -131,7 +131,7 @@
 }
 
 std::string Agent::report() {
-    json::Out o;
+    json::Writer o;
     o.open().field("host", host_.name).field("addr", host_.address).field("rigKind", host_.type);
     o.field("hall", host_.zone).field("loaners", host_.spot).field("stint", incarnation_);
     o.field("tick", ++sequence_).field("baton", token_).key("recallS");
@@ -278,7 +278,7 @@
     for (const auto& [k, other] : tasks_) {
         if (other.status == TaskStatus::exited) continue;
         if (k.first == key.first) return refuse(ExitCause::busy);
-        const Demand& d = history_.jobs.at(other.job).demand;
+        const Resources& d = history_.jobs.at(other.job).demand;
         cores += d.cores;
         ram += d.ramGb;
         gpus += d.gpus;
@@ -334,14 +334,14 @@
     if (it == tasks_.end() || it->second.status == TaskStatus::exited) return;
     RunningTask& h = it->second;
     const JobSpec& spec = history_.jobs.at(h.job);
-    const bool saves =
-        h.status == TaskStatus::running && spec.checkpointS > 0 && grace >= fromSeconds(spec.saveS);
+    const bool saves = h.status == TaskStatus::running && spec.checkpointIntervalS > 0 &&
+                       grace >= fromSeconds(spec.checkpointDurationS);
     if (h.status == TaskStatus::checkpointing && grace > Duration::zero()) return;
     h.serial = ++serials_;
     if (!saves) return end(h, ExitCause::stopped, false);
     h.status = TaskStatus::checkpointing;
     change();
-    scope_.spawn(save(key, h.serial, fromSeconds(spec.saveS)));
+    scope_.spawn(save(key, h.serial, fromSeconds(spec.checkpointDurationS)));
 }
 Task<void> Agent::save(Key key, std::uint64_t serial, Duration span) {
     const TimePoint until = now() + span;
--- a/src/simulator/checker.cpp
+++ b/src/simulator/checker.cpp
@@ -73,7 +73,7 @@
     std::map<std::string, Known> jobs_;
     std::map<std::string, std::pair<double, double>> use_;  // cores and GPUs by team, all sites
     std::set<std::string> seen_, cancelledOn_, up_;
-    std::map<std::string, Demand> onMachine_;
+    std::map<std::string, Resources> onMachine_;
     double lookedBesideAt_ = 0;
     std::uint64_t polls_ = 0, answered_ = 0, launches_ = 0;
     std::deque<std::pair<double, bool>> recent_;  // polls and whether they were answered
@@ -103,8 +103,8 @@
         proof.push_back(i);
         wrong("wrong_place", spec.id + ' ' + why, proof);
     };
-    if (spec.types &&
-        std::find(spec.types->begin(), spec.types->end(), m.type) == spec.types->end())
+    if (spec.machineTypes && std::find(spec.machineTypes->begin(), spec.machineTypes->end(),
+                                       m.type) == spec.machineTypes->end())
         bad("is on a type that it does not allow");
     if (spec.zone && *spec.zone != m.zone) bad("is in a zone that it does not allow");
     if (m.spot && !spec.spotAllowed) bad("is on a spot machine");
@@ -332,15 +332,15 @@
     return std::any_of(up_.begin(), up_.end(), [&](const std::string& name) {
         const MachineFacts& m = h_.machines.at(name);
         if (m.spot && !spec.spotAllowed) return false;
-        if (spec.types &&
-            std::find(spec.types->begin(), spec.types->end(), m.type) == spec.types->end())
+        if (spec.machineTypes && std::find(spec.machineTypes->begin(), spec.machineTypes->end(),
+                                           m.type) == spec.machineTypes->end())
             return false;
         if (spec.zone && *spec.zone != m.zone) return false;
         const auto here = zones.find(m.zone);
         if (spec.spread && here != zones.end() && here->second >= (spec.tasks + 1) / 2)
             return false;
         if (spec.sameZone && !zones.empty() && here == zones.end()) return false;
-        Demand free = m.capacity;
+        Resources free = m.capacity;
         if (const auto used = onMachine_.find(name); used != onMachine_.end()) free -= used->second;
         return spec.demand.cores <= free.cores + tiny && spec.demand.ramGb <= free.ramGb + tiny &&
                spec.demand.gpus <= free.gpus + tiny;
--- a/src/simulator/checker_test.cpp
+++ b/src/simulator/checker_test.cpp
@@ -105,7 +105,7 @@
     history.jobs["run-1"].zone = "b";
     EXPECT_EQ(broken(), Rules{"wrong_place"});
     history.jobs["run-1"].zone.reset();
-    history.jobs["run-1"].types = {{"rack"}};
+    history.jobs["run-1"].machineTypes = {{"rack"}};
     EXPECT_EQ(broken(), Rules{"wrong_place"});
 }
 
--- a/src/simulator/cloud.cpp
+++ b/src/simulator/cloud.cpp
@@ -92,7 +92,7 @@
     const std::uint64_t left = room - std::min<std::uint64_t>(room, static_cast<unsigned>(used));
     const std::uint64_t n = std::min(left, *many);
     if (n == 0) return {503, R"({"error":"no capacity"})"};
-    json::Out out;
+    json::Writer out;
     out.open().key("hosts").openArray();
     for (std::uint64_t i = 0; i < n; ++i) {
         const std::string name = add(*type, *zone, spot).name;
@@ -119,7 +119,7 @@
     const double lag = toSeconds(terms_.listLag) * time_.between(0.5, 2);
     auto shown = past_.upper_bound(time_.now() - fromSeconds(lag));
     if (shown != past_.begin()) --shown;
-    json::Out out;
+    json::Writer out;
     out.open().key("hosts").openArray();
     std::size_t n = 0;
     bool more = false;
@@ -142,7 +142,7 @@
     if (down) return {503, R"({"error":"trouble"})"};
     if (!requests_.tryTake(loop_.now())) return {429, "{}"};
     if (r.target == "/catalog") {
-        json::Out out;
+        json::Writer out;
         out.open().key("rigs").openArray();
         for (const auto& t : terms_.types) {
             out.open().field("sku", t.name).field("cores", t.cores).field("gpus", t.gpus);
--- a/src/simulator/cloud.h
+++ b/src/simulator/cloud.h
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "http/server.h"
-#include "runtime/budget.h"
+#include "runtime/rate_limiter.h"
 #include "simulator/network.h"
 
 namespace basaltchute::simulator {
--- a/src/simulator/history.h
+++ b/src/simulator/history.h
@@ -38,7 +38,7 @@
 struct MachineFacts {
     std::string type, zone, site;
     bool spot = false;
-    Demand capacity{};
+    Resources capacity{};
 };
 
 struct History {
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -173,7 +173,7 @@
     }
     const auto found = simulator::compare(runs[0], runs[1]);
     if (json) {
-        basaltchute::json::Out o;
+        basaltchute::json::Writer o;
         o.open().field("seeds", seeds).key("measures").openArray();
         for (const auto& d : found) {
             o.open().field("name", d.name).field("pairs", static_cast<std::uint64_t>(d.pairs));
--- a/src/simulator/measures.cpp
+++ b/src/simulator/measures.cpp
@@ -68,7 +68,7 @@
 }
 
 std::string measuresText(std::uint64_t seed, const Measures& measures) {
-    json::Out o;
+    json::Writer o;
     o.open().field("seed", seed).key("measures").open();
     for (const auto& [name, value] : measures) o.field(name, value);
     o.close().close();
--- a/src/simulator/network.cpp
+++ b/src/simulator/network.cpp
@@ -249,7 +249,7 @@
     }(scope, ended));
     for (int rounds = 0; !ended; ++rounds) {
         if (rounds > 100'000) throw std::runtime_error(name + " does not end");
-        loop_->turn(Duration::zero());
+        loop_->runOnce(Duration::zero());
     }
 }
 void Machine::halt() {
@@ -274,7 +274,7 @@
     if (!on() || host_->dead_ || network_.time().now() < frozenUntil_) return;
     const std::uint64_t boot = boots_;
     // What never comes to rest at one moment is a fault of the code under test.
-    for (int rounds = 0; loop_->turn(Duration::zero()); ++rounds) {
+    for (int rounds = 0; loop_->runOnce(Duration::zero()); ++rounds) {
         if (boot != boots_ || !on()) return;
         if (rounds > 100'000) throw std::runtime_error(name + " never comes to rest");
     }
--- a/src/simulator/network.h
+++ b/src/simulator/network.h
@@ -79,7 +79,7 @@
 };
 
 /// The descriptors of one process. They end with it.
-class SimulatedHost final : public Host {
+class SimulatedHost final : public SocketBackend {
   public:
     SimulatedHost(Network& network, Machine& machine, std::size_t descriptors)
         : network_(network), machine_(machine), most_(descriptors) {}
--- a/src/simulator/simulation.cpp
+++ b/src/simulator/simulation.cpp
@@ -110,18 +110,18 @@
         const std::string ip = fmt::format("{}0.{}", net, 10 + i);
         x.node = fmt::format("{}-{}", s.terms.name, i);
         x.zone = s.terms.zones[i % s.terms.zones.size()];
-        x.listen = ip + ":8080";
-        x.meshListen = ip + ":8081";
-        x.state = fmt::format("{}1.1:{}", net, 2380 + i);
-        s.state->open(x.state, [node = n.get()] { return node->refused > 0; });
-        x.cloud = cloud;
+        x.listenAddress = ip + ":8080";
+        x.peerListenAddress = ip + ":8081";
+        x.stateAddress = fmt::format("{}1.1:{}", net, 2380 + i);
+        s.state->open(x.stateAddress, [node = n.get()] { return node->refused > 0; });
+        x.cloudAddress = cloud;
         x.zones = s.terms.zones;
         x.teams = s.terms.teams;
         for (const auto& c : s.terms.classes) {
             if (c.waitS) x.objectives.push_back({"wait", c.name, fromSeconds(*c.waitS), 0.9, 1});
             if (c.deadlineFactor > 0) x.objectives.push_back({"deadline", c.name, {}, 0.98, 1});
         }
-        x.reportEvery = s.workerTerms.report;
+        x.heartbeatInterval = s.workerTerms.report;
         x.lease = s.workerTerms.lease;
         x.cancelWithin = fromSeconds(s.terms.cancelS);
         x.stateRps = s.terms.state.rps;
@@ -129,22 +129,22 @@
         x.valueBytes = x.valueBytesNow = s.terms.state.valueBytes;
         x.txnOps = s.terms.state.txnOps;
         x.cloudRps = s.terms.cloudRps;
-        x.listLag = fromSeconds(s.terms.listLagS);
-        x.sockets = s.terms.sockets;
+        x.cloudListLag = fromSeconds(s.terms.listLagS);
+        x.maxSockets = s.terms.sockets;
         if (s.terms.heldBack)
-            n->operatorSettings.storedFormat = 1;
+            n->operatorSettings.maxStoredFormat = 1;
         else
             upgrade(s, *n);
         n->machine = machine(x.node, ip, x.zone, s);
-        s.workerTerms.nodes.emplace_back(x.node, x.listen);
-        addresses.push_back(x.listen);
+        s.workerTerms.nodes.emplace_back(x.node, x.listenAddress);
+        addresses.push_back(x.listenAddress);
         s.nodes.push_back(std::move(n));
     }
     for (auto& n : s.nodes)
         for (auto& other : s.nodes)
             if (n != other)
-                n->settings.peers.push_back(
-                    {other->settings.node, other->settings.zone, other->settings.meshListen});
+                n->settings.peers.push_back({other->settings.node, other->settings.zone,
+                                             other->settings.peerListenAddress});
     s.users = machine("users", net + "1.2", "", s);
     s.people = std::make_unique<Users>(time_, *s.users, addresses, history_);
 
@@ -180,7 +180,7 @@
 }
 
 void Simulation::start(Node& n) {
-    EventLoop& loop = n.machine->boot(n.settings.sockets);
+    EventLoop& loop = n.machine->boot(n.settings.maxSockets);
     n.controller = std::make_unique<controller::Controller>(loop, n.settings, n.operatorSettings,
                                                             std::to_string(time_.random()()));
     n.controller->start();
@@ -197,7 +197,7 @@
     }(*n.controller, ended));
     for (int rounds = 0; !ended; ++rounds) {
         if (rounds > 100'000) throw std::runtime_error(n.settings.node + " does not end");
-        loop.turn(Duration::zero());
+        loop.runOnce(Duration::zero());
     }
     n.controller.reset();
     n.machine->halt();
@@ -217,7 +217,7 @@
     if (next.valueBytes > 0) x.valueBytes = std::min(x.valueBytes, next.valueBytes);
     if (next.txnOps > 0) x.txnOps = std::min(x.txnOps, next.txnOps);
     x.stateWriteRpsNext = next.writeRps;
-    n.operatorSettings.storedFormat = 2;
+    n.operatorSettings.maxStoredFormat = 2;
 }
 
 void Simulation::roll(Site& s, std::size_t next, double everyS, double backS) {
@@ -269,7 +269,7 @@
             Users::PlannedJob& w = out.jobs.back();
             w.cancelAfterS.reset();
             w.spec.deadlineS.reset();
-            if (i == 0) together += w.spec.estimateS;
+            if (i == 0) together += w.spec.estimatedRuntimeS;
             for (const std::size_t need : stage.needs)
                 for (const std::size_t job : ofStage[need])
                     w.spec.dependencies.push_back(out.jobs[job].spec.id);
@@ -314,10 +314,10 @@
     if (c.standing) {
         wish.cancelAfterS = run;
     } else {
-        j.estimateS = run * time_.between(0.6, 1.6);
-        j.checkpointS = c.checkpointS;
-        j.saveS = c.saveS;
-        if (c.deadlineFactor > 0) j.deadlineS = j.estimateS * c.deadlineFactor + 10;
+        j.estimatedRuntimeS = run * time_.between(0.6, 1.6);
+        j.checkpointIntervalS = c.checkpointS;
+        j.checkpointDurationS = c.saveS;
+        if (c.deadlineFactor > 0) j.deadlineS = j.estimatedRuntimeS * c.deadlineFactor + 10;
         if (time_.chance(c.cancelledShare)) wish.cancelAfterS = time_.between(0, run * 2);
     }
     if (time_.chance(0.1)) wish.repeatAfterS = time_.between(1, run * 2);
--- a/src/simulator/simulation.h
+++ b/src/simulator/simulation.h
@@ -32,7 +32,7 @@
   private:
     struct Node {
         settings::Settings settings;
-        settings::Operator operatorSettings;
+        settings::OperatorSettings operatorSettings;
         std::unique_ptr<Machine> machine;
         std::unique_ptr<controller::Controller> controller;
         int refused = 0;  // by the state service, alone; as often as that was begun
