--- a/src/simulator/state_service.cpp
+++ b/src/simulator/state_service.cpp
@@ -66,7 +66,7 @@
 
 http::Response StateService::multi(const std::string& body) {
     const auto doc = json::parse(body);
-    json::Out out;
+    json::Writer out;
     std::vector<std::string> failed;
     if ((*doc)["then"].Size() > terms_.txnOps || body.size() > std::size_t{64} * 1024)
         return {400, R"({"error":"too large"})"};
@@ -133,7 +133,7 @@
     const std::string prefix = param(target, "under"), after = param(target, "after");
     const std::string page = param(target, "page");
     const std::size_t most = page.empty() ? 1000 : std::stoul(page);
-    json::Out out;
+    json::Writer out;
     out.open().key("pairs").openArray();
     std::size_t bytes = 0, items = 0;
     bool more = false;
@@ -174,7 +174,7 @@
     }
     if (down || refuses()) co_return http::Response{503, R"({"error":"trouble"})"};
     if (!requests_.tryTake(loop_.now())) co_return http::Response{429, R"({"error":"too many"})"};
-    json::Out out;
+    json::Writer out;
     if (r.target == "/multi") co_return multi(r.body);
     if (r.target == "/grants") {
         const auto doc = json::parse(r.body);
--- a/src/simulator/state_service.h
+++ b/src/simulator/state_service.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "http/server.h"
-#include "runtime/budget.h"
+#include "runtime/rate_limiter.h"
 
 namespace basaltchute::simulator {
 
--- a/src/simulator/users.cpp
+++ b/src/simulator/users.cpp
@@ -27,17 +27,17 @@
 }  // namespace
 
 std::string submissionOf(const JobSpec& s) {
-    json::Out o;
+    json::Writer o;
     o.open().field("ref", s.id).field("category", s.jobClass).field("crew", s.team);
     o.field("shape", s.shape == Shape::service ? "standing" : "array");
     o.field("rank", wordOf(s.priority)).field("splits", s.tasks).field("cores", s.demand.cores);
     o.field("gpus", s.demand.gpus).field("ramGb", s.demand.ramGb).field("build", s.image);
     o.field("sizeGb", s.imageGb).key("rigs");
-    if (!s.types) {
+    if (!s.machineTypes) {
         o.null();
     } else {
         o.openArray();
-        for (const auto& t : *s.types) o.value(t);
+        for (const auto& t : *s.machineTypes) o.value(t);
         o.closeArray();
     }
     o.key("hall");
@@ -46,7 +46,9 @@
     else
         o.null();
     o.field("together", s.sameZone).field("spread", s.spread).field("loaners", s.spotAllowed);
-    o.field("parS", s.estimateS).field("savepointS", s.checkpointS).field("flushS", s.saveS);
+    o.field("parS", s.estimatedRuntimeS)
+        .field("savepointS", s.checkpointIntervalS)
+        .field("flushS", s.checkpointDurationS);
     o.key("cutoffS");
     if (s.deadlineS)
         o.value(*s.deadlineS);
--- a/src/testing/world_test.cpp
+++ b/src/testing/world_test.cpp
@@ -12,7 +12,7 @@
     const TimePoint end = clock.now() + most;
     int quiet = 0;
     while (!done()) {
-        if (loop.turn(Duration::zero())) {
+        if (loop.runOnce(Duration::zero())) {
             quiet = 0;
             continue;
         }
@@ -88,11 +88,11 @@
     settings::Settings s;
     s.node = "rig-0";
     s.zone = "a";
-    s.listen = s.meshListen = "127.0.0.1:0";
-    s.cloud = s.state = "127.0.0.1:1";
+    s.listenAddress = s.peerListenAddress = "127.0.0.1:0";
+    s.cloudAddress = s.stateAddress = "127.0.0.1:1";
     s.zones = {"a", "b"};
     s.teams = {{"red", 0, 0, 0, 0}, {"blue", 0, 16, 0, 0}};
-    s.reportEvery = 2500ms;
+    s.heartbeatInterval = 2500ms;
     s.lease = 16s;
     s.cancelWithin = 41s;
     s.stateRps = 200;
@@ -100,8 +100,8 @@
     s.valueBytes = s.valueBytesNow = std::size_t{16} * 1024;
     s.txnOps = 20;
     s.cloudRps = 10;
-    s.listLag = 8s;
-    s.sockets = 500;
+    s.cloudListLag = 8s;
+    s.maxSockets = 500;
     return s;
 }
 autoscaler::Catalogue someCatalogue() {
--- a/src/worker_api/status_report.cpp
+++ b/src/worker_api/status_report.cpp
@@ -35,7 +35,7 @@
     return "forget";
 }
 
-void write(json::Out& o, const std::vector<Command>& commands) {
+void write(json::Writer& o, const std::vector<Command>& commands) {
     o.key("orders").openArray();
     for (const Command& command : commands) {
         const TaskAttempt& target = attemptOf(command);
@@ -95,7 +95,7 @@
 }
 
 std::string encodeHeartbeatResponse(FencingToken token, const std::vector<Command>& commands) {
-    json::Out o;
+    json::Writer o;
     o.open().field("baton", token);
     write(o, commands);
     o.close();
@@ -103,7 +103,7 @@
 }
 std::string encodeCommands(FencingToken token, std::uint64_t incarnation,
                            const std::vector<Command>& commands) {
-    json::Out o;
+    json::Writer o;
     o.open().field("baton", token).field("stint", incarnation);
     write(o, commands);
     o.close();
--- a/tools/gateway_load.cpp
+++ b/tools/gateway_load.cpp
@@ -43,7 +43,7 @@
     Instance(const Setting& s, unsigned number, const std::string& state, const std::string& jobs)
         : address_(testing::freeAddress()) {
         const std::string path = s.directory + "/gw-" + std::to_string(number) + ".json";
-        json::Out o;
+        json::Writer o;
         o.open().field("instance", "gw-" + std::to_string(number));
         o.field("listen", address_).field("admin", testing::freeAddress());
         o.key("controllers").openArray().value(jobs).closeArray().key("state").open();
@@ -209,14 +209,14 @@
             flag = true;
         }(scope, gone));
         // NOLINTNEXTLINE(bugprone-infinite-loop): the spawned routine sets the flag.
-        while (!gone) loop.turn(1ms);
+        while (!gone) loop.runOnce(1ms);
     }
 
     void runFor(Duration span) {
         const TimePoint until = loop.now() + span;
         while (loop.now() < until) {
             for (const auto& s : senders) s->step(addresses);
-            loop.turn(2ms);
+            loop.runOnce(2ms);
         }
     }
     [[nodiscard]] std::size_t done() const {
