--- a/tools/golden/write.cpp
+++ b/tools/golden/write.cpp
@@ -42,7 +42,7 @@
 }  // namespace
 
 int main() {
-    json::Writer o;
+    json::Out o;
     o.open().key("records").open();
     const auto write = [&](const Job& job) {
         for (std::size_t r = 0; r < job.records.size(); ++r) {
@@ -68,7 +68,7 @@
     const auto make = [&](const std::string& id, std::uint32_t tasks,
                           const std::string& extra = "null") {
         auto job = jobs::makeJob(spec(id, tasks, extra), valueBytes);
-        job->submittedWallTime = WallMillis(1'700'000'000'000);
+        job->submitted = WallMillis(1'700'000'000'000);
         return job;
     };
     auto fresh = make("run-000001", 2);
