--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,4 +1,11 @@
 #pragma once
+// One controller: the process that takes part in the election and serves users and agents.
+//
+// Every controller answers HTTP requests. The leader answers by its `LeaderTerm`; the others
+// forward requests to the leader over `PeerRpc`, and may answer heartbeats for a silent leader by a
+// delegation (`lease_delegation::Delegate`). Controllers also relay requests for peers that cannot
+// reach the state service or an agent themselves. Created by main() and by the simulator; all of it
+// runs on one event loop.
 #include <memory>
 #include <set>
 #include <unordered_map>
@@ -11,14 +18,19 @@
 
 namespace basaltchute::controller {
 
-/// One controller: serves users and workers, follows or leads, and speaks to its peers.
+/// Serves users and agents, and follows or leads; see the top of this file.
 class Controller : private LeaderElectionListener, private ElectionPeers {
   public:
+    /// `incarnation`: a random name of this process, which tells it from earlier ones on the same
+    /// node. The loop must outlive the controller.
     Controller(EventLoop& loop, settings::Settings settings,
                settings::OperatorSettings operatorSettings, const std::string& incarnation);
+    /// Starts listening, connecting to peers, and the election. Throws std::system_error if an
+    /// address cannot be bound.
     void start();
+    /// Resigns the leadership, ends every duty and stops the event loop.
     Task<void> shutDown();
-    /// Ends every duty as it stands, as a process that is killed would: nothing is given back.
+    /// Ends every duty without resigning, as if the process had been killed: its lease runs on.
     Task<void> abandon() { return scope_.cancelAndWait(); }
 
   private:
@@ -33,40 +45,51 @@
         return peers_.nodesSilentFor(span);
     }
     Task<http::Response> handleRequest(http::Request request);
-    /// Agents send heartbeats; whoever asks for anything else counts with the users.
+    /// Requests to the heartbeat path come from agents; all others count as users' requests.
     static http::ConnectionClass classify(const http::Request& request);
     Task<http::Response> handleUserRequest(http::Request request);
-    Task<http::Response> relayToStoreFor(http::Request request);
-    Task<http::Response> relayToAgentFor(http::Request request, std::string worker);
+    /// Sends a peer's request to the state service, for a peer that cannot reach it.
+    Task<http::Response> relayPeerRequestToStore(http::Request request);
+    /// Sends a peer's request to an agent, for a peer that cannot reach it. The status tells the
+    /// peer whether the agent was tried: 502 if it was not reached, 504 if it may have received
+    /// the request, 500 if that is not known or nothing was sent.
+    Task<http::Response> relayPeerRequestToAgent(http::Request request, std::string agentAddress);
     struct ForwardResult {
-        std::optional<http::Response> response;
-        bool relayed = false;  // by another node: as old as the question may be
+        std::optional<http::Response> response;  // nothing if none came in time
+        bool relayed = false;  // from another node: it may be as old as the request is
     };
-    /// Passes a request on to whoever leads, once more if another node does meanwhile. No response
-    /// if none came in time.
+    /// Hands a request to the leader, be it this node or another. If another node is elected
+    /// meanwhile, the request is sent again, to the new leader.
     Task<ForwardResult> forwardToLeader(http::Request request, Duration timeout);
-    /// Asks for a user, and again if what came back may be older than what users were told since.
-    Task<http::Response> askLeader(http::Request request, JobId job);
+    /// Forwards a user's request about a job, and repeats it if the response may be older than what
+    /// users were told of the job meanwhile.
+    Task<http::Response> forwardUserRequest(http::Request request, JobId job);
+    /// Answers a user's request or a heartbeat as the leader; 503 if this node does not lead.
     Task<http::Response> serveAsLeader(http::Request request);
-    /// Nothing if this node must not act, or finds out by the report that it must not.
+    /// Nothing if this node may not act, or if the report shows that another leader was elected.
     std::optional<http::Response> answerHeartbeatAsLeader(LeaderTerm& term,
                                                           const worker_api::StatusReport& report);
     Task<http::Response> handleHeartbeat(http::Request request);
-    /// Asks whoever leads for the right to answer for it, as long as it is heard.
+    /// Requests a delegation from the leader at intervals, while it can be reached.
     Task<void> refreshDelegation();
-    /// Asks the other nodes of the zone for theirs: this one was started again in a cut.
+    /// Requests a transfer of their delegation from the other nodes of this node's zone: this node
+    /// was restarted during a partition and has none.
     Task<void> requestTransfer();
-    /// A delegation for a node of this zone that holds none, as long as its leader is silent.
+    /// Transfers this node's delegation to a node of its zone that has none; nothing if it has no
+    /// delegation itself, hears its leader, or may not transfer it.
     std::optional<lease_delegation::Delegation> transferDelegation(
-        const lease_delegation::DelegationRequest& question);
-    /// An answer in the name of a leader that is silent; nothing if this node may not.
+        const lease_delegation::DelegationRequest& request);
+    /// Answers a heartbeat in a silent leader's name, without commands; nothing if no delegation
+    /// allows it.
     std::optional<http::Response> answerAsDelegate(const worker_api::StatusReport& report);
+    /// For the load balancer: 503 while this node cannot serve users.
     http::Response healthResponse();
+    /// The state of this node as JSON and, if it leads, of the cluster.
     http::Response statusResponse();
 
     EventLoop& loop_;
     settings::Settings settings_;
-    settings::OperatorSettings operator_;
+    settings::OperatorSettings operatorSettings_;
     Scope scope_;
     kv_store::Client store_;
     LeaderElection election_;
@@ -74,13 +97,14 @@
     http::Server server_;
     std::shared_ptr<LeaderTerm> term_;
     lease_delegation::Delegate delegate_;
-    Semaphore relays_;                     // commands to workers that peers have this node pass on
-    bool answeringAsDelegate_ = false;     // answering by a delegation, as last logged
-    std::set<std::string> followerPeers_;  // said since this node started that they do not lead
-    /// Questions of users that other nodes are to answer, by job, and the newest word about it that
-    /// went through this node since each left.
-    std::unordered_multimap<JobId, jobs::JobState*> openQuestions_;
-    TimePoint leaderSeenAt_;
+    Semaphore relayPermits_;            // one for each request relayed to an agent for a peer
+    bool answeringAsDelegate_ = false;  // as last logged
+    /// Peers that have said since this process started that they do not lead.
+    std::set<std::string> followerPeers_;
+    /// Users' requests that the leader has not answered yet, by job. Each points to the most
+    /// advanced state of the job that any response through this node showed since it was sent.
+    std::unordered_multimap<JobId, jobs::JobState*> pendingUserRequests_;
+    TimePoint leaderLastReachableAt_;
 };
 
 }  // namespace basaltchute::controller
--- a/src/controller/controller_test.cpp
+++ b/src/controller/controller_test.cpp
@@ -8,8 +8,8 @@
 #include "leader_election/fake_election_peers.h"
 #include "testing/world.h"
 
-// Whole controllers on a fake clock, with the state service, the cloud, users and workers
-// played by their published protocols.
+// Whole controllers on a fake clock. The state service and the cloud are fakes that speak the real
+// protocols; the tests act as users and agents.
 
 namespace basaltchute::controller {
 namespace {
@@ -30,7 +30,8 @@
     std::vector<std::unique_ptr<Node>> nodes;
     Scope users{world.loop};
 
-    /// `absent` peers are in the settings but never answer.
+    /// Starts `count` nodes and lets them elect a leader. `absent` more nodes are in their settings
+    /// but do not exist.
     void start(std::size_t count, std::size_t absent = 0) {
         for (std::size_t i = 0; i < count; ++i) {
             auto n = std::make_unique<Node>();
@@ -58,23 +59,23 @@
     }
     void launch(Node& n) {
         n.controller = std::make_unique<Controller>(world.loop, n.settings, n.operatorSettings,
-                                                    "process-" + std::to_string(++processes));
+                                                    "process-" + std::to_string(++processCount));
         n.controller->start();
     }
-    int processes = 0;
-    /// As a process that is killed: nothing that it would give back arrives.
+    int processCount = 0;
+    /// Ends a node as if its process were killed: its lease is not revoked.
     void kill(std::size_t node) {
-        bool gone = false;
-        const bool down = std::exchange(state.down, true);
+        bool ended = false;
+        const bool wasDown = std::exchange(state.down, true);
         world.scope.spawn([](Controller& c, bool& flag) -> Task<void> {
             co_await c.abandon();
             flag = true;
-        }(*nodes[node]->controller, gone));
-        world.until([&] { return gone; });
+        }(*nodes[node]->controller, ended));
+        world.until([&] { return ended; });
         nodes[node]->controller.reset();
-        state.down = down;
+        state.down = wasDown;
     }
-    /// Whoever holds the leader's key, or no node at all.
+    /// The node that the stored leader key names; nodes.size() if there is none.
     std::size_t leader() {
         for (std::size_t i = 0; i < nodes.size(); ++i)
             if (const auto held = state.keys.find("lead/holder");
@@ -83,17 +84,21 @@
                 return i;
         return nodes.size();
     }
+    /// The fencing token of the last election, by the stored counter.
     std::uint64_t token() {
         const auto doc = json::parse(state.keys.at("lead/token").data);
         return json::count(*doc, "token").value_or(json::count(*doc, "last").value_or(0));
     }
+    /// The job's status as that node reports it, or the HTTP status if there is none.
     std::string status(std::size_t node, const std::string& id) {
         const auto o = ask(node, "GET", "/v1/jobs/" + id);
         const auto doc = o.answered ? json::parse(o.response.body) : std::nullopt;
         return doc ? json::string(*doc, "status").value_or(std::to_string(o.response.status)) : "";
     }
-    int submit(std::size_t node, const std::string& id, const std::string& needs) {
-        return ask(node, "POST", "/v1/jobs", testing::submission(id, ",\"waitsOn\":" + needs))
+    /// Submits a job through that node; `dependencies` as JSON. Returns the HTTP status.
+    int submit(std::size_t node, const std::string& id, const std::string& dependencies) {
+        return ask(node, "POST", "/v1/jobs",
+                   testing::submission(id, ",\"waitsOn\":" + dependencies))
             .response.status;
     }
     http::RequestOutcome ask(std::size_t node, const std::string& method, const std::string& target,
@@ -125,18 +130,18 @@
     }
 };
 
-TEST_F(ControllerTest, FollowersWatchQuietlyAfterManyChangesElsewhere) {
-    // Once the state service had forgotten the revision of the leader's key, every follower asked
-    // for it without a pause, and the leader's own writes were refused.
+TEST_F(ControllerTest, FollowersDoNotPollAfterManyUnrelatedWrites) {
+    // Once the state service no longer kept the revision of the leader key, every follower polled
+    // it without a pause, and the leader's own writes were refused.
     start(3);
     state.changeElsewhere(20'000);
-    world.run(12s);  // the watches of before end
+    world.run(12s);  // until the watches that are open now have ended
     const int before = state.watches;
     world.run(20s);
-    EXPECT_LE(state.watches - before, 6) << "two followers, ten seconds a watch";
+    EXPECT_LE(state.watches - before, 6) << "two followers, one watch every ten seconds";
 }
 
-TEST_F(ControllerTest, AnyNodeTakesAJobOnceAndItStandsBeforeTheAnswer) {
+TEST_F(ControllerTest, AnyNodeAcceptsAJobOnceAndDurablyBeforeItResponds) {
     start(3);
     for (std::size_t i = 0; i < 3; ++i) EXPECT_EQ(ask(i, "GET", "/up").response.status, 200);
     const auto first = ask(0, "POST", "/v1/jobs", testing::submission("run-1"));
@@ -152,13 +157,13 @@
     EXPECT_EQ(ask(1, "PUT", "/v1/jobs").response.status, 405);
     EXPECT_EQ(ask(1, "GET", "/nowhere").response.status, 404);
     EXPECT_EQ(ask(1, "POST", "/status").response.status, 405);
-    const auto over = ask(2, "POST", "/v1/jobs/run-1/withdraw");
-    EXPECT_EQ(over.response.status, 200);
-    EXPECT_NE(over.response.body.find("cancelled"), std::string::npos);
+    const auto cancelled = ask(2, "POST", "/v1/jobs/run-1/withdraw");
+    EXPECT_EQ(cancelled.response.status, 200);
+    EXPECT_NE(cancelled.response.body.find("cancelled"), std::string::npos);
     EXPECT_NE(state.keys["jobs/run-1"].data.find("cancelled"), std::string::npos);
 }
 
-TEST_F(ControllerTest, WhatCanNeverRunOrLacksAFieldIsRefusedWithAReasonByAnyNode) {
+TEST_F(ControllerTest, AnyNodeRejectsInvalidSubmissionsWithAReason) {
     start(3);
     ASSERT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
     const auto submit = [&](std::size_t node, const std::string& body) {
@@ -177,11 +182,11 @@
             if (*value != 0)
                 body = body.substr(0, body.size() - 1) + ",\"" + field + "\":" + value + '}';
             for (const std::size_t node : {0U, 1U}) {
-                const std::string said = submit(node, body);
-                EXPECT_EQ(said.substr(0, 3), "400") << body;
-                const bool named = said.find(field) != std::string::npos ||
-                                   said.find("not JSON") != std::string::npos;
-                EXPECT_TRUE(named) << said;
+                const std::string answer = submit(node, body);
+                EXPECT_EQ(answer.substr(0, 3), "400") << body;
+                const bool named = answer.find(field) != std::string::npos ||
+                                   answer.find("not JSON") != std::string::npos;
+                EXPECT_TRUE(named) << answer;
             }
         }
     const auto changed = [&](const char* field, const std::string& value,
@@ -201,23 +206,23 @@
                                             {"hall", R"("nowhere")"},
                                             {"together", R"(true,"spread":true)"}})
         for (std::size_t node = 0; node < 3; ++node) {
-            const std::string said = submit(node, changed(field, value));
-            EXPECT_EQ(said.substr(0, 3), "422") << field << ' ' << value;
-            EXPECT_NE(said.find("error"), std::string::npos);
+            const std::string answer = submit(node, changed(field, value));
+            EXPECT_EQ(answer.substr(0, 3), "422") << field << ' ' << value;
+            EXPECT_NE(answer.find("error"), std::string::npos);
         }
-    // What is known stays so, whatever it would be told today.
+    // A known job stays accepted, whatever a submission of it says now.
     EXPECT_EQ(submit(1, changed("crew", R"("nobody")", "run-1")).substr(0, 3), "200");
-    EXPECT_EQ(status(2, "run-2"), "404") << "none of them was taken";
+    EXPECT_EQ(status(2, "run-2"), "404") << "none of them was accepted";
 }
 
-TEST_F(ControllerTest, AChainIsAcceptedThroughAnyNodeAndCancelledAsAWhole) {
+TEST_F(ControllerTest, DependentJobsAreAcceptedThroughAnyNodeAndCancelledTogether) {
     start(3);
     EXPECT_EQ(submit(0, "run-1", "null"), 201);
     EXPECT_EQ(submit(1, "run-2", R"(["run-1","run-1"])"), 201);
     EXPECT_EQ(submit(2, "run-3", R"(["run-2"])"), 201);
     EXPECT_EQ(submit(0, "run-4", R"(["run-3","run-1"])"), 201);
-    EXPECT_EQ(submit(1, "run-4", R"(["run-3","run-1"])"), 200) << "said again";
-    EXPECT_EQ(submit(1, "run-4", R"(["run-77"])"), 200) << "known, whatever is said of it";
+    EXPECT_EQ(submit(1, "run-4", R"(["run-3","run-1"])"), 200) << "submitted again";
+    EXPECT_EQ(submit(1, "run-4", R"(["run-77"])"), 200) << "known, whatever the submission says";
     EXPECT_EQ(submit(0, "run-5", R"(["run-77"])"), 422);
     EXPECT_EQ(submit(0, "run-5", R"(["run-5"])"), 422);
     for (const char* odd : {R"("run-1")", "[1]", R"([""])", R"(["a b"])", "{}"})
@@ -240,7 +245,8 @@
               std::string::npos);
     EXPECT_EQ(status(0, "run-6"), "pending");
     EXPECT_EQ(ask(0, "POST", "/v1/jobs/run-3/withdraw").response.status, 200);
-    // Accepted all the same, and never called pending: its user was told long ago.
+    // A job that depends on a cancelled one is accepted but cancelled at once: it is never reported
+    // as pending, since the user was told of that cancellation long before.
     const auto late =
         ask(1, "POST", "/v1/jobs", testing::submission("run-7", R"(,"waitsOn":["run-4"])"));
     EXPECT_EQ(late.response.status, 201);
@@ -249,53 +255,55 @@
     world.run(5s);
     const std::size_t next = leader();
     ASSERT_LT(next, 3U);
-    EXPECT_EQ(status(next, "run-7"), "cancelled") << "it follows at any leader";
+    EXPECT_EQ(status(next, "run-7"), "cancelled") << "every leader derives the same";
 }
 
-TEST_F(ControllerTest, NoChainIsTakenWhileANodeThatWouldLoseItIsThere) {
+TEST_F(ControllerTest, DependentJobsAreRefusedWhileANodeCannotReadTheirFormat) {
     start(3);
     EXPECT_EQ(state.keys.at("lead/token").data.find("format"), std::string::npos);
     const std::size_t first = leader();
-    const std::size_t held = (first + 1) % 3, other = (first + 2) % 3;
-    kill(held);
-    nodes[held]->operatorSettings.maxStoredFormat = 1;  // greets as a version before chains does
-    launch(*nodes[held]);
+    const std::size_t olderNode = (first + 1) % 3, other = (first + 2) % 3;
+    kill(olderNode);
+    // As a version without job dependencies.
+    nodes[olderNode]->operatorSettings.maxStoredFormat = 1;
+    launch(*nodes[olderNode]);
     world.run(2s);
     ASSERT_EQ(leader(), first);
     EXPECT_EQ(submit(other, "run-1", "null"), 201);
-    const auto refused =
+    const auto refusal =
         ask(other, "POST", "/v1/jobs", testing::submission("run-2", R"(,"waitsOn":["run-1"])"));
-    EXPECT_EQ(refused.response.status, 503);
-    EXPECT_GE(refused.response.retryAfterS, 1);
-    EXPECT_EQ(submit(other, "run-2", R"(["run-9"])"), 422) << "certain in any case";
-    // Merely down, it holds nobody up for long.
-    kill(held);
+    EXPECT_EQ(refusal.response.status, 503);
+    EXPECT_GE(refusal.response.retryAfterS, 1);
+    EXPECT_EQ(submit(other, "run-2", R"(["run-9"])"), 422) << "invalid at any format";
+    // A node that is down holds back the new format for a few seconds only.
+    kill(olderNode);
     world.run(1s);
     EXPECT_EQ(submit(other, "run-2", R"(["run-1"])"), 503);
     world.run(9s);
     EXPECT_EQ(submit(other, "run-2", R"(["run-1"])"), 201);
-    // From now on such a version calls the counter malformed, and only follows.
+    // From now on the older version finds the token counter malformed, so that it only follows.
     const auto counter = json::parse(state.keys.at("lead/token").data);
     EXPECT_FALSE(json::count(*counter, "token"));
     EXPECT_EQ(json::count(*counter, "format"), 2U);
-    launch(*nodes[held]);
+    launch(*nodes[olderNode]);
     world.run(2s);
-    EXPECT_EQ(submit(held, "run-3", R"(["run-2"])"), 201) << "what has been raised stays so";
+    EXPECT_EQ(submit(olderNode, "run-3", R"(["run-2"])"), 201)
+        << "a raised format is never lowered";
     const auto before = token();
     kill(first);
     world.run(6s);
     EXPECT_NE(leader(), first);
-    EXPECT_GT(token(), before) << "counted on under its new name";
+    EXPECT_GT(token(), before) << "the counter goes on in its new field";
 }
 
-TEST_F(ControllerTest, AStateOfAFormatThatIsNotKnownIsNotLedOver) {
+TEST_F(ControllerTest, NodeDoesNotLeadIfItCannotReadTheStoredFormat) {
     start(1);
     kill(0);
     state.keys.erase("lead/holder");
     state.keys["lead/token"].data = R"({"last":5,"node":"rig-0","format":3})";
     launch(*nodes[0]);
     world.run(8s);
-    EXPECT_EQ(leader(), 1U) << "nobody";
+    EXPECT_EQ(leader(), 1U) << "no leader";
     EXPECT_EQ(ask(0, "GET", "/v1/jobs/run-1").response.status, 503);
     state.keys["lead/token"].data = R"({"last":5,"node":"rig-0","format":2})";
     world.run(8s);
@@ -303,14 +311,14 @@
     EXPECT_EQ(token(), 6U);
 }
 
-TEST_F(ControllerTest, AnOutageDuringAcceptanceIsRefusedAtOnceAndTheJobIsTakenAfterwards) {
+TEST_F(ControllerTest, SubmissionDuringAStateServiceOutageIsRefusedAtOnceAndAcceptedAfterwards) {
     start(1);
     state.down = true;
-    const TimePoint asked = world.clock.now();
-    const auto refused = ask(0, "POST", "/v1/jobs", testing::submission("run-1"));
-    EXPECT_EQ(refused.response.status, 503);
-    EXPECT_GT(refused.response.retryAfterS, 0);
-    EXPECT_LT(world.clock.now() - asked, 1s) << "not held back";
+    const TimePoint requestedAt = world.clock.now();
+    const auto refusal = ask(0, "POST", "/v1/jobs", testing::submission("run-1"));
+    EXPECT_EQ(refusal.response.status, 503);
+    EXPECT_GT(refusal.response.retryAfterS, 0);
+    EXPECT_LT(world.clock.now() - requestedAt, 1s) << "not delayed";
     EXPECT_NE(ask(0, "GET", "/v1/jobs/run-1").response.status, 200);
     world.run(10s);
     state.down = false;
@@ -320,11 +328,11 @@
     EXPECT_TRUE(state.keys.contains("jobs/run-1"));
 }
 
-TEST_F(ControllerTest, AnotherNodeTakesOverWithAHigherTokenAndKnowsTheJobs) {
+TEST_F(ControllerTest, SuccessorLeadsWithAHigherTokenAndKnowsTheJobs) {
     start(2);
     ASSERT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
     const std::string before = state.keys.at("lead/holder").data;
-    state.endGrantOf("lead/holder");  // as if the leader had been silent for too long
+    state.endGrantOf("lead/holder");  // as if the leader had not renewed its lease in time
     world.run(6s);
     ASSERT_TRUE(state.keys.contains("lead/holder"));
     EXPECT_NE(state.keys.at("lead/holder").data, before);
@@ -333,95 +341,101 @@
         EXPECT_EQ(ask(i, "GET", "/v1/jobs/run-1").response.status, 200);
 }
 
-TEST_F(ControllerTest, BeatsReachTheLeaderThroughAnyNodeAndAHigherTokenDethronesIt) {
+TEST_F(ControllerTest, HeartbeatsReachTheLeaderThroughAnyNodeAndAHigherTokenEndsItsTerm) {
     start(2);
-    const auto beat = [](unsigned tick, unsigned token) {
+    const auto heartbeat = [](unsigned sequence, unsigned token) {
         return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
-               std::to_string(tick) + R"(,"baton":)" + std::to_string(token) +
+               std::to_string(sequence) + R"(,"baton":)" + std::to_string(token) +
                R"(,"recallS":null,"splits":[]})";
     };
     for (std::size_t i = 0; i < 2; ++i) {
-        const auto o = ask(i, "POST", "/agent/beat", beat(static_cast<unsigned>(i) + 1, 0));
+        const auto o = ask(i, "POST", "/agent/beat", heartbeat(static_cast<unsigned>(i) + 1, 0));
         EXPECT_EQ(o.response.status, 200);
         EXPECT_NE(o.response.body.find(R"("baton":1)"), std::string::npos);
     }
-    const auto o = ask(0, "POST", "/agent/beat", beat(9, 5));
-    EXPECT_NE(o.response.status, 200) << "the worker would drop it and lose its lease";
+    const auto o = ask(0, "POST", "/agent/beat", heartbeat(9, 5));
+    EXPECT_NE(o.response.status, 200) << "the agent would ignore it and lose its lease";
 }
 
-TEST_F(ControllerTest, AnOutageThatAllNodesPledgeForKeepsTheLeaderActing) {
-    // An outage of 19 s once outlasted leases of 16 s, and every replica was killed.
+TEST_F(ControllerTest, LeaderKeepsActingDuringAnOutageIfAllNodesPledge) {
+    // An outage of 19 s once outlasted the agents' leases of 16 s, and every replica was killed.
     start(3);
     state.down = true;
-    const auto beat = [](unsigned tick) {
+    const auto heartbeat = [](unsigned sequence) {
         return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
-               std::to_string(tick) + R"(,"baton":1,"recallS":null,"splits":[]})";
+               std::to_string(sequence) + R"(,"baton":1,"recallS":null,"splits":[]})";
     };
     for (unsigned s = 1; s <= 25; ++s) {
         world.run(1s);
-        EXPECT_EQ(ask(s % 3, "POST", "/agent/beat", beat(s)).response.status, 200) << s << " s";
+        EXPECT_EQ(ask(s % 3, "POST", "/agent/beat", heartbeat(s)).response.status, 200)
+            << s << " s";
     }
     EXPECT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 503);
     state.down = false;
     world.run(2s);
-    EXPECT_EQ(token(), 1U) << "nobody had to take over";
+    EXPECT_EQ(token(), 1U) << "there was no other election";
     EXPECT_NE(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 503);
 }
 
-TEST_F(ControllerTest, AWorkerIsAnsweredInASilentLeadersNameUntilTheDelegationEnds) {
-    // A zone cut off for longer than a lease lost all its tasks: nobody there could answer.
+TEST_F(ControllerTest, DelegateAnswersHeartbeatsForASilentLeaderUntilTheDelegationEnds) {
+    // A zone that was cut off for longer than a lease lost all its tasks: no node there could
+    // answer heartbeats.
     start(2);
-    const auto beat = [](unsigned tick, unsigned token) {
+    const auto heartbeat = [](unsigned sequence, unsigned token) {
         return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
-               std::to_string(tick) + R"(,"baton":)" + std::to_string(token) +
+               std::to_string(sequence) + R"(,"baton":)" + std::to_string(token) +
                R"(,"recallS":null,"splits":[]})";
     };
-    ASSERT_EQ(ask(0, "POST", "/agent/beat", beat(1, 0)).response.status, 200);
+    ASSERT_EQ(ask(0, "POST", "/agent/beat", heartbeat(1, 0)).response.status, 200);
     const bool firstLeads = state.keys.at("lead/holder").data.find("rig-0") != std::string::npos;
-    const std::size_t leader = firstLeads ? 0 : 1, holder = firstLeads ? 1 : 0;
-    const auto terms = lease_delegation::DelegationLimits::from(nodes[holder]->settings);
-    state.down = true;  // so that nobody takes over
-    bool left = false;
-    world.scope.spawn(stop(*nodes[leader]->controller, left));
-    world.until([&] { return left; });
-    unsigned tick = 1;
-    EXPECT_NE(ask(holder, "POST", "/agent/beat", beat(++tick, 1)).response.status, 200);
-    world.run(terms.leaderSilenceTimeout + 500ms);
-    const auto lent = ask(holder, "POST", "/agent/beat", beat(++tick, 1));
-    EXPECT_EQ(lent.response.status, 200);
-    EXPECT_EQ(lent.response.body, R"({"baton":1,"orders":[]})");
-    EXPECT_NE(ask(holder, "POST", "/agent/beat", beat(++tick, 2)).response.status, 200)
-        << "that worker would drop it";
-    world.run(terms.maxDuration - terms.leaderSilenceTimeout - 3s);
-    EXPECT_EQ(ask(holder, "POST", "/agent/beat", beat(++tick, 1)).response.status, 200);
+    const std::size_t leader = firstLeads ? 0 : 1, delegate = firstLeads ? 1 : 0;
+    const auto limits = lease_delegation::DelegationLimits::from(nodes[delegate]->settings);
+    state.down = true;  // so that no other node is elected
+    bool stopped = false;
+    world.scope.spawn(stop(*nodes[leader]->controller, stopped));
+    world.until([&] { return stopped; });
+    unsigned sequence = 1;
+    EXPECT_NE(ask(delegate, "POST", "/agent/beat", heartbeat(++sequence, 1)).response.status, 200);
+    world.run(limits.leaderSilenceTimeout + 500ms);
+    const auto outcome = ask(delegate, "POST", "/agent/beat", heartbeat(++sequence, 1));
+    EXPECT_EQ(outcome.response.status, 200);
+    EXPECT_EQ(outcome.response.body, R"({"baton":1,"orders":[]})");
+    EXPECT_NE(ask(delegate, "POST", "/agent/beat", heartbeat(++sequence, 2)).response.status, 200)
+        << "that agent would ignore it";
+    world.run(limits.maxDuration - limits.leaderSilenceTimeout - 3s);
+    EXPECT_EQ(ask(delegate, "POST", "/agent/beat", heartbeat(++sequence, 1)).response.status, 200);
     world.run(4s);
-    EXPECT_NE(ask(holder, "POST", "/agent/beat", beat(++tick, 1)).response.status, 200);
-    EXPECT_NE(ask(holder, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201)
-        << "a delegation answers workers only";
+    EXPECT_NE(ask(delegate, "POST", "/agent/beat", heartbeat(++sequence, 1)).response.status, 200);
+    EXPECT_NE(ask(delegate, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201)
+        << "a delegation allows answers to agents only";
     nodes.erase(nodes.begin() + static_cast<std::ptrdiff_t>(leader));
 }
 
-TEST_F(ControllerTest, AWorkerIsAnsweredInTheNameOfALeaderThatIsThereAndMayNotActAnyMore) {
-    // Another node ends in an outage, so that the leader lacks its pledge: connected as it was, it
-    // refused what the others passed on, and they refused with it. All leases ran out, 5,050 tasks.
+TEST_F(ControllerTest, DelegateAnswersHeartbeatsForAConnectedLeaderWhoseLeaseHasEnded) {
+    // A node crashes during an outage, so that the leader lacks its pledge and its lease ends. The
+    // leader was still connected but refused forwarded heartbeats, and the other nodes passed these
+    // refusals on instead of answering as delegates: the leases of 5,050 tasks ran out.
     start(3);
-    const std::size_t led = leader(), other = (led + 1) % 3;
+    const std::size_t leaderNode = leader(), other = (leaderNode + 1) % 3;
     state.down = true;
     world.run(2s);
-    kill((led + 2) % 3);
-    const auto beat = [](unsigned tick) {
+    kill((leaderNode + 2) % 3);
+    const auto heartbeat = [](unsigned sequence) {
         return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
-               std::to_string(tick) + R"(,"baton":1,"recallS":null,"splits":[]})";
+               std::to_string(sequence) + R"(,"baton":1,"recallS":null,"splits":[]})";
     };
-    const auto bounds = lease_delegation::DelegationLimits::from(nodes[0]->settings);
-    world.run(4s + bounds.leaderSilenceTimeout);
-    EXPECT_EQ(ask(led, "GET", "/v1/jobs/run-9").response.status, 503) << "its right has ended";
-    for (const std::size_t n : {other, led})
-        EXPECT_EQ(ask(n, "POST", "/agent/beat", beat(static_cast<unsigned>(n) + 1)).response.status,
-                  200)
+    const auto limits = lease_delegation::DelegationLimits::from(nodes[0]->settings);
+    world.run(4s + limits.leaderSilenceTimeout);
+    EXPECT_EQ(ask(leaderNode, "GET", "/v1/jobs/run-9").response.status, 503)
+        << "its lease has ended";
+    for (const std::size_t n : {other, leaderNode})
+        EXPECT_EQ(
+            ask(n, "POST", "/agent/beat", heartbeat(static_cast<unsigned>(n) + 1)).response.status,
+            200)
             << n;
-    world.run(bounds.maxDuration);
-    EXPECT_NE(ask(other, "POST", "/agent/beat", beat(9)).response.status, 200) << "to its end";
+    world.run(limits.maxDuration);
+    EXPECT_NE(ask(other, "POST", "/agent/beat", heartbeat(9)).response.status, 200)
+        << "the delegation has ended";
 }
 
 TEST_F(ControllerTest, NodeThatPledgedDoesNotCampaignBeforeItsPledgeExpires) {
@@ -436,9 +450,9 @@
     world.run(5s);
     EXPECT_TRUE(other.grantPledge(1, 3s));
     EXPECT_FALSE(other.grantPledge(1, 1h)) << "longer than a restarted node would wait";
-    bool left = false;
-    world.scope.spawn(stop(*nodes[0]->controller, left));  // the leader's key is free now
-    world.until([&] { return left; });
+    bool stopped = false;
+    world.scope.spawn(stop(*nodes[0]->controller, stopped));  // it gives up the leader key
+    world.until([&] { return stopped; });
     nodes.clear();
     world.run(2500ms);
     EXPECT_FALSE(peers.elected);
@@ -447,9 +461,9 @@
     world.end(scope);
 }
 
-TEST_F(ControllerTest, ANodeOnRecordAsAbsentIsNotNeededInAnOutage) {
-    // One silent controller and an outage together once ended every lease: on a day of 25 s
-    // without the state service all replicas were killed.
+TEST_F(ControllerTest, PledgeOfANodeRecordedAsAbsentIsNotNeededInAnOutage) {
+    // A silent controller together with an outage of the state service once ended every lease: in
+    // an outage of 25 s all replicas were killed.
     start(2, 1);
     world.run(10s);
     ASSERT_TRUE(state.keys.contains("lead/absent"));
@@ -461,13 +475,13 @@
     }
     state.down = false;
     world.run(2s);
-    EXPECT_EQ(token(), 1U) << "nobody had to take over";
+    EXPECT_EQ(token(), 1U) << "there was no other election";
 }
 
-TEST_F(ControllerTest, AFormerLeaderThatIsSilentIsNotNeededInAnOutageRightAfterTheElection) {
-    // Its pledge was missing until it had been on record for being silent, 8 s later: an outage
-    // before that ended the successor's right, and 1,862 tasks were killed by their lease on a day
-    // on which the leader was cut off and everybody lost the state service 4 s later.
+TEST_F(ControllerTest, PledgeOfASilentFormerLeaderIsNotNeededRightAfterTheElection) {
+    // The former leader's pledge used to be needed until it was recorded as absent, 8 s after it
+    // fell silent. When a leader was cut off and all nodes lost the state service 4 s later, the
+    // successor's lease ended in the outage, and 1,862 tasks were killed as their leases ran out.
     start(3);
     const std::size_t former = leader();
     kill(former);
@@ -485,18 +499,18 @@
     state.down = false;
     launch(*nodes[former]);
     world.run(3s);
-    EXPECT_EQ(token(), 2U) << "nobody had to take over";
-    EXPECT_EQ(state.keys.at("lead/absent").data, R"({"nodes":[]})") << "it is back";
+    EXPECT_EQ(token(), 2U) << "there was no other election";
+    EXPECT_EQ(state.keys.at("lead/absent").data, R"({"nodes":[]})") << "it is present again";
 }
 
-TEST_F(ControllerTest, ANodeThatIsCutOffFromAllButItsUsersSaysThatItCannotServe) {
-    // It called itself healthy for as long as that lasted: whoever kept a connection to it was
-    // refused all the time, and their jobs counted as forgotten.
+TEST_F(ControllerTest, IsolatedNodeReportsThatItIsUnhealthy) {
+    // A node that is cut off from everything but its users used to report that it was healthy.
+    // Users who kept their connection to it were refused all the time, and their jobs were lost.
     start(3);
     state.down = true;
     world.run(8s);
     for (std::size_t i = 0; i < 3; ++i)
-        EXPECT_EQ(ask(i, "GET", "/up").response.status, 200) << "all are alike in an outage";
+        EXPECT_EQ(ask(i, "GET", "/up").response.status, 200) << "no node is better in an outage";
     for (std::size_t i = 1; i < 3; ++i) kill(i);
     world.run(8s);
     EXPECT_EQ(ask(0, "GET", "/up").response.status, 503);
@@ -506,8 +520,8 @@
     EXPECT_EQ(ask(0, "GET", "/up").response.status, 200) << "it leads now";
 }
 
-TEST_F(ControllerTest, ANodeOnRecordAsAbsentDoesNotCampaign) {
-    // A leader may act by the pledges of the others alone.
+TEST_F(ControllerTest, NodeRecordedAsAbsentDoesNotCampaign) {
+    // While a node is recorded as absent, a leader may act without its pledge.
     state.keys["lead/absent"] = {R"({"nodes":["rig-0"]})", 1, 0};
     start(1);
     world.run(10s);
@@ -517,17 +531,19 @@
     EXPECT_TRUE(state.keys.contains("lead/holder"));
 }
 
-TEST_F(ControllerTest, MostNodesAreNeverOnRecordAsAbsent) {
-    // Then the silent one is the leader, and those who could follow it must be free to.
+TEST_F(ControllerTest, MajorityOfNodesIsNeverRecordedAsAbsent) {
+    // If most nodes are silent, it is probably this leader that is cut off, and the others must be
+    // free to elect another one.
     start(1, 3);
     world.run(15s);
     ASSERT_TRUE(state.keys.contains("lead/holder"));
     EXPECT_FALSE(state.keys.contains("lead/absent"));
 }
 
-TEST_F(ControllerTest, ProcessesThatEndEachSecondStillElectALeaderThoughOneNodeNeverSpeaks) {
-    // Each fresh process waited for 3 s, since it remembers no pledge, or for the word of every
-    // other node: with one node silent nobody led as long as the others ended more often than that.
+TEST_F(ControllerTest, NodesThatRestartEverySecondElectALeaderWhileAnotherNodeIsSilent) {
+    // A new process used to wait for 3 s, since it does not remember its pledges, or until every
+    // other node had said that it does not lead. With one node silent there was no leader as long
+    // as the others restarted more often than that.
     start(2, 1);
     ASSERT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
     FencingToken before = token();
@@ -542,8 +558,8 @@
     }
 }
 
-TEST_F(ControllerTest, AFreshProcessWaitsForALeaderThatItMayHavePledgedTo) {
-    // The one who was elected last may act by the pledge of this node's former process still.
+TEST_F(ControllerTest, RestartedNodeWaitsForALeaderThatItMayHavePledgedTo) {
+    // The leader that was elected last may still act by a pledge of this node's former process.
     state.keys["lead/token"] = {R"({"token":4,"node":"gone-0"})", 1, 0};
     start(1, 1);
     EXPECT_GT(token(), 4U);
@@ -555,7 +571,7 @@
     EXPECT_EQ(token(), 9U);
     world.run(300ms);
     EXPECT_EQ(token(), 10U);
-    // A counter of an older version does not say who it was: then it may have been anybody.
+    // A counter written by an older version does not name that leader: it may be any node.
     kill(0);
     state.keys.erase("lead/holder");
     state.keys["lead/token"] = {R"({"token":20})", 3, 0};
@@ -566,19 +582,20 @@
     EXPECT_EQ(token(), 21U);
 }
 
-TEST_F(ControllerTest, ASuccessorOfOnesOwnLeadsByATokenOfItsOwnAtOnce) {
+TEST_F(ControllerTest, RestartedLeaderLeadsAgainAtOnceWithANewToken) {
     start(1, 2);
     ASSERT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
     kill(0);
-    ASSERT_TRUE(state.keys.contains("lead/holder")) << "its grant lives on";
+    ASSERT_TRUE(state.keys.contains("lead/holder")) << "its lease is still valid";
     launch(*nodes[0]);
     world.run(100ms);
-    EXPECT_EQ(token(), 2U) << "not after the grant's end, and not under the former key";
+    EXPECT_EQ(token(), 2U) << "neither only after the lease has ended nor with the former key";
     EXPECT_EQ(ask(0, "GET", "/v1/jobs/run-1").response.status, 200);
 }
 
-TEST_F(ControllerTest, ASuccessorRentsUnderNamesOfItsOwnAndIsHealthyFromItsStart) {
-    // A rental of the former process that arrives late must not be answered by this one's name.
+TEST_F(ControllerTest, RestartedLeaderUsesNewBookingNamesAndIsHealthyAtOnce) {
+    // A request of the former process to rent machines may arrive late: it must not be taken for
+    // one of the new process.
     start(1);
     ask(0, "POST", "/v1/jobs", testing::submission("run-1"));
     world.run(5s);
@@ -587,35 +604,36 @@
     kill(0);
     cloud.bookings.clear();
     launch(*nodes[0]);
-    EXPECT_EQ(ask(0, "GET", "/up").response.status, 200) << "the load balancer notices nothing";
-    world.run(20s);  // it first learns which machines there are
+    EXPECT_EQ(ask(0, "GET", "/up").response.status, 200) << "the load balancer does not notice";
+    world.run(20s);  // the new process first lists the machines
     ASSERT_FALSE(cloud.bookings.empty());
     for (const auto& name : cloud.bookings) EXPECT_FALSE(before.contains(name)) << name;
 }
 
-TEST_F(ControllerTest, WhatAFormerProcessWroteArrivesTooLateOnceItsSuccessorLeads) {
+TEST_F(ControllerTest, LateWriteOfAFormerProcessIsFencedOnceItsSuccessorLeads) {
     start(1);
     state.fault = [](const http::Request& r) -> testing::StateService::Fault {
         if (r.body.find("jobs/run-1") == std::string::npos) return {};
         return {testing::StateService::Fault::Kind::late, 2s};
     };
     bool done = false;
-    http::RequestOutcome lost;
+    http::RequestOutcome outcome;
     users.spawn(
-        send(*nodes[0]->client, {"POST", "/v1/jobs", testing::submission("run-1")}, lost, done));
+        send(*nodes[0]->client, {"POST", "/v1/jobs", testing::submission("run-1")}, outcome, done));
     world.run(100ms);
     kill(0);
     launch(*nodes[0]);
     world.run(5s);
     EXPECT_TRUE(done);
-    EXPECT_NE(lost.response.status, 201);
-    EXPECT_FALSE(state.keys.contains("jobs/run-1")) << "guarded by the former process's own key";
+    EXPECT_NE(outcome.response.status, 201);
+    EXPECT_FALSE(state.keys.contains("jobs/run-1"))
+        << "its precondition is the former process's leader key";
     EXPECT_EQ(ask(0, "GET", "/v1/jobs/run-1").response.status, 404);
     state.fault = nullptr;
     EXPECT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
 }
 
-TEST_F(ControllerTest, ALateCampaignOfAFormerProcessLeadsNobody) {
+TEST_F(ControllerTest, LateCampaignOfAFormerProcessHasNoEffect) {
     start(1);
     kill(0);
     state.keys.erase("lead/holder");
@@ -625,7 +643,7 @@
     };
     launch(*nodes[0]);
     world.run(100ms);
-    kill(0);  // its campaign is on the way, under a grant that still lives
+    kill(0);  // its campaign is in flight, with a lease that is still valid
     state.fault = nullptr;
     launch(*nodes[0]);
     world.run(3s);
@@ -634,13 +652,13 @@
     EXPECT_GE(token(), 2U);
 }
 
-TEST_F(ControllerTest, AnElectionStandsThoughItsAnswerIsLostWhileOthersReadIt) {
+TEST_F(ControllerTest, ElectionWhoseResponseIsLostStillCounts) {
     start(3);
     ASSERT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
     const FencingToken before = token();
     int campaigns = 0;
     state.fault = [&](const http::Request& r) -> testing::StateService::Fault {
-        // The first one's answer is lost, by its own way as over a peer.
+        // The response to the first campaign is lost, directly and through a peer alike.
         if (r.body.find("lead/holder") == std::string::npos ||
             r.body.find("lead/token") == std::string::npos || ++campaigns > 1)
             return {};
@@ -654,15 +672,15 @@
     world.until([&] { return status(next, "run-1") == "pending"; });
     EXPECT_LT(world.clock.now() - ended, 4s);
     world.run(3s);
-    EXPECT_EQ(token(), before + 1) << "it stands: there is no second one";
+    EXPECT_EQ(token(), before + 1) << "there was no second election";
     EXPECT_EQ(leader(), next);
     state.fault = nullptr;
 }
 
-TEST_F(ControllerTest, AnEndInAnyPhaseOfATakeOverCostsThatTakeOverOnly) {
-    // Before the grant, between grant and key, between key and records, while they load, before the
-    // first acceptance and just after: every request takes its time, and the process ends in steps
-    // of less than that.
+TEST_F(ControllerTest, CrashInAnyPhaseOfATakeoverDelaysOnlyThatTakeover) {
+    // Every request to the state service takes 20 ms, and each step kills the process 8 ms later
+    // than the one before: before its lease is granted, before the leader key is written, before
+    // the records are loaded and while they are, and before and just after the first acceptance.
     start(1, 1);
     ASSERT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
     state.fault = [](const http::Request& r) -> testing::StateService::Fault {
@@ -676,10 +694,10 @@
         launch(*nodes[0]);
         world.run(step * 8ms);
         bool done = false;
-        http::RequestOutcome maybe;
+        http::RequestOutcome outcome;
         const std::string id = "run-" + std::to_string(10 + step);
         users.spawn(
-            send(*nodes[0]->client, {"POST", "/v1/jobs", testing::submission(id)}, maybe, done));
+            send(*nodes[0]->client, {"POST", "/v1/jobs", testing::submission(id)}, outcome, done));
         world.run(5ms);
         kill(0);
         world.until([&] { return done; });
@@ -687,109 +705,111 @@
         launch(*nodes[0]);
         world.run(1500ms);
         EXPECT_EQ(leader(), 0U) << step;
-        EXPECT_TRUE(elected.insert(token()).second) << "a token of its own, step " << step;
+        EXPECT_TRUE(elected.insert(token()).second) << "a new token, step " << step;
         EXPECT_EQ(ask(0, "GET", "/v1/jobs/run-1").response.status, 200) << step;
-        // Nobody was told that this one is accepted, unless it is.
-        const int now = ask(0, "GET", "/v1/jobs/" + id).response.status;
-        EXPECT_TRUE(maybe.response.status != 201 || now == 200) << step;
-        EXPECT_EQ(now == 200, state.keys.contains("jobs/" + id)) << step;
+        // If a user was told that the job is accepted, it is.
+        const int status = ask(0, "GET", "/v1/jobs/" + id).response.status;
+        EXPECT_TRUE(outcome.response.status != 201 || status == 200) << step;
+        EXPECT_EQ(status == 200, state.keys.contains("jobs/" + id)) << step;
     }
-    EXPECT_GT(interrupted, 5U) << "ended before the key stood";
-    EXPECT_LT(interrupted, 35U) << "and after";
+    EXPECT_GT(interrupted, 5U) << "steps that ended before the leader key was written";
+    EXPECT_LT(interrupted, 35U) << "some ended after it was written";
 }
 
-TEST_F(ControllerTest, AHolderHandsItsDelegationOnToANodeOfItsZoneThatWasStartedAgain) {
-    // A node that has just started holds no delegation: nodes of a cut zone that were started again
-    // one after the other left it without any.
+TEST_F(ControllerTest, DelegateTransfersItsDelegationToARestartedNodeOfItsZone) {
+    // A node that has just started has no delegation. When the nodes of a zone that was cut off
+    // were restarted one after the other, the zone was left without any.
     start(3);
-    const auto beat = [](unsigned tick) {
+    const auto heartbeat = [](unsigned sequence) {
         return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
-               std::to_string(tick) + R"(,"baton":1,"recallS":null,"splits":[]})";
+               std::to_string(sequence) + R"(,"baton":1,"recallS":null,"splits":[]})";
     };
-    const std::size_t led = leader();
-    ASSERT_LT(led, 3U);
-    const std::size_t first = (led + 1) % 3, second = (led + 2) % 3;
-    const auto terms = lease_delegation::DelegationLimits::from(nodes[0]->settings);
-    state.down = true;  // so that nobody takes over
-    kill(led);
-    unsigned tick = 0;
+    const std::size_t leaderNode = leader();
+    ASSERT_LT(leaderNode, 3U);
+    const std::size_t first = (leaderNode + 1) % 3, second = (leaderNode + 2) % 3;
+    const auto limits = lease_delegation::DelegationLimits::from(nodes[0]->settings);
+    state.down = true;  // so that no other node is elected
+    kill(leaderNode);
+    unsigned sequence = 0;
     kill(first);
     launch(*nodes[first]);
-    world.run(terms.leaderSilenceTimeout + 300ms);
-    EXPECT_EQ(ask(second, "POST", "/agent/beat", beat(++tick)).response.status, 200);
+    world.run(limits.leaderSilenceTimeout + 300ms);
+    EXPECT_EQ(ask(second, "POST", "/agent/beat", heartbeat(++sequence)).response.status, 200);
     world.run(1s);
-    EXPECT_EQ(ask(first, "POST", "/agent/beat", beat(++tick)).response.status, 200);
+    EXPECT_EQ(ask(first, "POST", "/agent/beat", heartbeat(++sequence)).response.status, 200);
     kill(second);
     launch(*nodes[second]);
-    world.run(terms.leaderSilenceTimeout + 1s);
-    EXPECT_EQ(ask(second, "POST", "/agent/beat", beat(++tick)).response.status, 200);
-    EXPECT_EQ(ask(first, "POST", "/agent/beat", beat(++tick)).response.status, 200);
+    world.run(limits.leaderSilenceTimeout + 1s);
+    EXPECT_EQ(ask(second, "POST", "/agent/beat", heartbeat(++sequence)).response.status, 200);
+    EXPECT_EQ(ask(first, "POST", "/agent/beat", heartbeat(++sequence)).response.status, 200);
     EXPECT_NE(ask(first, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
-    world.run(terms.maxDuration - terms.leaderSilenceTimeout * 2 - 2s);
+    world.run(limits.maxDuration - limits.leaderSilenceTimeout * 2 - 2s);
     for (const auto n : {first, second})
-        EXPECT_NE(ask(n, "POST", "/agent/beat", beat(++tick)).response.status, 200) << n;
+        EXPECT_NE(ask(n, "POST", "/agent/beat", heartbeat(++sequence)).response.status, 200) << n;
 }
 
-TEST_F(ControllerTest, TheRightToActEndsBeforeTheGrantCan) {
-    start(1, 1);  // the other node cannot pledge
-    const Duration life = LeaderElection::leaseTtlFor(nodes[0]->settings);
+TEST_F(ControllerTest, LeaderStopsActingBeforeItsLeaseCanEnd) {
+    start(1, 1);  // the other node does not exist, so it gives no pledge
+    const Duration leaseTtl = LeaderElection::leaseTtlFor(nodes[0]->settings);
     state.down = true;
-    const TimePoint from = world.clock.now();
+    const TimePoint startedAt = world.clock.now();
     bool acted = true;
-    while (world.clock.now() - from < life + 1s) {
+    while (world.clock.now() - startedAt < leaseTtl + 1s) {
         world.run(50ms);
         acted = ask(0, "GET", "/v1/jobs/run-9").response.status == 404;
         if (!acted) break;
     }
     EXPECT_FALSE(acted);
-    EXPECT_LT(world.clock.now() - from, life);
+    EXPECT_LT(world.clock.now() - startedAt, leaseTtl);
 }
 
-TEST_F(ControllerTest, WhatWaitedForAnEarlierLeadershipOfTheSameProcessIsRefused) {
-    // It leads again within a moment, and has the right to act again: what waited knows less.
+TEST_F(ControllerTest, RequestOfAnEarlierTermOfTheSameProcessIsRefused) {
+    // The process is elected again within moments and may act again, but a request of the earlier
+    // term must not be answered from what that term knew.
     start(1);
-    bool hold = true;
+    bool delayFirstWrite = true;
     state.fault = [&](const http::Request& r) -> testing::StateService::Fault {
-        if (!hold || r.body.find("jobs/run-1") == std::string::npos) return {};
-        hold = false;
+        if (!delayFirstWrite || r.body.find("jobs/run-1") == std::string::npos) return {};
+        delayFirstWrite = false;
         return {testing::StateService::Fault::Kind::late, 1200ms};
     };
-    http::RequestOutcome waited;
+    http::RequestOutcome outcome;
     bool done = false;
     users.spawn(
-        send(*nodes[0]->client, {"POST", "/v1/jobs", testing::submission("run-1")}, waited, done));
+        send(*nodes[0]->client, {"POST", "/v1/jobs", testing::submission("run-1")}, outcome, done));
     world.run(100ms);
     state.endGrantOf("lead/holder");
     world.until([&] { return done; });
-    EXPECT_EQ(waited.response.status, 503);
+    EXPECT_EQ(outcome.response.status, 503);
     world.until([&] { return token() == 2U && state.keys.contains("lead/holder"); });
     world.run(2s);
-    EXPECT_FALSE(state.keys.contains("jobs/run-1")) << "the write came late, and was fenced";
+    EXPECT_FALSE(state.keys.contains("jobs/run-1")) << "the write was late and was fenced";
     EXPECT_EQ(ask(0, "GET", "/v1/jobs/run-1").response.status, 404);
     EXPECT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
-    state.fault = nullptr;  // it looks at what ends here
+    state.fault = nullptr;  // it refers to local variables
 }
 
-TEST_F(ControllerTest, ALateRecordOfAbsentNodesIsMendedByWhoeverLeads) {
-    // Written without an answer, and carried out seconds later: the node that it names is back.
+TEST_F(ControllerTest, LateWriteOfTheAbsentNodesRecordIsCorrectedByTheLeader) {
+    // The write that records a node as absent is executed seconds later, without a response. By
+    // then the node is back.
     start(3);
-    const std::size_t away = (leader() + 1) % 3;
+    const std::size_t absentNode = (leader() + 1) % 3;
     state.fault = [](const http::Request& r) -> testing::StateService::Fault {
         if (r.body.find("lead/absent") == std::string::npos) return {};
         return {testing::StateService::Fault::Kind::late, 4s};
     };
-    kill(away);
+    kill(absentNode);
     world.run(4s);
-    launch(*nodes[away]);
+    launch(*nodes[absentNode]);
     state.fault = nullptr;
     world.run(8s);
-    const auto listed = state.keys.find("lead/absent");
-    EXPECT_TRUE(listed == state.keys.end() || listed->second.data == R"({"nodes":[]})")
-        << listed->second.data;
+    const auto record = state.keys.find("lead/absent");
+    EXPECT_TRUE(record == state.keys.end() || record->second.data == R"({"nodes":[]})")
+        << record->second.data;
     EXPECT_EQ(token(), 1U);
 }
 
-TEST_F(ControllerTest, AFormerLeadersWriteIsRefused) {
+TEST_F(ControllerTest, WriteOfAFormerLeaderIsFenced) {
     start(1);
     auto settings = nodes[0]->settings;
     kv_store::Client client(world.loop, settings);
@@ -805,7 +825,7 @@
     world.end(scope);
 }
 
-TEST_F(ControllerTest, TheStatusOfFourThousandMachinesHasNoLineOver64KiB) {
+TEST_F(ControllerTest, StatusOf4000MachinesHasNoLineLongerThan64KiB) {
     start(1);
     ASSERT_EQ(leader(), 0U);
     constexpr int count = 4000;
--- a/src/controller/leader_term.cpp
+++ b/src/controller/leader_term.cpp
@@ -11,52 +11,60 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration factTimeout = 3s;
-constexpr Duration askTimeout = 900ms;
-constexpr std::size_t askTries = 3;  // what a machine is given up after
-constexpr Duration planEvery = 1s, planGather = 250ms;
-constexpr Duration tick = 250ms;
-constexpr Duration gather = 10ms;
-const std::string experienceKey = "fleet/experience", experiencePrefix = experienceKey + '/';
-constexpr Duration experienceEvery = 60s;
-constexpr unsigned partedFormat = 2;  // of the stored state, with chains and records in parts
-constexpr std::size_t slice = 64;     // tasks placed before others get their turn
-
-std::vector<lease_delegation::Delegator::Node> othersOf(const settings::Settings& s) {
+/// Until a user whose request is not durable yet is told to try again.
+constexpr Duration durabilityTimeout = 3s;
+constexpr Duration probeTimeout = 900ms;
+constexpr std::size_t maxProbes = 3;  // in a row; then a silent machine counts as dead
+constexpr Duration autoscalerInterval = 1s;
+/// From an unanswered probe until the next autoscaler pass. Machines that fail together are noticed
+/// within moments of each other; one pass then handles all of them.
+constexpr Duration autoscalerBatchDelay = 250ms;
+constexpr Duration schedulerInterval = 250ms;
+/// Between two scheduler passes, so that one pass serves many heartbeats.
+constexpr Duration schedulerBatchDelay = 10ms;
+/// Tasks that one scheduler pass places before heartbeats and users' requests get their turn.
+constexpr std::size_t placementBatchSize = 64;
+/// Runtime statistics: one record for each machine type, under the prefix.
+const std::string statisticsKey = "fleet/experience", statisticsPrefix = statisticsKey + '/';
+constexpr Duration statisticsInterval = 60s;
+/// First format of the stored state that has job dependencies and record pages.
+constexpr unsigned pagedFormat = 2;
+
+std::vector<lease_delegation::Delegator::Node> otherNodes(const settings::Settings& s) {
     std::vector<lease_delegation::Delegator::Node> out;
     for (const auto& p : s.peers) out.push_back({p.name, p.zone});
     return out;
 }
 
-http::Response refuse(int status, const std::string& why) {
-    json::Writer o;
-    o.open().field("error", why).close();
-    return {status, o.text()};
+http::Response errorResponse(int status, const std::string& message) {
+    json::Writer out;
+    out.open().field("error", message).close();
+    return {status, out.text()};
 }
 }  // namespace
 
 LeaderTerm::LeaderTerm(EventLoop& loop, const settings::Settings& settings,
-                       const settings::OperatorSettings& operatorSettings, kv_store::Client& state,
-                       LeaderElection& leadership, kv_store::Precondition guard, Hooks hooks)
+                       const settings::OperatorSettings& operatorSettings, kv_store::Client& store,
+                       LeaderElection& election, kv_store::Precondition fence, Hooks hooks)
     : loop_(loop),
       settings_(settings),
-      store_(state),
-      election_(leadership),
+      store_(store),
+      election_(election),
       scope_(loop),
       recordWritten_(loop),
       schedulerWoken_(loop),
-      machineUnresponsive_(loop),
-      delegator_(lease_delegation::DelegationLimits::from(settings), leadership.token(),
-                 {settings.node, settings.zone}, hooks.timeSinceUse, othersOf(settings),
+      probeUnanswered_(loop),
+      delegator_(lease_delegation::DelegationLimits::from(settings), election.token(),
+                 {settings.node, settings.zone}, hooks.timeSinceDelegationUse, otherNodes(settings),
                  loop.now()),
-      cluster_(settings, leadership.token()),
-      writer_(loop, state, settings.txnOps, std::move(guard), *this, *this),
+      cluster_(settings, election.token()),
+      writer_(loop, store, settings.txnOps, std::move(fence), *this, *this),
       cloud_(loop, settings, [this] { return mayAct(); }),
       autoscaler_(cluster_, loop.now()),
       commandSender_(loop, settings.directCommandSockets(), std::move(hooks.relay)),
-      onLoaded_(std::move(hooks.loaded)),
+      onLoaded_(std::move(hooks.onLoaded)),
       peerConnected_(std::move(hooks.peerConnected)),
-      allSupportFormat_(std::move(hooks.allSupportFormat)) {
+      peersSupportFormat_(std::move(hooks.peersSupportFormat)) {
     cluster_.setOperatorSettings(operatorSettings);
     delegator_.setEnabled(operatorSettings.leaseDelegationEnabled);
     cluster_.setDelegator(delegator_);
@@ -69,11 +77,11 @@
 }
 
 void LeaderTerm::onFenced() {
-    election_.stepDown("another leader's key is in place");
+    election_.stepDown("another leader key is stored");
 }
 
 kv_store::TooLargeAction LeaderTerm::onTooLarge(const std::string& key, std::size_t bytes) {
-    spdlog::warn("record too large for the state service key={} bytes={}", key, bytes);
+    spdlog::warn("record is too large for the state service: key={} bytes={}", key, bytes);
     cluster_.onRecordTooLarge(key, bytes);
     wakeScheduler();
     return kv_store::TooLargeAction::drop;
@@ -85,25 +93,26 @@
 
 Task<void> LeaderTerm::load() {
     while (!scope_.cancelled()) {
-        // Nobody else writes meanwhile: whoever did before is fenced by this leader's key.
-        kv_store::ListResult all = co_await store_.list(jobs::jobKeyPrefix, scope_);
-        kv_store::ListResult parts;
-        if (all.status == kv_store::Status::ok)
-            parts = co_await store_.list(jobs::partKeyPrefix, scope_);
-        if (parts.status != kv_store::Status::ok) {
+        // Nobody else writes meanwhile: former leaders are fenced by this leader's key.
+        kv_store::ListResult jobRecords = co_await store_.list(jobs::jobKeyPrefix, scope_);
+        kv_store::ListResult pageRecords;
+        if (jobRecords.status == kv_store::Status::ok)
+            pageRecords = co_await store_.list(jobs::partKeyPrefix, scope_);
+        if (pageRecords.status != kv_store::Status::ok) {
             co_await loop_.sleep(200ms, scope_);
             continue;
         }
-        for (const auto* items : {&all.entries, &parts.entries})
+        for (const auto* items : {&jobRecords.entries, &pageRecords.entries})
             for (const auto& item : *items) {
                 if (!cluster_.loadRecord(item.key, item.data, loop_.now(), loop_.clock().wall()))
-                    spdlog::error("record {} is malformed", item.key);
+                    spdlog::error("record is malformed: key={}", item.key);
                 writer_.setKnownRevision(item.key, item.revision);
             }
         cluster_.finishLoading(loop_.now());
-        if (election_.storedFormat() >= partedFormat) cluster_.enableRecordPages();
+        if (election_.storedFormat() >= pagedFormat) cluster_.enableRecordPages();
         loaded_ = true;
-        spdlog::info("loaded {} records", all.entries.size() + parts.entries.size());
+        spdlog::info("records loaded: count={}",
+                     jobRecords.entries.size() + pageRecords.entries.size());
         onLoaded_();
         scope_.spawn(writer_.run(scope_));
         scope_.spawn(runScheduler());
@@ -116,100 +125,104 @@
 }
 
 void LeaderTerm::wakeScheduler() {
-    schedulePending_ = true;
+    schedulingRequested_ = true;
     schedulerWoken_.notify();
 }
 
-void LeaderTerm::flush() {
+void LeaderTerm::applyEffects() {
     scheduler::Effects effects = cluster_.takeEffects();
-    for (const auto& [key, urgency] : effects.dirtyRecords) writer_.markDirty(key, urgency);
+    for (const auto& [key, priority] : effects.dirtyRecords) writer_.markDirty(key, priority);
     for (const MachineIndex m : effects.machinesToCommand) scope_.spawn(sendDirectCommands(m));
-    for (const MachineIndex m : effects.machinesToProbe) scope_.spawn(probeInbound(m));
-    if (cluster_.needsRecordPages() && !raisingFormat_) scope_.spawn(raiseFormat());
+    for (const MachineIndex m : effects.machinesToProbe) scope_.spawn(probeInboundPartition(m));
+    if (cluster_.needsRecordPages() && !raisingFormat_) scope_.spawn(tryRaiseFormat());
 }
 
-Task<bool> LeaderTerm::enablePages() {
-    if (election_.storedFormat() < partedFormat) {
-        // A node that does not know it might lead next, and would lose what it cannot read.
-        if (cluster_.operatorSettings().maxStoredFormat < partedFormat ||
-            !allSupportFormat_(partedFormat) || !mayAct())
+Task<bool> LeaderTerm::ensurePagedFormat() {
+    if (election_.storedFormat() < pagedFormat) {
+        // A node that does not support the format could lead next and lose what it cannot read.
+        if (cluster_.operatorSettings().maxStoredFormat < pagedFormat ||
+            !peersSupportFormat_(pagedFormat) || !mayAct())
             co_return false;
-        const bool stands = co_await election_.raiseStoredFormat(partedFormat, scope_);
-        if (!stands || scope_.cancelled()) co_return false;
+        const bool raised = co_await election_.raiseStoredFormat(pagedFormat, scope_);
+        if (!raised || scope_.cancelled()) co_return false;
     }
     cluster_.enableRecordPages();
     co_return true;
 }
 
-Task<void> LeaderTerm::raiseFormat() {
+Task<void> LeaderTerm::tryRaiseFormat() {
     raisingFormat_ = true;
-    const bool done = co_await enablePages();
-    // Not while an older version is there: asked again with a later write.
-    if (!done) co_await loop_.sleep(1s, scope_);
+    const bool enabled = co_await ensurePagedFormat();
+    // Most likely some node runs an older version: a later write tries again.
+    if (!enabled) co_await loop_.sleep(1s, scope_);
     raisingFormat_ = false;
-    if (!scope_.cancelled()) flush();
+    if (!scope_.cancelled()) applyEffects();
 }
 
 Task<void> LeaderTerm::runScheduler() {
     while (!scope_.cancelled()) {
-        if (!schedulePending_) co_await loop_.wait(schedulerWoken_, loop_.now() + tick, scope_);
+        if (!schedulingRequested_)
+            co_await loop_.wait(schedulerWoken_, loop_.now() + schedulerInterval, scope_);
         if (scope_.cancelled()) break;
-        schedulePending_ = false;
-        // The process may have stood still: what is decided without the right is never done.
+        schedulingRequested_ = false;
+        // The process may have been suspended: a decision made without a valid lease would never
+        // be carried out.
         if (!mayAct()) {
-            co_await loop_.sleep(tick, scope_);
+            co_await loop_.sleep(schedulerInterval, scope_);
             continue;
         }
         cluster_.advanceTo(loop_.now());
-        // Beats, touches and users go on between slices of a long pass; a short pause lets one
-        // pass serve many beats.
-        if (cluster_.hasPlaceableWork() && cluster_.place(loop_.now(), slice))
-            schedulePending_ = true;
-        flush();
-        co_await loop_.sleep(schedulePending_ ? Duration::zero() : gather, scope_);
+        // A long pass is split into batches, so that heartbeats, keep-alives and users' requests
+        // are handled in between.
+        if (cluster_.hasPlaceableWork() && cluster_.place(loop_.now(), placementBatchSize))
+            schedulingRequested_ = true;
+        applyEffects();
+        co_await loop_.sleep(schedulingRequested_ ? Duration::zero() : schedulerBatchDelay, scope_);
     }
 }
 
-worker_api::CommandSender::Target LeaderTerm::target(MachineIndex machine) const {
+worker_api::CommandSender::Target LeaderTerm::commandTarget(MachineIndex machine) const {
     const worker_api::Machine& m = cluster_.machines()[machine];
     return {machine, m.zone.empty() ? m.listedZone : m.zone, m.address};
 }
 
 Task<void> LeaderTerm::sendDirectCommands(MachineIndex machine) {
     while (!scope_.cancelled()) {
-        const auto orders = cluster_.takeDirectCommands(machine, loop_.now());
-        if (orders.empty()) co_return;
+        const auto commands = cluster_.takeDirectCommands(machine, loop_.now());
+        if (commands.empty()) co_return;
         const worker_api::Machine& m = cluster_.machines()[machine];
-        worker_api::CommandSender::SendResult reached;
+        worker_api::CommandSender::SendResult result;
         if (mayAct()) {
             http::Request request{
                 "POST", "/commands",
-                worker_api::encodeCommands(cluster_.token(), m.incarnation, orders)};
-            worker_api::CommandSender::Target to = target(machine);
-            reached =
-                co_await commandSender_.send(std::move(to), std::move(request), 2s, false, scope_);
+                worker_api::encodeCommands(cluster_.token(), m.incarnation, commands)};
+            worker_api::CommandSender::Target target = commandTarget(machine);
+            result = co_await commandSender_.send(std::move(target), std::move(request), 2s,
+                                                  /*insist=*/false, scope_);
         }
         if (scope_.cancelled()) co_return;
-        const http::RequestOutcome& o = reached.outcome;
-        const bool answered = o.answered && (o.response.status == 200 || o.response.status == 409);
+        const http::RequestOutcome& outcome = result.outcome;
+        const bool answered =
+            outcome.answered && (outcome.response.status == 200 || outcome.response.status == 409);
         if (answered) {
-            if (!applyAnsweredReport(o.response.body)) co_return;
+            if (!applyReportInResponse(outcome.response.body)) co_return;
         }
-        cluster_.onDirectCommandEnded(machine, reached.mayExecuteLater || (o.sent && !answered));
+        cluster_.onDirectCommandEnded(machine,
+                                      result.mayExecuteLater || (outcome.sent && !answered));
         wakeScheduler();
         if (!answered) {
-            // The first sign that a machine is dead, often seconds before its report is late.
-            if (reached.machineUnreachable) cluster_.onProbeUnanswered(machine);
+            // Often the first sign that a machine is dead, seconds before its heartbeat is late.
+            if (result.machineUnreachable) cluster_.onProbeUnanswered(machine);
             co_return;
         }
     }
 }
 
-bool LeaderTerm::applyAnsweredReport(const std::string& body) {
+bool LeaderTerm::applyReportInResponse(const std::string& body) {
     const auto report = worker_api::parseStatusReport(body);
     if (!report) return true;
     if (report->token > cluster_.token()) {
-        election_.stepDown("a worker has seen a higher token");
+        election_.stepDown("an agent has seen a higher fencing token");
         return false;
     }
     cluster_.onStatusReport(*report, scheduler::Cluster::ReportSource::commandResponse,
@@ -217,49 +230,50 @@
     return true;
 }
 
-Task<void> LeaderTerm::probe(MachineIndex machine) {
-    if (!probing_.insert(machine).second) co_return;
-    for (std::size_t tries = 0; tries < askTries && !scope_.cancelled(); ++tries) {
+Task<void> LeaderTerm::probeSilentMachine(MachineIndex machine) {
+    if (!probedMachines_.insert(machine).second) co_return;
+    for (std::size_t attempt = 0; attempt < maxProbes && !scope_.cancelled(); ++attempt) {
         http::Request request{"GET", "/inspect", ""};
-        worker_api::CommandSender::Target to = target(machine);
-        const auto reached = co_await commandSender_.send(std::move(to), std::move(request),
-                                                          askTimeout, true, scope_);
+        worker_api::CommandSender::Target target = commandTarget(machine);
+        const auto result = co_await commandSender_.send(std::move(target), std::move(request),
+                                                         probeTimeout, /*insist=*/true, scope_);
         if (scope_.cancelled()) co_return;
-        const http::RequestOutcome& o = reached.outcome;
-        if (o.answered && o.response.status == 200 && applyAnsweredReport(o.response.body))
+        const http::RequestOutcome& outcome = result.outcome;
+        if (outcome.answered && outcome.response.status == 200 &&
+            applyReportInResponse(outcome.response.body))
             wakeScheduler();
-        // Given up only if others in its zone speak.
-        if (!reached.machineUnreachable) break;
+        // The machine counts as unreachable only if others in its zone answer.
+        if (!result.machineUnreachable) break;
         cluster_.onProbeUnanswered(machine);
-        machineUnresponsive_.notify();
+        probeUnanswered_.notify();
     }
-    probing_.erase(machine);
+    probedMachines_.erase(machine);
 }
 
-Task<void> LeaderTerm::probeInbound(MachineIndex machine) {
+Task<void> LeaderTerm::probeInboundPartition(MachineIndex machine) {
     http::Request request{"GET", "/inspect", ""};
-    worker_api::CommandSender::Target to = target(machine);
-    const auto reached =
-        co_await commandSender_.send(std::move(to), std::move(request), askTimeout, true, scope_);
-    const http::RequestOutcome& o = reached.outcome;
-    if (!scope_.cancelled() && o.answered && o.response.status == 200 &&
-        applyAnsweredReport(o.response.body))
+    worker_api::CommandSender::Target target = commandTarget(machine);
+    const auto result = co_await commandSender_.send(std::move(target), std::move(request),
+                                                     probeTimeout, /*insist=*/true, scope_);
+    const http::RequestOutcome& outcome = result.outcome;
+    if (!scope_.cancelled() && outcome.answered && outcome.response.status == 200 &&
+        applyReportInResponse(outcome.response.body))
         wakeScheduler();
 }
 
 Task<void> LeaderTerm::pollCloud() {
-    TimePoint catalogueAt{}, listAt{};
+    TimePoint nextCatalogueAt{}, nextListAt{};
     while (!scope_.cancelled()) {
-        if (loop_.now() >= catalogueAt) {
+        if (loop_.now() >= nextCatalogueAt) {
             auto catalogue = co_await cloud_.catalogue(scope_);
             if (catalogue) cluster_.setCatalogue(std::move(*catalogue));
-            catalogueAt = loop_.now() + (catalogue ? Duration(30s) : Duration(500ms));
+            nextCatalogueAt = loop_.now() + (catalogue ? Duration(30s) : Duration(500ms));
             wakeScheduler();
         }
-        if (loop_.now() >= listAt) {
-            const auto all = co_await cloud_.list(scope_);
-            if (all) autoscaler_.onMachineList(*all, loop_.now());
-            listAt = loop_.now() + 2s;
+        if (loop_.now() >= nextListAt) {
+            const auto machines = co_await cloud_.list(scope_);
+            if (machines) autoscaler_.onMachineList(*machines, loop_.now());
+            nextListAt = loop_.now() + 2s;
         }
         co_await loop_.sleep(500ms, scope_);
     }
@@ -267,98 +281,101 @@
 
 Task<void> LeaderTerm::runAutoscaler() {
     while (!scope_.cancelled()) {
-        detectAwayZones();
+        updateUnreachableZones();
         const autoscaler::ScalingPlan plan = autoscaler_.plan(loop_.now());
-        for (const auto& wanted : plan.scaleOut) scope_.spawn(scaleOut(wanted));
-        for (const MachineIndex machine : plan.probe) scope_.spawn(probe(machine));
-        // Machines of a zone that this node is cut off from say nothing about death: once a sweep
-        // over a peer, which was too much for it, had 140 sound ones given up.
+        for (const auto& request : plan.scaleOut) scope_.spawn(scaleOut(request));
+        for (const MachineIndex machine : plan.probe) scope_.spawn(probeSilentMachine(machine));
+        // While this node is cut off from a zone, probes go through a peer, and one without an
+        // answer is no evidence that its machine is dead: probing a whole zone once overloaded the
+        // peer, and 140 healthy machines were given up.
         for (const MachineIndex machine : plan.probeSample)
             if (!commandSender_.directPathFailing(cluster_.machines()[machine].zone))
-                scope_.spawn(probe(machine));
+                scope_.spawn(probeSilentMachine(machine));
         if (!plan.terminate.empty() && mayAct()) {
-            const TimePoint asked = loop_.now();
-            const bool gone = co_await cloud_.remove(plan.terminate, scope_);
+            const TimePoint requestedAt = loop_.now();
+            const bool terminated = co_await cloud_.remove(plan.terminate, scope_);
             if (scope_.cancelled()) co_return;
-            spdlog::debug("{} machines {}, after {:.2f} s", plan.terminate.size(),
-                          gone ? "deleted" : "not deleted", toSeconds(loop_.now() - asked));
-            if (gone) {
+            spdlog::debug("{}: count={} duration={:.2f}s",
+                          terminated ? "machines terminated" : "machines not terminated",
+                          plan.terminate.size(), toSeconds(loop_.now() - requestedAt));
+            if (terminated) {
                 autoscaler_.onTerminated(plan.terminate, loop_.now());
                 wakeScheduler();
             }
         }
-        // Those who die together are found together: one look for all of them.
         const WakeReason woke =
-            co_await loop_.wait(machineUnresponsive_, loop_.now() + planEvery, scope_);
-        if (woke == WakeReason::signalled) co_await loop_.sleep(planGather, scope_);
+            co_await loop_.wait(probeUnanswered_, loop_.now() + autoscalerInterval, scope_);
+        if (woke == WakeReason::signalled) co_await loop_.sleep(autoscalerBatchDelay, scope_);
     }
 }
 
-void LeaderTerm::detectAwayZones() {
+void LeaderTerm::updateUnreachableZones() {
     for (const auto& zone : settings_.zones) {
-        const bool nodesSilent =
+        const bool controllersSilent =
             std::none_of(settings_.peers.begin(), settings_.peers.end(),
                          [&](const auto& p) { return p.zone == zone && peerConnected_(p.name); });
-        const bool away =
-            zone != settings_.zone && nodesSilent && commandSender_.directPathFailing(zone);
-        if (away == cluster_.isZoneUnreachable(zone)) continue;
-        spdlog::info("zone {} is {}", zone,
-                     away ? "away: its work stays, no more goes there" : "back");
-        cluster_.setZoneUnreachable(zone, away);
+        const bool unreachable =
+            zone != settings_.zone && controllersSilent && commandSender_.directPathFailing(zone);
+        if (unreachable == cluster_.isZoneUnreachable(zone)) continue;
+        spdlog::info("{}: zone={}",
+                     unreachable ? "zone is unreachable, its tasks stay and it gets no new ones"
+                                 : "zone is reachable again",
+                     zone);
+        cluster_.setZoneUnreachable(zone, unreachable);
     }
 }
 
 Task<void> LeaderTerm::loadStatistics() {
-    // A record for each type; one for all of them is what versions before wrote.
-    const auto found = co_await store_.list(experienceKey, scope_);
+    // One record for each machine type. Earlier versions wrote a single one, under statisticsKey.
+    const auto found = co_await store_.list(statisticsKey, scope_);
     for (const auto& item : found.entries) {
         writer_.setKnownRevision(item.key, item.revision);
         if (!autoscaler_.statistics().decode(item.data))
-            spdlog::error("record {} is malformed and was skipped", item.key);
+            spdlog::error("record is malformed and was skipped: key={}", item.key);
     }
 }
 
 std::optional<kv_store::EncodedRecord> LeaderTerm::encode(const std::string& key) {
-    if (!key.starts_with(experiencePrefix)) return cluster_.encode(key);
-    const std::string type = key.substr(experiencePrefix.size());
+    if (!key.starts_with(statisticsPrefix)) return cluster_.encode(key);
+    const std::string type = key.substr(statisticsPrefix.size());
     return kv_store::EncodedRecord{autoscaler_.statistics().encode(type, settings_.valueBytes), 0};
 }
 
 Task<void> LeaderTerm::persistStatistics() {
     while (!scope_.cancelled()) {
-        const WakeReason woke = co_await loop_.sleep(experienceEvery, scope_);
+        const WakeReason woke = co_await loop_.sleep(statisticsInterval, scope_);
         if (woke == WakeReason::cancelled) co_return;
         const auto& changed = autoscaler_.statistics().changed();
         for (const auto& type : changed)
-            if (const std::string key = experiencePrefix + type; kv_store::isValidKey(key))
+            if (const std::string key = statisticsPrefix + type; kv_store::isValidKey(key))
                 writer_.markDirty(key, kv_store::WritePriority::progress);
     }
 }
 
-Task<void> LeaderTerm::scaleOut(autoscaler::ScaleOutRequest wanted) {
+Task<void> LeaderTerm::scaleOut(autoscaler::ScaleOutRequest request) {
     autoscaler::CloudClient::ScaleOutResult result;
-    if (mayAct()) result = co_await cloud_.rent(wanted, scope_);
+    if (mayAct()) result = co_await cloud_.rent(request, scope_);
     if (scope_.cancelled()) co_return;
     if (result.answer == autoscaler::CloudClient::Answer::ok)
-        autoscaler_.onScaledOut(wanted, result.names, loop_.now());
+        autoscaler_.onScaledOut(request, result.names, loop_.now());
     else
         autoscaler_.onScaleOutFailed(
-            wanted, result.answer == autoscaler::CloudClient::Answer::refused, loop_.now());
+            request, result.answer == autoscaler::CloudClient::Answer::refused, loop_.now());
 }
 
 http::Response LeaderTerm::serviceUnavailable() const {
-    http::Response r = refuse(503, "not now");
-    const double backlog = static_cast<double>(writer_.backlog()) / settings_.stateWriteRps;
-    r.retryAfterS = static_cast<int>(std::clamp(backlog, 1.0, 30.0));
-    return r;
-}
-
-template <typename Fact>
-Task<bool> LeaderTerm::waitUntilDurable(Fact fact) {
-    const TimePoint until = loop_.now() + factTimeout;
-    while (!fact()) {
-        // What the state service does not take now is refused now: the user is told when to
-        // come back, and finds the job waiting for its turn.
+    http::Response response = errorResponse(503, "not now");
+    const double backlogSeconds = static_cast<double>(writer_.backlog()) / settings_.stateWriteRps;
+    response.retryAfterS = static_cast<int>(std::clamp(backlogSeconds, 1.0, 30.0));
+    return response;
+}
+
+template <typename Predicate>
+Task<bool> LeaderTerm::waitUntilDurable(Predicate isDurable) {
+    const TimePoint until = loop_.now() + durabilityTimeout;
+    while (!isDurable()) {
+        // While the state service refuses writes, the user is told at once when to try again. The
+        // job stays queued for its write.
         if (!writer_.healthy() || loop_.now() >= until || !mayAct()) co_return false;
         const WakeReason woke = co_await loop_.wait(recordWritten_, until, scope_);
         if (woke == WakeReason::cancelled) co_return false;
@@ -369,36 +386,36 @@
 Task<std::optional<http::Response>> LeaderTerm::checkDependencies(const JobSpec& spec) {
     using Kind = scheduler::Cluster::DependencyError::Kind;
     if (spec.dependencies.empty()) co_return std::nullopt;
-    const auto need = cluster_.checkDependencies(spec);
-    const auto because = [&](const char* why) {
-        return refuse(422, "waitsOn: " + need.job + ' ' + why);
+    const auto dependencyError = cluster_.checkDependencies(spec);
+    const auto rejected = [&](const char* reason) {
+        return errorResponse(422, "waitsOn: " + dependencyError.job + ' ' + reason);
     };
-    switch (need.kind) {
+    switch (dependencyError.kind) {
         case Kind::self:
-            co_return because("is the job itself");
+            co_return rejected("is the job itself");
         case Kind::unknown:
-            co_return because("was never accepted");
+            co_return rejected("was never accepted");
         case Kind::isService:
-            co_return because("is a service, which is never done");
+            co_return rejected("is a service, which is never done");
         case Kind::notYetAccepted:
-            co_return serviceUnavailable();  // its acceptance may stand or not
+            co_return serviceUnavailable();  // it is not known yet whether it was accepted
         case Kind::none:
             break;
     }
-    const bool can = co_await enablePages();
-    if (!can) co_return serviceUnavailable();
+    const bool enabled = co_await ensurePagedFormat();
+    if (!enabled) co_return serviceUnavailable();
     co_return std::nullopt;
 }
 
 Task<http::Response> LeaderTerm::submit(std::string body) {
     auto parsed = jobs::parseSubmission(body);
     if (auto* error = std::get_if<jobs::SubmissionError>(&parsed))
-        co_return refuse(400, error->message);
+        co_return errorResponse(400, error->message);
     if (!ready()) co_return serviceUnavailable();
     const JobSpec& spec = std::get<JobSpec>(parsed);
     if (cluster_.isUnreadable(spec.id)) co_return serviceUnavailable();
     Job* job = cluster_.find(spec.id);
-    bool fresh = false;
+    bool isNew = false;
     if (job == nullptr) {
         if (cluster_.catalogue().empty()) co_return serviceUnavailable();
         auto refused = co_await checkDependencies(spec);
@@ -407,37 +424,38 @@
         if (!ready()) co_return serviceUnavailable();
         switch (cluster_.submit(spec, loop_.now(), loop_.clock().wall())) {
             case scheduler::SubmitResult::unknownTeam:
-                co_return refuse(422, "unknown team");
+                co_return errorResponse(422, "unknown team");
             case scheduler::SubmitResult::fitsNoMachine:
-                co_return refuse(422, "a task fits no allowed machine type");
+                co_return errorResponse(422, "a task fits no allowed machine type");
             case scheduler::SubmitResult::overTeamLimit:
-                co_return refuse(422, "the job needs more than its team's limit");
+                co_return errorResponse(422, "the job needs more than its team's limit");
             case scheduler::SubmitResult::contradictoryPlacement:
-                co_return refuse(422, "together and spread: its tasks have no place");
+                co_return errorResponse(422, "together and spread: its tasks have no place");
             case scheduler::SubmitResult::alreadyKnown:
             case scheduler::SubmitResult::accepted:
                 break;
         }
         job = cluster_.find(spec.id);
-        fresh = true;
-        // Placed first, so that one write holds both acceptance and bindings.
-        if (cluster_.hasPlaceableWork() && cluster_.place(loop_.now(), slice)) wakeScheduler();
-        flush();
+        isNew = true;
+        // Placed before the first write, so that one write holds both acceptance and bindings.
+        if (cluster_.hasPlaceableWork() && cluster_.place(loop_.now(), placementBatchSize))
+            wakeScheduler();
+        applyEffects();
     }
     const bool accepted = co_await waitUntilDurable([job] { return job->accepted(); });
     if (!accepted) co_return serviceUnavailable();
-    spdlog::debug("{} is accepted", job->spec.id);
-    // What names a cancelled job is cancelled with it from the start, and must not be called
-    // pending long after that one's user was told.
+    spdlog::debug("job accepted: job={}", job->spec.id);
+    // A job that depends on a cancelled one is cancelled from the start. It must not be reported as
+    // pending long after the user was told of that cancellation.
     auto response = co_await query(job->spec.id);
-    if (fresh && response.status == 200) response.status = 201;
+    if (isNew && response.status == 200) response.status = 201;
     co_return response;
 }
 
 Task<http::Response> LeaderTerm::query(JobId id) {
     if (!ready() || cluster_.isUnreadable(id)) co_return serviceUnavailable();
     Job* job = cluster_.find(id);
-    if (job == nullptr) co_return refuse(404, "no such job");
+    if (job == nullptr) co_return errorResponse(404, "no such job");
     if (!job->accepted()) co_return serviceUnavailable();
     if (job->cancelDurable()) {
         cluster_.acknowledgeCancellation(*job, loop_.now());
@@ -452,48 +470,50 @@
 Task<http::Response> LeaderTerm::cancel(JobId id) {
     if (!ready() || cluster_.isUnreadable(id)) co_return serviceUnavailable();
     Job* job = cluster_.find(id);
-    if (job == nullptr) co_return refuse(404, "no such job");
+    if (job == nullptr) co_return errorResponse(404, "no such job");
     cluster_.cancel(*job, loop_.now());
-    flush();
-    const bool told = co_await waitUntilDurable([job] {
+    applyEffects();
+    const bool durable = co_await waitUntilDurable([job] {
         return job->accepted() && (job->cancelled ? job->cancelDurable() : job->doneDurable());
     });
-    if (!told) {
-        // On record, and carried out as far as its machines can be reached. Where a zone that is
-        // cut off still runs tasks of it, its user is told when those must be gone.
-        http::Response wait = serviceUnavailable();
+    if (!durable) {
+        // The cancellation is on record and carried out on all machines that can be reached. If a
+        // zone that is cut off may still run tasks of the job, Retry-After says when those must
+        // have ended.
+        http::Response response = serviceUnavailable();
         const auto seconds = std::chrono::ceil<std::chrono::seconds>(
             cluster_.timeUntilAcknowledgeable(*job, loop_.now()));
-        wait.retryAfterS = std::clamp(static_cast<int>(seconds.count()), wait.retryAfterS, 30);
-        co_return wait;
+        response.retryAfterS =
+            std::clamp(static_cast<int>(seconds.count()), response.retryAfterS, 30);
+        co_return response;
     }
     if (job->cancelled) cluster_.acknowledgeCancellation(*job, loop_.now());
     co_return http::Response{200,
                              jobs::encodeStatusResponse(id, job->cancelled ? "cancelled" : "done")};
 }
 
-std::optional<lease_delegation::Delegation> LeaderTerm::delegate(
-    const lease_delegation::DelegationRequest& question, bool delegates) {
+std::optional<lease_delegation::Delegation> LeaderTerm::handleDelegationRequest(
+    const lease_delegation::DelegationRequest& request, bool peersSupportDelegations) {
     if (!ready()) return std::nullopt;
     const TimePoint now = loop_.now();
-    const TimePoint cap = delegates
-                              ? cluster_.latestDelegationEnd(delegator_.zoneOf(question.node), now)
+    const TimePoint cap = peersSupportDelegations
+                              ? cluster_.latestDelegationEnd(delegator_.zoneOf(request.node), now)
                               : TimePoint{};
-    const auto delegation = delegator_.handleRequest(question, cap, now);
-    wakeScheduler();  // a withdrawal or a silent machine may have waited for what it says
+    const auto delegation = delegator_.handleRequest(request, cap, now);
+    wakeScheduler();  // a cancellation or a silent machine may be decided by what the node reports
     return delegation;
 }
 
 http::Response LeaderTerm::handleHeartbeat(const worker_api::StatusReport& report) {
-    std::vector<worker_api::Command> orders;
+    std::vector<worker_api::Command> commands;
     if (loaded_) {
-        orders = cluster_.onHeartbeat(report, loop_.now());
+        commands = cluster_.onHeartbeat(report, loop_.now());
         wakeScheduler();
-        flush();
+        applyEffects();
     }
-    http::Response r{200, worker_api::encodeHeartbeatResponse(cluster_.token(), orders)};
+    http::Response response{200, worker_api::encodeHeartbeatResponse(cluster_.token(), commands)};
     if (!mayAct()) return serviceUnavailable();
-    return r;
+    return response;
 }
 
 }  // namespace basaltchute::controller
--- a/src/controller/leader_term.h
+++ b/src/controller/leader_term.h
@@ -1,4 +1,10 @@
 #pragma once
+// One term of leadership: all that a controller does only while it leads.
+//
+// Connects the scheduler (`scheduler::Cluster`, which decides and does no input or output) with the
+// outside: loads the stored records and writes changed ones, answers users' requests and agents'
+// heartbeats, sends commands to agents, runs the autoscaler against the cloud, and issues lease
+// delegations to other controllers. Created and ended by `Controller`, on its event loop.
 #include <memory>
 
 #include "autoscaler/autoscaler.h"
@@ -10,82 +16,117 @@
 
 namespace basaltchute::controller {
 
-/// Everything that exists only while this node leads: made on election, ended on step-down.
-/// Requests that wait on it hold it, so it outlives its duties but never acts after them.
+/// Created when this node is elected and ended when it steps down. Requests in flight share
+/// ownership of it, so it may outlive the leadership, but it does not act once mayAct() is false.
 class LeaderTerm : private kv_store::RecordSource, private kv_store::WriteObserver {
   public:
+    /// What the term needs from its controller.
     struct Hooks {
+        /// Sends a request to an agent through another controller.
         worker_api::CommandSender::Relay relay;
-        std::function<void()> loaded;  // from now on requests can be answered
-        std::function<bool(const std::string&)> peerConnected;  // whether that node does
-        Duration timeSinceUse{};  // of a delegation that this node held
-        /// No node that might lead next is known not to read that format of the stored state.
-        std::function<bool(unsigned format)> allSupportFormat;
+        /// Called once all records are loaded: from then on requests can be answered.
+        std::function<void()> onLoaded;
+        /// Whether this node is connected to that node.
+        std::function<bool(const std::string&)> peerConnected;
+        /// How long ago this node last answered an agent by a delegation.
+        Duration timeSinceDelegationUse{};
+        /// Whether every other node can read that format of the stored state. Nodes that have been
+        /// silent for long do not count.
+        std::function<bool(unsigned format)> peersSupportFormat;
     };
+    /// All that is passed by reference must outlive the term. `fence`: a precondition of every
+    /// write, which fails once another node was elected.
     LeaderTerm(EventLoop& loop, const settings::Settings& settings,
-               const settings::OperatorSettings& operatorSettings, kv_store::Client& state,
-               LeaderElection& leadership, kv_store::Precondition guard, Hooks hooks);
+               const settings::OperatorSettings& operatorSettings, kv_store::Client& store,
+               LeaderElection& election, kv_store::Precondition fence, Hooks hooks);
+    /// Loads the stored records, and starts the leader's duties once they are loaded.
     void start();
+    /// Cancels every duty and returns when all have ended.
     Task<void> end() { return scope_.cancelAndWait(); }
-    /// This process leads, and it is still by this election: elected again within a moment it has
-    /// the right to act, and what an earlier leadership of it knew is old.
+    /// Whether this node leads, and still by the election that this term belongs to: if it lost the
+    /// lead and was elected again, what the earlier term knows is outdated.
     [[nodiscard]] bool mayAct() const {
         return election_.leaseValid() && election_.token() == cluster_.token();
     }
+    /// Whether requests can be answered: the records are loaded, and the term may act.
     [[nodiscard]] bool ready() const { return loaded_ && mayAct(); }
+    /// Whether all stored records have been loaded.
     [[nodiscard]] bool loaded() const { return loaded_; }
 
+    /// Accepts a job; `body` is the submission as JSON. Answers 201 once the acceptance is durable,
+    /// 200 if the job was known already, 400 or 422 if the submission is invalid, and 503 with
+    /// Retry-After if it cannot be accepted now.
     Task<http::Response> submit(std::string body);
+    /// The job's status; 404 if there is no such job, and 503 while its acceptance is not durable.
+    /// Reporting a cancellation acknowledges it.
     Task<http::Response> query(JobId id);
+    /// Cancels a job. Answers 200 once the cancellation (or the job's earlier end) is durable and
+    /// may be acknowledged, 404 if there is no such job, and 503 with Retry-After until then.
     Task<http::Response> cancel(JobId id);
+    /// Applies an agent's heartbeat and answers it with the commands for that machine; 503 if the
+    /// term may not act. Before the records are loaded the answer has no commands.
     http::Response handleHeartbeat(const worker_api::StatusReport& report);
-    /// The right to answer for this leader while it is silent; nothing as long as the records are
-    /// not loaded. `delegates`: every node understands what that means.
-    std::optional<lease_delegation::Delegation> delegate(
-        const lease_delegation::DelegationRequest& question, bool delegates);
-    /// What this node lent to itself: how late it may answer its zone's workers without the right.
-    [[nodiscard]] TimePoint delegatedToSelf() const {
+    /// Answers a node's request for the right to answer heartbeats while this leader is silent;
+    /// nothing while the term is not ready. Nothing new is delegated unless
+    /// `peersSupportDelegations`: every node that may lead next takes delegations into account.
+    std::optional<lease_delegation::Delegation> handleDelegationRequest(
+        const lease_delegation::DelegationRequest& request, bool peersSupportDelegations);
+    /// Until when this node may go on answering its zone's agents after its leadership has ended,
+    /// by what it delegated to itself.
+    [[nodiscard]] TimePoint selfDelegationEnd() const {
         return delegator_.delegationEndOf(settings_.node);
     }
     [[nodiscard]] const scheduler::Cluster& cluster() const { return cluster_; }
-    [[nodiscard]] std::size_t backlog() const { return writer_.backlog(); }
+    /// Records that wait to be written.
+    [[nodiscard]] std::size_t writeBacklog() const { return writer_.backlog(); }
+    /// A 503 response whose Retry-After follows from the write backlog.
     [[nodiscard]] http::Response serviceUnavailable() const;
 
   private:
     Task<void> load();
     Task<void> runScheduler();
-    [[nodiscard]] worker_api::CommandSender::Target target(MachineIndex machine) const;
+    [[nodiscard]] worker_api::CommandSender::Target commandTarget(MachineIndex machine) const;
+    /// Sends the machine its pending commands, until there are none or it does not answer.
     Task<void> sendDirectCommands(MachineIndex machine);
-    /// Takes in a report that came as an answer; false if it made this node step down.
-    bool applyAnsweredReport(const std::string& body);
-    /// Asks a silent machine for a report, several times in a row: dead ones are told from late
-    /// ones within a second or two.
-    Task<void> probe(MachineIndex machine);
-    /// Asks a machine that reports without hearing; its silence is no evidence that it is dead.
-    Task<void> probeInbound(MachineIndex machine);
+    /// Applies the status report in an agent's response; false if the report made this node step
+    /// down.
+    bool applyReportInResponse(const std::string& body);
+    /// Asks a silent machine for a report, several times in a row, so that a dead machine is told
+    /// from a late one within one or two seconds.
+    Task<void> probeSilentMachine(MachineIndex machine);
+    /// Asks a machine for a report whose heartbeats arrive but which does not act on the responses.
+    /// If it does not answer, that does not count as evidence that it is dead.
+    Task<void> probeInboundPartition(MachineIndex machine);
     Task<void> runAutoscaler();
-    /// Zones whose machines and controllers are silent alike.
-    void detectAwayZones();
-    /// The record of a job or of the runtime statistics.
+    /// Tells the cluster which zones are cut off: neither their agents nor their controllers can be
+    /// reached.
+    void updateUnreachableZones();
+    /// Encodes a job's record, or one of the runtime statistics.
     std::optional<kv_store::EncodedRecord> encode(const std::string& key) override;
     void onCommitted(const std::string& key, std::uint64_t version) override;
     void onWriteFailed() override { recordWritten_.notify(); }
     void onFenced() override;
     kv_store::TooLargeAction onTooLarge(const std::string& key, std::size_t bytes) override;
-    /// What was learnt goes on record now and then, for the next leader.
+    /// Writes changed runtime statistics at intervals, for the next leader.
     Task<void> persistStatistics();
     Task<void> loadStatistics();
-    Task<void> scaleOut(autoscaler::ScaleOutRequest wanted);
-    /// Keeps up with the cloud's catalogue and list of machines.
+    Task<void> scaleOut(autoscaler::ScaleOutRequest request);
+    /// Keeps the machine catalogue and the list of machines up to date with the cloud.
     Task<void> pollCloud();
-    /// Waits for a fact to stand in the state service; false if it cannot soon.
-    template <typename Fact>
-    Task<bool> waitUntilDurable(Fact fact);
+    /// Waits until `isDurable` holds; false as soon as the state service refuses writes or the term
+    /// may not act, or after `durabilityTimeout`.
+    template <typename Predicate>
+    Task<bool> waitUntilDurable(Predicate isDurable);
     void wakeScheduler();
-    void flush();
-    /// May be written by now what only version 2 of the stored state holds.
-    Task<bool> enablePages();
-    Task<void> raiseFormat();
+    /// Carries out what the cluster asks for: writes, commands and probes.
+    void applyEffects();
+    /// True once records may be written that only format 2 of the stored state has. Raises the
+    /// stored format for that if all nodes can read it.
+    Task<bool> ensurePagedFormat();
+    /// Calls ensurePagedFormat() for records that can be written in that format only. After a
+    /// failure it is called again with a later write.
+    Task<void> tryRaiseFormat();
+    /// The response that refuses a submission for its dependencies; nothing if they are valid.
     Task<std::optional<http::Response>> checkDependencies(const JobSpec& spec);
 
     EventLoop& loop_;
@@ -93,18 +134,20 @@
     kv_store::Client& store_;
     LeaderElection& election_;
     Scope scope_;
-    Event recordWritten_, schedulerWoken_, machineUnresponsive_;
+    Event recordWritten_;    // a write ended, whether it succeeded or not
+    Event schedulerWoken_;   // schedulingRequested_ was set
+    Event probeUnanswered_;  // a silent machine did not answer a probe
     lease_delegation::Delegator delegator_;
     scheduler::Cluster cluster_;
     kv_store::TransactionWriter writer_;
     autoscaler::CloudClient cloud_;
     autoscaler::Autoscaler autoscaler_;
     worker_api::CommandSender commandSender_;
-    std::set<MachineIndex> probing_;
+    std::set<MachineIndex> probedMachines_;  // by probeSilentMachine(), at this moment
     std::function<void()> onLoaded_;
     std::function<bool(const std::string&)> peerConnected_;
-    std::function<bool(unsigned)> allSupportFormat_;
-    bool loaded_ = false, schedulePending_ = false, raisingFormat_ = false;
+    std::function<bool(unsigned)> peersSupportFormat_;
+    bool loaded_ = false, schedulingRequested_ = false, raisingFormat_ = false;
 };
 
 }  // namespace basaltchute::controller
--- a/src/controller/wire_format_test.cpp
+++ b/src/controller/wire_format_test.cpp
@@ -1,4 +1,5 @@
-// The exact responses of a whole controller to users, workers and operators.
+// The exact responses of a whole controller to users, agents and operators, its requests to agents,
+// and the records that it stores.
 #include <gtest/gtest.h>
 
 #include "controller/controller.h"
@@ -14,7 +15,7 @@
     testing::World world;
     testing::StateService state{world};
     testing::CloudService cloud{world};
-    testing::ScriptedService worker{world};
+    testing::ScriptedService agent{world};
     settings::Settings settings = testing::someSettings();
     std::unique_ptr<Controller> controller;
     std::unique_ptr<http::Client> client;
@@ -31,7 +32,8 @@
         controller->start();
         world.run(4s);
     }
-    /// The status and the body of the response, with the seconds of Retry-After if there are any.
+    /// Sends a request and returns the status and the body of the response, with the seconds of
+    /// Retry-After between them if there are any.
     std::string ask(const std::string& method, const std::string& target,
                     const std::string& body = "") {
         http::RequestOutcome outcome;
@@ -59,7 +61,7 @@
     }
 };
 
-const std::string beatStart =
+const std::string heartbeatStart =
     R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,)";
 
 TEST_F(ControllerWireFormat, UserErrorResponses) {
@@ -77,9 +79,9 @@
 
 TEST_F(ControllerWireFormat, RefusedSubmissionResponses) {
     start();
-    const auto submit = [&](const std::string& from, const std::string& to) {
+    const auto submit = [&](const std::string& original, const std::string& replacement) {
         std::string body = testing::submission("run-1");
-        body.replace(body.find(from), from.size(), to);
+        body.replace(body.find(original), original.size(), replacement);
         return ask("POST", "/v1/jobs", body);
     };
     EXPECT_EQ(submit(R"("crew":"red")", R"("crew":"grey")"), R"(422 {"error":"unknown team"})");
@@ -102,34 +104,34 @@
     EXPECT_EQ(ask("POST", "/v1/jobs", testing::submission("run-1")), "201 " + pending);
     EXPECT_EQ(ask("POST", "/v1/jobs", testing::submission("run-1")), "200 " + pending);
     EXPECT_EQ(ask("GET", "/v1/jobs/run-1"), "200 " + pending);
-    EXPECT_EQ(ask("POST", "/agent/beat", beatStart + R"("tick":1,"splits":[]})"),
+    EXPECT_EQ(ask("POST", "/agent/beat", heartbeatStart + R"("tick":1,"splits":[]})"),
               R"(200 {"baton":1,"orders":[]})");
     world.run(1s);
-    EXPECT_EQ(ask("POST", "/agent/beat", beatStart + R"("tick":2,"splits":[]})"),
+    EXPECT_EQ(ask("POST", "/agent/beat", heartbeatStart + R"("tick":2,"splits":[]})"),
               R"(200 {"baton":1,"orders":[{"verb":"launch","split":"run-1/0","try":1},)"
               R"({"verb":"launch","split":"run-1/1","try":1}]})");
-    const auto beat = [&](int sequence, const std::string& first, const std::string& second) {
+    const auto heartbeat = [&](int sequence, const std::string& first, const std::string& second) {
         return ask("POST", "/agent/beat",
-                   beatStart + R"("tick":)" + std::to_string(sequence) +
+                   heartbeatStart + R"("tick":)" + std::to_string(sequence) +
                        R"(,"baton":1,"splits":[{"split":"run-1/0","try":1,)" + first +
                        R"(},{"split":"run-1/1","try":1,)" + second + "}]}");
     };
     const std::string running = R"("status":"running")";
     const std::string done = R"("status":"exited","cause":"done")";
-    EXPECT_EQ(beat(3, running, running), R"(200 {"baton":1,"orders":[]})");
+    EXPECT_EQ(heartbeat(3, running, running), R"(200 {"baton":1,"orders":[]})");
     EXPECT_EQ(ask("GET", "/v1/jobs/run-1"),
               R"(200 {"ref":"run-1","status":"running","done":0,"running":2})");
-    beat(4, done, running);
+    heartbeat(4, done, running);
     EXPECT_EQ(ask("GET", "/v1/jobs/run-1"),
               R"(200 {"ref":"run-1","status":"running","done":1,"running":1})");
-    beat(5, done, done);
+    heartbeat(5, done, done);
     world.run(2s);
     EXPECT_EQ(ask("GET", "/v1/jobs/run-1"),
               R"(200 {"ref":"run-1","status":"done","done":2,"running":0})");
     EXPECT_EQ(ask("POST", "/v1/jobs/run-1/withdraw"), R"(200 {"ref":"run-1","status":"done"})");
 }
 
-TEST_F(ControllerWireFormat, WithdrawalResponses) {
+TEST_F(ControllerWireFormat, CancellationResponses) {
     start();
     ask("POST", "/v1/jobs", testing::submission("run-2"));
     EXPECT_EQ(ask("POST", "/v1/jobs/run-2/withdraw"),
@@ -138,7 +140,7 @@
               R"(200 {"ref":"run-2","status":"cancelled","done":0,"running":0})");
 }
 
-TEST_F(ControllerWireFormat, WorkerErrorResponses) {
+TEST_F(ControllerWireFormat, AgentErrorResponses) {
     start();
     EXPECT_EQ(ask("POST", "/agent/beat", "{}"), R"(400 {"error":"malformed report"})");
     EXPECT_EQ(ask("GET", "/agent/beat"), "405 {}");
@@ -152,7 +154,7 @@
     start();
     EXPECT_EQ(ask("GET", "/v1/jobs/run-1"),
               R"(503 Retry-After 1 {"error":"no leader at the moment"})");
-    EXPECT_EQ(ask("POST", "/agent/beat", beatStart + R"("tick":1,"splits":[]})"),
+    EXPECT_EQ(ask("POST", "/agent/beat", heartbeatStart + R"("tick":1,"splits":[]})"),
               R"(503 Retry-After 1 {"error":"no leader at the moment"})");
     EXPECT_EQ(ask("GET", "/status"), R"(200 {"node":"rig-0","leading":false,"connections":1})");
 }
@@ -163,7 +165,7 @@
         R"({"node":"rig-1","incarnation":"process-9","token":3,"grant":1})";
     state.keys["lead/token"].data = R"({"token":3,"node":"rig-1"})";
     start();
-    EXPECT_EQ(ask("POST", "/agent/beat", beatStart + R"("tick":1,"splits":[]})"),
+    EXPECT_EQ(ask("POST", "/agent/beat", heartbeatStart + R"("tick":1,"splits":[]})"),
               R"(421 {"steward":"rig-1"})");
 }
 
@@ -179,17 +181,17 @@
 
 TEST_F(ControllerWireFormat, DirectCommandRequest) {
     start();
-    const auto reportOf = [&](const std::string& tick, const std::string& splits) {
-        return R"({"host":"n-1","addr":")" + worker.address() +
-               R"(","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" + tick +
-               R"(,"baton":1,"splits":[)" + splits + "]}";
+    const auto reportOf = [&](const std::string& sequence, const std::string& tasks) {
+        return R"({"host":"n-1","addr":")" + agent.address() +
+               R"(","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" + sequence +
+               R"(,"baton":1,"splits":[)" + tasks + "]}";
     };
-    worker.answer(200, reportOf("2", R"({"split":"run-1/0","try":1,"status":"running"},)"
-                                     R"({"split":"run-1/1","try":1,"status":"running"})"));
+    agent.answer(200, reportOf("2", R"({"split":"run-1/0","try":1,"status":"running"},)"
+                                    R"({"split":"run-1/1","try":1,"status":"running"})"));
     ask("POST", "/agent/beat", reportOf("1", ""));
     ask("POST", "/v1/jobs", testing::submission("run-1"));
     world.run(500ms);
-    EXPECT_EQ(worker.takeRequests(),
+    EXPECT_EQ(agent.takeRequests(),
               std::vector<std::string>{R"(POST /commands {"baton":1,"stint":1,"orders":[)"
                                        R"({"verb":"launch","split":"run-1/0","try":1},)"
                                        R"({"verb":"launch","split":"run-1/1","try":1}]})"});
@@ -201,7 +203,7 @@
     start();
     ask("POST", "/v1/jobs", testing::submission("run-1"));
     ask("POST", "/v1/jobs", testing::submission("run-2", R"(,"waitsOn":["run-1"])"));
-    ask("POST", "/agent/beat", beatStart + R"("tick":1,"splits":[]})");
+    ask("POST", "/agent/beat", heartbeatStart + R"("tick":1,"splits":[]})");
     world.run(1s);
     EXPECT_EQ(ask("GET", "/status"),
               R"(200 {"node":"rig-0","leading":true,"leader":"rig-0","token":1,"connections":1,)"
--- a/src/peer_rpc/wire_format_test.cpp
+++ b/src/peer_rpc/wire_format_test.cpp
@@ -1,6 +1,6 @@
 // The exact bytes of every kind of message between controllers: a length of four bytes, lowest
-// first, and a Cap'n Proto message. A change of an ordinal, a type or a default value in the schema
-// fails here.
+// first, and a Cap'n Proto message. These tests fail if an ordinal, a type or a default value in
+// the schema changes.
 #include <gtest/gtest.h>
 
 #include "peer_rpc/peer_rpc.h"
@@ -59,9 +59,9 @@
 }
 
 TEST(WireFormat, HelloFlagsAreSeparateBits) {
-    const auto frameOf = [](bool leading, bool ready, bool delegations, bool handsOn) {
+    const auto frameOf = [](bool leading, bool ready, bool delegations, bool transfers) {
         Message message;
-        message.hello = Hello{"a", leading, 0, ready, 0, delegations, handsOn, "", 1};
+        message.hello = Hello{"a", leading, 0, ready, 0, delegations, transfers, "", 1};
         return toHex(encode(message));
     };
     EXPECT_EQ(frameOf(false, false, false, false),
@@ -96,7 +96,7 @@
             "70000000000000000d00000000000000010001000100000000000000000000000200040028272625"
             "2423222101000000000000000d0000002a0000000d0000004a000000110000003a00000000000000"
             "00000000504f5354000000002f76312f6a6f627300000000000000007b2261223a317d00",
-        toWorker =
+        toAgent =
             "80000000000000000f00000000000000010001000100000000000000000000000200040028272625"
             "2423222102000000000000000d0000002a0000000d0000004a000000110000003a00000011000000"
             "7a000000504f5354000000002f76312f6a6f627300000000000000007b2261223a317d0031302e31"
@@ -107,11 +107,11 @@
     EXPECT_EQ(toHex(encode(message)), toLeader);
     message.purpose = Purpose::stateService;
     EXPECT_EQ(toHex(encode(message)), toStateService);
-    message.purpose = Purpose::worker;
-    message.worker = "10.1.0.12:7000";
-    EXPECT_EQ(toHex(encode(message)), toWorker);
+    message.purpose = Purpose::agent;
+    message.agentAddress = "10.1.0.12:7000";
+    EXPECT_EQ(toHex(encode(message)), toAgent);
 
-    for (const auto& frame : {toLeader, toStateService, toWorker}) {
+    for (const auto& frame : {toLeader, toStateService, toAgent}) {
         const auto read = decoded(frame);
         ASSERT_TRUE(read.request);
         EXPECT_EQ(read.id, 0x2122232425262728U);
@@ -121,8 +121,8 @@
     }
     EXPECT_EQ(decoded(toLeader).purpose, Purpose::leader);
     EXPECT_EQ(decoded(toStateService).purpose, Purpose::stateService);
-    EXPECT_EQ(decoded(toWorker).purpose, Purpose::worker);
-    EXPECT_EQ(decoded(toWorker).worker, "10.1.0.12:7000");
+    EXPECT_EQ(decoded(toAgent).purpose, Purpose::agent);
+    EXPECT_EQ(decoded(toAgent).agentAddress, "10.1.0.12:7000");
 }
 
 TEST(WireFormat, ReplyFrameBytes) {
@@ -153,10 +153,10 @@
     ASSERT_TRUE(read.pledge);
     EXPECT_EQ(read.id, 0x2122232425262728U);
     EXPECT_EQ(read.pledge->token, 0x0102030405060708U);
-    EXPECT_EQ(read.pledge->hold, 3000ms);
+    EXPECT_EQ(read.pledge->duration, 3000ms);
 }
 
-TEST(WireFormat, DelegationQuestionFrameBytes) {
+TEST(WireFormat, DelegationRequestFrameBytes) {
     const std::string frame =
         "50000000000000000900000000000000010001000400000000000000000000000400010028272625"
         "2423222108070605040302013837363534333231941100000000000001000000320000007269672d"
@@ -175,7 +175,7 @@
     EXPECT_EQ(read.delegationRequest->timeSinceUse, 4500ms);
 }
 
-TEST(WireFormat, DelegationAnswerFrameBytes) {
+TEST(WireFormat, DelegationFrameBytes) {
     const std::string frame =
         "40000000000000000700000000000000010001000500000000000000000000000400000028272625"
         "2423222108070605040302013837363534333231803e000000000000";
--- a/tools/served_shares.py
+++ b/tools/served_shares.py
@@ -45,7 +45,7 @@
 
 def longest_pause(log, begin, end):
     """The longest time without an accepted submission, and when it began."""
-    accepted = re.compile(r"^\s*([0-9.]+) \S+ \S+ \S+ is accepted")
+    accepted = re.compile(r"^\s*([0-9.]+) \S+ \S+ job accepted: job=")
     at = [begin]
     with open(log, errors="replace") as lines:
         for line in lines:
