--- a/src/cells/cells.h
+++ b/src/cells/cells.h
@@ -1,4 +1,11 @@
 #pragma once
+// Cells: the units of machines that teams can reserve (HiveD, algorithm 1: buddy cell allocation;
+// Zhao et al., OSDI 2020).
+//
+// A pool divides the machines of one type into cells of three levels. Reservations are met by
+// binding whole cells; other, low-priority work runs anywhere and only counts the slots that it
+// uses. Each side is told where the other one is, so that they can stay apart. Pure data structure
+// without I/O. Called by `scheduler::Quota`.
 #include <array>
 #include <cstdint>
 #include <functional>
@@ -12,100 +19,121 @@
 
 namespace basaltchute::cells {
 
-/// The levels of a pool: a slot (a fixed share of a machine), a machine, and a zone cell (a fixed
-/// number of machines of one zone). All cells of a level are alike, as buddy allocation needs.
+/// The levels of cells in a pool: a slot (a fixed share of a machine), a machine, and a zone cell
+/// (a fixed number of machines in one zone). All cells of a level have the same size, as buddy
+/// allocation requires.
 enum class Level : std::uint8_t { slot, machine, zone };
-inline constexpr std::size_t levels = 3;
+inline constexpr std::size_t levelCount = 3;
 
+/// Identifies a cell of a pool. Indices of cells that no longer exist are reused.
 using CellIndex = std::uint32_t;
 
+/// The sizes of the cells of a pool.
 struct PoolShape {
     std::uint32_t slotsPerMachine = 1;
-    std::uint32_t machinesPerZone = 4;
+    std::uint32_t machinesPerZoneCell = 4;
 };
 
-/// Buddy cell allocation (HiveD, algorithm 1) over the machines of one type. Two views share the
-/// cells: guaranteed bindings take whole cells, low-priority work only counts the slots it uses,
-/// and each side is told where the other is so as to keep away from it.
+/// The cells of all machines of one type. See the top of this file.
 class CellPool {
   public:
     explicit CellPool(PoolShape shape) : shape_(shape) {}
 
+    /// Adds a machine. Does nothing if it is in the pool already.
     void addMachine(MachineIndex machine, const std::string& zone);
-    /// The machine is gone; bound cells that held it are unbound and returned.
+    /// Removes a machine. Returns the bound cells that contained it, which are released.
     std::vector<CellIndex> removeMachine(MachineIndex machine);
 
-    // Guaranteed view
+    // Reservations
+    /// Sets how many cells of the level are reserved for the team.
     void reserve(const std::string& team, Level level, std::uint32_t count);
     [[nodiscard]] std::uint32_t reservedCells(const std::string& team, Level level) const;
     [[nodiscard]] std::uint32_t boundCells(const std::string& team, Level level) const;
-    /// Whether the machines present can hold every team's reservation at once.
+    /// Whether the machines in the pool suffice for all reservations at once.
     [[nodiscard]] bool reservationsFit() const;
-    /// Binds a free cell, splitting the lowest higher one if need be. Legal only while the team's
-    /// bound cells at the level are below its reservation. Among equals the cell with the fewest
-    /// low-priority slots is taken. `usable` may rule machines out.
-    std::optional<CellIndex> bind(const std::string& team, Level level,
-                                  const std::function<bool(MachineIndex)>& usable);
-    /// Returns a cell; it merges with its buddies as far up as they are all free.
-    void release(CellIndex cell);
+    /// Binds a free cell for the team and splits the smallest larger one if there is none. Prefers
+    /// cells with few low-priority slots. Returns nothing if the team's reservation at the level is
+    /// used up, or no cell is free on machines that `usable` accepts.
+    std::optional<CellIndex> bindCell(const std::string& team, Level level,
+                                      const std::function<bool(MachineIndex)>& usable);
+    /// Makes a bound cell free again. It merges with its buddies, level by level, as long as all of
+    /// them are free.
+    void releaseCell(CellIndex cell);
+    /// The machines of the cell. For a slot, the machine that it is a part of.
     [[nodiscard]] std::vector<MachineIndex> machinesOf(CellIndex cell) const;
     [[nodiscard]] std::uint32_t slotsOf(CellIndex cell) const;
-    /// Slots in a whole cell of the level.
+    /// How many slots a cell of the level has.
     [[nodiscard]] std::uint32_t slotsOf(Level level) const;
-    /// Slots of the machine that belong to bound cells.
+    /// How many slots of the machine belong to bound cells.
     [[nodiscard]] std::uint32_t boundSlots(MachineIndex machine) const;
 
-    // Low-priority view
+    // Low-priority work
+    /// Adds to the number of slots that low-priority work uses on the machine. `slots` is negative
+    /// when work ends.
     void addLowPrioritySlots(MachineIndex machine, int slots);
     [[nodiscard]] std::uint32_t lowPrioritySlots(MachineIndex machine) const;
-    /// How far the machine is from guaranteed cells: 0 it has some itself, 1 a buddy has, 2 none.
+    /// How far the machine is from bound cells: 0 if it has bound slots itself, 1 if another
+    /// machine of its zone cell has, else 2.
     [[nodiscard]] int distanceToBoundCells(MachineIndex machine) const;
-    /// The machines whose distance changes with what is bound on this one, itself among them.
-    [[nodiscard]] std::vector<MachineIndex> buddies(MachineIndex machine) const;
+    /// The machines whose distance may change when cells are bound on this one, which is included.
+    [[nodiscard]] std::vector<MachineIndex> machinesInSameZoneCell(MachineIndex machine) const;
 
-    [[nodiscard]] std::size_t freeCells(Level level) const { return free(level).size(); }
+    [[nodiscard]] std::size_t freeCells(Level level) const { return freeList(level).size(); }
     [[nodiscard]] std::uint32_t slotsPerMachine() const { return shape_.slotsPerMachine; }
-    /// Empty if free lists, parents and counts agree; else what is wrong. For tests.
+    /// Checks that free lists, parents and counts agree. Returns what is wrong, or an empty string.
+    /// For tests.
     [[nodiscard]] std::string findInconsistency() const;
 
   private:
-    enum class State : std::uint8_t { absent, free, split, bound };
+    /// `merged`: the parent is not split, so the cell exists only as a part of it.
+    enum class State : std::uint8_t { merged, free, split, bound };
     struct Cell {
         Level level = Level::slot;
-        State state = State::absent;
-        CellIndex parent = none;
+        State state = State::merged;
+        CellIndex parent = noCell;
         std::vector<CellIndex> children;
         MachineIndex machine = noMachine;
-        std::uint32_t low = 0;    // low-priority slots in it
-        std::uint32_t bound = 0;  // slots of bound cells in it
-        std::string team;
+        std::uint32_t lowPrioritySlots = 0;  // including those of its children
+        std::uint32_t boundSlots = 0;        // of bound cells, including its children
+        std::string team;                    // that it is bound for
         std::string zone;
     };
-    static constexpr CellIndex none = UINT32_MAX;
+    static constexpr CellIndex noCell = UINT32_MAX;
     using FreeList = std::set<std::pair<std::uint32_t, CellIndex>>;  // by low-priority slots
 
-    FreeList& free(Level l) { return free_[static_cast<std::size_t>(l)]; }
-    [[nodiscard]] const FreeList& free(Level l) const { return free_[static_cast<std::size_t>(l)]; }
-    CellIndex make(Level level, CellIndex parent, MachineIndex machine, const std::string& zone);
-    void setFree(CellIndex c);
-    void unlist(CellIndex c);
-    void split(CellIndex c);
-    void mergeUp(CellIndex c);
-    void groupZone(const std::string& zone);
-    void dissolve(CellIndex zoneCell);
-    void count(CellIndex c, int low, int bound);
-    /// Empty if the level's free list agrees with its cells; else what is wrong.
-    [[nodiscard]] std::string freeListFault(Level level) const;
-    [[nodiscard]] bool anyUsable(CellIndex c,
-                                 const std::function<bool(MachineIndex)>& usable) const;
-    [[nodiscard]] std::optional<CellIndex> best(
+    FreeList& freeList(Level l) { return freeLists_[static_cast<std::size_t>(l)]; }
+    [[nodiscard]] const FreeList& freeList(Level l) const {
+        return freeLists_[static_cast<std::size_t>(l)];
+    }
+    CellIndex makeCell(Level level, CellIndex parent, MachineIndex machine,
+                       const std::string& zone);
+    /// Sets the state to free and adds the cell to the free list of its level.
+    void markFree(CellIndex c);
+    void removeFromFreeList(CellIndex c);
+    /// Replaces a free cell by its children, which become free.
+    void splitCell(CellIndex c);
+    /// Replaces free cells by their parent, as far up as all children of a cell are free.
+    void mergeWithBuddies(CellIndex c);
+    /// Makes a zone cell of free machines of the zone that are in none, if there are enough.
+    void formZoneCell(const std::string& zone);
+    /// Removes a zone cell. Its machines stay.
+    void dissolveZoneCell(CellIndex zoneCell);
+    /// Adds to the slot counts of the cell and of all its ancestors.
+    void adjustSlotCounts(CellIndex c, int low, int bound);
+    /// Checks that the level's free list agrees with its cells. Returns what is wrong, if anything.
+    [[nodiscard]] std::string findFreeListInconsistency(Level level) const;
+    [[nodiscard]] bool hasUsableMachine(CellIndex c,
+                                        const std::function<bool(MachineIndex)>& usable) const;
+    /// The free cell of level `l` with the fewest low-priority slots that a cell of level `want`
+    /// can be made of.
+    [[nodiscard]] std::optional<CellIndex> findFreeCell(
         Level l, Level want, const std::function<bool(MachineIndex)>& usable) const;
 
     PoolShape shape_;
     std::vector<Cell> cells_;
-    std::vector<CellIndex> spare_;
-    std::array<FreeList, levels> free_;
-    std::map<MachineIndex, CellIndex> byMachine_;
+    std::vector<CellIndex> unusedIndices_;  // in `cells_`
+    std::array<FreeList, levelCount> freeLists_;
+    std::map<MachineIndex, CellIndex> machineCells_;
     std::map<std::pair<std::string, Level>, std::uint32_t> reserved_, bound_;
 };
 
--- a/src/dependencies/dependency_graph.cpp
+++ b/src/dependencies/dependency_graph.cpp
@@ -8,21 +8,21 @@
 std::vector<DependentJob> topologicalOrder(std::vector<DependentJob> jobs) {
     std::unordered_map<JobId, std::size_t> position;
     for (std::size_t i = 0; i < jobs.size(); ++i) position[jobs[i].id] = i;
-    std::vector<std::size_t> unordered(jobs.size(), 0);  // dependencies that are not ordered yet
+    std::vector<std::size_t> unorderedDependencies(jobs.size(), 0);
     std::vector<std::vector<std::size_t>> dependents(jobs.size());
     std::vector<std::size_t> ready;
     for (std::size_t i = 0; i < jobs.size(); ++i) {
         for (const auto& dependency : jobs[i].dependencies)
             if (const auto at = position.find(dependency); at != position.end()) {
-                ++unordered[i];
+                ++unorderedDependencies[i];
                 dependents[at->second].push_back(i);
             }
-        if (unordered[i] == 0) ready.push_back(i);
+        if (unorderedDependencies[i] == 0) ready.push_back(i);
     }
     std::vector<DependentJob> ordered;
     for (std::size_t n = 0; n < ready.size(); ++n) {
         for (const std::size_t dependent : dependents[ready[n]])
-            if (--unordered[dependent] == 0) ready.push_back(dependent);
+            if (--unorderedDependencies[dependent] == 0) ready.push_back(dependent);
         ordered.push_back(std::move(jobs[ready[n]]));
     }
     return ordered;
@@ -40,7 +40,7 @@
     node.id = id;
     node.properties = properties;
     node.outcome = outcome;
-    node.number = ++nextNumber_;
+    node.insertionNumber = ++nextInsertionNumber_;
 }
 
 InheritedUrgency DependencyGraph::urgencyForDependencies(const Node& node) {
@@ -87,18 +87,18 @@
         const InheritedUrgency inherited = mostUrgent(node);
         if (inherited != node.inherited) {
             node.inherited = inherited;
-            changes_.urgency.push_back(node.id);
+            changes_.urgencyChanged.push_back(node.id);
         }
-        const bool counts = node.outcome == JobOutcome::open && node.cancelledWith == nullptr;
+        const bool counts = node.outcome == JobOutcome::open && node.cancelledDependency == nullptr;
         const InheritedUrgency passesOn = urgencyForDependencies(node);
-        if (counts == node.counted && (!counts || passesOn == node.passedOn)) continue;
+        if (counts == node.urgencyCounted && (!counts || passesOn == node.passedOn)) continue;
         for (Node* dependency : node.dependencies) {
-            if (node.counted) removeUrgency(*dependency, node.passedOn);
+            if (node.urgencyCounted) removeUrgency(*dependency, node.passedOn);
             if (counts) addUrgency(*dependency, passesOn);
-            // A job that has ended needs no urgency.
+            // A job that has ended is not scheduled any more, so its urgency is not updated.
             if (dependency->outcome == JobOutcome::open) pending.insert(dependency);
         }
-        node.counted = counts;
+        node.urgencyCounted = counts;
         node.passedOn = passesOn;
     }
 }
@@ -106,7 +106,7 @@
 void DependencyGraph::addDependencies(const JobId& id, const std::vector<JobId>& dependencies) {
     Node& node = nodes_.at(id);
     for (const auto& dependencyId : dependencies) {
-        // What is not recorded is never done, so a job that names it cannot start.
+        // A dependency without records counts as open for ever, so that the job cannot start.
         addJob(dependencyId, {}, JobOutcome::open);
         Node& dependency = nodes_.at(dependencyId);
         ++visitedNodes_;
@@ -114,11 +114,11 @@
         dependency.dependents.push_back(&node);
         node.depth = std::max(node.depth, dependency.depth + 1);
         if (dependency.outcome != JobOutcome::done) ++node.unfinishedDependencies;
-        if (node.cancelledWith != nullptr || node.outcome != JobOutcome::open) continue;
+        if (node.cancelledDependency != nullptr || node.outcome != JobOutcome::open) continue;
         if (dependency.outcome == JobOutcome::cancelled)
-            node.cancelledWith = &dependency;
-        else if (dependency.cancelledWith != nullptr)
-            node.cancelledWith = dependency.cancelledWith;
+            node.cancelledDependency = &dependency;
+        else if (dependency.cancelledDependency != nullptr)
+            node.cancelledDependency = dependency.cancelledDependency;
     }
     propagateUrgency({&node});
 }
@@ -126,15 +126,15 @@
 void DependencyGraph::cancelDependents(Node& node) {
     Pending pending{&node};
     std::vector<Node*> toVisit{&node};
-    const Node* cause = node.cancelledWith != nullptr ? node.cancelledWith : &node;
+    const Node* cause = node.cancelledDependency != nullptr ? node.cancelledDependency : &node;
     while (!toVisit.empty()) {
         const Node& cancelled = *toVisit.back();
         toVisit.pop_back();
         for (Node* dependent : cancelled.dependents) {
             ++visitedNodes_;
-            if (dependent->cancelledWith != nullptr || dependent->outcome != JobOutcome::open)
+            if (dependent->cancelledDependency != nullptr || dependent->outcome != JobOutcome::open)
                 continue;
-            dependent->cancelledWith = cause;
+            dependent->cancelledDependency = cause;
             changes_.cancelled.push_back(dependent->id);
             pending.insert(dependent);
             toVisit.push_back(dependent);
@@ -152,7 +152,7 @@
     if (outcome == JobOutcome::cancelled) return cancelDependents(node);
     for (Node* dependent : node.dependents) {
         ++visitedNodes_;
-        if (--dependent->unfinishedDependencies == 0 && dependent->cancelledWith == nullptr &&
+        if (--dependent->unfinishedDependencies == 0 && dependent->cancelledDependency == nullptr &&
             dependent->outcome == JobOutcome::open)
             changes_.released.push_back(dependent->id);
     }
@@ -167,13 +167,14 @@
 
 bool DependencyGraph::isBlocked(const JobId& id) const {
     const Node* node = find(id);
-    return node != nullptr && node->unfinishedDependencies > 0 && node->cancelledWith == nullptr &&
-           node->outcome == JobOutcome::open;
+    return node != nullptr && node->unfinishedDependencies > 0 &&
+           node->cancelledDependency == nullptr && node->outcome == JobOutcome::open;
 }
 
-const JobId* DependencyGraph::cancelledWith(const JobId& id) const {
+const JobId* DependencyGraph::cancelledDependency(const JobId& id) const {
     const Node* node = find(id);
-    return node == nullptr || node->cancelledWith == nullptr ? nullptr : &node->cancelledWith->id;
+    return node == nullptr || node->cancelledDependency == nullptr ? nullptr
+                                                                   : &node->cancelledDependency->id;
 }
 
 std::vector<JobId> DependencyGraph::unfinishedDependencies(const JobId& id) const {
@@ -196,7 +197,8 @@
 InheritedUrgency DependencyGraph::recomputeInherited(const Node& node) {
     InheritedUrgency inherited;
     for (const Node* dependent : node.dependents) {
-        if (dependent->outcome != JobOutcome::open || dependent->cancelledWith != nullptr) continue;
+        if (dependent->outcome != JobOutcome::open || dependent->cancelledDependency != nullptr)
+            continue;
         const InheritedUrgency urgency = urgencyForDependencies(*dependent);
         inherited.priority = std::min(inherited.priority, urgency.priority);
         inherited.deadlines.first = std::min(inherited.deadlines.first, urgency.deadlines.first);
@@ -211,13 +213,13 @@
     for (const Node* dependency : node.dependencies) {
         unfinished += dependency->outcome != JobOutcome::done ? 1 : 0;
         cancelled = cancelled || dependency->outcome == JobOutcome::cancelled ||
-                    dependency->cancelledWith != nullptr;
+                    dependency->cancelledDependency != nullptr;
         if (dependency->depth >= node.depth) return "depth of " + node.id;
     }
     if (unfinished != node.unfinishedDependencies)
         return "count of unfinished dependencies of " + node.id;
     if (node.outcome != JobOutcome::open) return "";
-    if (cancelled != (node.cancelledWith != nullptr))
+    if (cancelled != (node.cancelledDependency != nullptr))
         return "whether " + node.id + " is cancelled with another";
     if (recomputeInherited(node) != node.inherited) return "urgency inherited by " + node.id;
     return "";
--- a/src/dependencies/dependency_graph_test.cpp
+++ b/src/dependencies/dependency_graph_test.cpp
@@ -15,7 +15,8 @@
                          Deadlines deadlines = {}) {
     return {priority, deadlines, duration};
 }
-Deadlines by(Duration first, Duration last) {
+/// Deadlines at these times after `start`.
+Deadlines deadlinesAt(Duration first, Duration last) {
     return {start + first, start + last};
 }
 
@@ -29,19 +30,19 @@
         graph.addJob(id, own, JobOutcome::open);
         graph.addDependencies(id, dependencies);
     }
-    /// clip -> two splits -> time -> post, with the deadline on the last.
-    void pipeline() {
+    /// Adds clip -> two splits -> time -> post. Only the last one has a deadline.
+    void addPipeline() {
         add("clip", {});
         add("split-1", {"clip"});
         add("split-2", {"clip"}, properties(Priority::low, 25s));
         add("time", {"split-1", "split-2"}, properties(Priority::normal, 20s));
-        add("post", {"time"}, properties(Priority::high, 8s, by(100s, 150s)));
+        add("post", {"time"}, properties(Priority::high, 8s, deadlinesAt(100s, 150s)));
         graph.takeChanges();
     }
 };
 
 TEST_F(DependencyGraphTest, JobIsReleasedByItsLastDependency) {
-    pipeline();
+    addPipeline();
     EXPECT_FALSE(graph.isBlocked("clip"));
     EXPECT_TRUE(graph.isBlocked("split-1"));
     graph.setOutcome("clip", JobOutcome::done);
@@ -56,32 +57,32 @@
     EXPECT_FALSE(graph.isBlocked("later")) << "all its dependencies were done when it was added";
 }
 
-TEST_F(DependencyGraphTest, CancellationReachesEachDependentOnceAndDoneWins) {
-    pipeline();
+TEST_F(DependencyGraphTest, CancellationReachesEachDependentOnceAndNeverOverridesDone) {
+    addPipeline();
     add("aside", {"clip"});
     graph.setOutcome("split-1", JobOutcome::cancelled);
     EXPECT_EQ(graph.takeChanges().cancelled, (std::vector<JobId>{"time", "post"}));
-    EXPECT_EQ(*graph.cancelledWith("post"), "split-1");
-    EXPECT_EQ(graph.cancelledWith("aside"), nullptr);
+    EXPECT_EQ(*graph.cancelledDependency("post"), "split-1");
+    EXPECT_EQ(graph.cancelledDependency("aside"), nullptr);
     graph.setOutcome("split-2", JobOutcome::done);
     EXPECT_FALSE(graph.isBlocked("time"));
     EXPECT_TRUE(graph.takeChanges().released.empty()) << "a cancelled job is never released";
     add("afterwards", {"post"});
-    EXPECT_EQ(*graph.cancelledWith("afterwards"), "split-1");
+    EXPECT_EQ(*graph.cancelledDependency("afterwards"), "split-1");
     graph.setOutcome("clip", JobOutcome::done);
     graph.setOutcome("clip", JobOutcome::cancelled);
     EXPECT_TRUE(graph.takeChanges().cancelled.empty()) << "done before it was cancelled";
 }
 
 TEST_F(DependencyGraphTest, UrgencyIsInheritedAlongTheLongestPathAndRevoked) {
-    pipeline();
+    addPipeline();
     const InheritedUrgency clip = graph.inheritedUrgency("clip");
     EXPECT_EQ(clip.priority, Priority::high);
-    // 100 s less 8 of the last, 20 of the third and 25 of the longer one of the second stage.
-    EXPECT_EQ(clip.deadlines, by(47s, 97s));
-    EXPECT_EQ(graph.inheritedUrgency("split-1").deadlines, by(72s, 122s));
-    // A more urgent dependent that is added late counts at once.
-    add("audit", {"split-1"}, properties(Priority::production, 5s, by(40s, 40s)));
+    // 100 s less the durations on the longest path: 8 s of post, 20 s of time and 25 s of split-2.
+    EXPECT_EQ(clip.deadlines, deadlinesAt(47s, 97s));
+    EXPECT_EQ(graph.inheritedUrgency("split-1").deadlines, deadlinesAt(72s, 122s));
+    // A more urgent dependent counts at once, even if it is added later.
+    add("audit", {"split-1"}, properties(Priority::production, 5s, deadlinesAt(40s, 40s)));
     EXPECT_EQ(graph.inheritedUrgency("clip").priority, Priority::production);
     EXPECT_EQ(graph.inheritedUrgency("clip").deadlines.first, start + 25s);
     graph.setOutcome("audit", JobOutcome::cancelled);
@@ -90,7 +91,8 @@
     EXPECT_EQ(graph.inheritedUrgency("clip").deadlines.first, start + 12s);
     graph.setOutcome("post", JobOutcome::cancelled);
     EXPECT_EQ(graph.inheritedUrgency("clip").deadlines, Deadlines{});
-    EXPECT_EQ(graph.inheritedUrgency("clip").priority, Priority::normal) << "the third stage's own";
+    EXPECT_EQ(graph.inheritedUrgency("clip").priority, Priority::normal)
+        << "the priority of time itself";
     EXPECT_EQ(graph.findInconsistency(), "");
 }
 
@@ -106,35 +108,35 @@
     for (unsigned seed = 1; seed <= 40; ++seed) {
         DependencyGraph g;
         std::mt19937 random(seed);
-        const auto below = [&](std::size_t n) { return random() % n; };
+        const auto randomBelow = [&](std::size_t n) { return random() % n; };
         std::vector<JobId> ids;
         for (int step = 0; step < 120; ++step) {
-            const auto what = below(10);
-            if (ids.size() < 2 || what < 5) {
+            const auto action = randomBelow(10);
+            if (ids.size() < 2 || action < 5) {
                 const JobId id = "job-" + std::to_string(ids.size());
                 std::vector<JobId> dependencies;
-                for (std::size_t n = below(4); n > 0 && !ids.empty(); --n) {
-                    const JobId& dependency = ids[below(ids.size())];
+                for (std::size_t n = randomBelow(4); n > 0 && !ids.empty(); --n) {
+                    const JobId& dependency = ids[randomBelow(ids.size())];
                     if (std::find(dependencies.begin(), dependencies.end(), dependency) ==
                         dependencies.end())
                         dependencies.push_back(dependency);
                 }
-                const Duration end = std::chrono::seconds(50 + below(100));
-                g.addJob(
-                    id,
-                    properties(static_cast<Priority>(below(4)), std::chrono::seconds(below(30)),
-                               below(2) == 0 ? Deadlines{} : by(end, end * 2)),
-                    JobOutcome::open);
+                const Duration end = std::chrono::seconds(50 + randomBelow(100));
+                g.addJob(id,
+                         properties(static_cast<Priority>(randomBelow(4)),
+                                    std::chrono::seconds(randomBelow(30)),
+                                    randomBelow(2) == 0 ? Deadlines{} : deadlinesAt(end, end * 2)),
+                         JobOutcome::open);
                 g.addDependencies(id, dependencies);
                 ids.push_back(id);
             } else {
-                const JobId& id = ids[below(ids.size())];
-                if (what < 8) {
+                const JobId& id = ids[randomBelow(ids.size())];
+                if (action < 8) {
                     if (g.unfinishedDependencies(id).empty()) g.setOutcome(id, JobOutcome::done);
-                } else if (what == 8) {
+                } else if (action == 8) {
                     g.setOutcome(id, JobOutcome::cancelled);
                 } else {
-                    g.setDuration(id, std::chrono::seconds(below(40)));
+                    g.setDuration(id, std::chrono::seconds(randomBelow(40)));
                 }
             }
             ASSERT_EQ(g.findInconsistency(), "") << "seed " << seed << ", step " << step;
@@ -162,9 +164,11 @@
     EXPECT_LE(cost([&] { graph.setOutcome("fan-3", JobOutcome::cancelled); }), 4U);
     EXPECT_LE(cost([&] { graph.setOutcome("fan", JobOutcome::done); }), 1001U);
     // An urgent dependent at the end of the path reaches its first job and visits each once.
-    EXPECT_LE(
-        cost([&] { add("last", {"deep-100"}, properties(Priority::high, 1s, by(900s, 900s))); }),
-        110U);
+    EXPECT_LE(cost([&] {
+                  add("last", {"deep-100"},
+                      properties(Priority::high, 1s, deadlinesAt(900s, 900s)));
+              }),
+              110U);
     EXPECT_EQ(graph.inheritedUrgency("deep-0").priority, Priority::high);
     EXPECT_LE(cost([&] { graph.setOutcome("deep-0", JobOutcome::cancelled); }), 2 * 102U);
     EXPECT_EQ(graph.takeChanges().cancelled.size(), 101U);
--- a/src/scheduler/allocations.cpp
+++ b/src/scheduler/allocations.cpp
@@ -4,7 +4,8 @@
 
 #include "scheduler/cluster.h"
 
-// What is possibly on which machine: bind, stop and release, and what the passing of time changes.
+// Allocations: binding, stopping and releasing tasks, and the timers of machines (leases, spot
+// interruptions, back-offs).
 
 namespace basaltchute::scheduler {
 
@@ -15,23 +16,24 @@
 using worker_api::Presence;
 
 namespace {
-constexpr Duration leaseMargin = 500ms;
-constexpr Duration interruptionMargin = 2500ms;
-constexpr Duration delegationRecheck = 500ms;
+constexpr Duration leaseMargin = 500ms;  // added to the end of a lease, beside clock drift
+constexpr Duration interruptionMargin =
+    2500ms;  // from the end of a checkpoint until the machine is lost
+constexpr Duration delegationRecheckInterval = 500ms;
 }  // namespace
 
 Cluster::Cluster(const settings::Settings& settings, FencingToken token)
-    : settings_(settings), token_(token), valueBytes_(settings.valueBytes) {}
+    : settings_(settings), token_(token), maxValueBytes_(settings.valueBytes) {}
 
 // ---------------------------------------------------------------- allocations
 
-bool Cluster::ownsAllocation(const Allocation& allocation, MachineIndex machine) const {
+bool Cluster::isCurrentAllocation(const Allocation& allocation, MachineIndex machine) const {
     const JobTask& t = allocation.job->tasks[allocation.task];
     return t.state == TaskState::bound && t.machine == machine && t.attempt == allocation.attempt;
 }
 
-void Cluster::bind(Job& job, std::uint32_t task, MachineIndex machine,
-                   std::vector<cells::CellIndex> cells) {
+void Cluster::bindTask(Job& job, std::uint32_t task, MachineIndex machine,
+                       std::vector<cells::CellIndex> cells) {
     JobTask& t = job.tasks[task];
     t.state = TaskState::bound;
     t.phase = TaskPhase::pendingBind;
@@ -39,9 +41,9 @@
     t.machine = machine;
     ++t.attempt;
     ++job.boundCount;
-    listWaiting(job);
-    // Low-priority work is bound by what the others leave of the write rate: a large array once
-    // held up everybody's bindings.
+    updateWaitingList(job);
+    // Bindings of low-priority work only use the write rate that other writes leave: a large array
+    // once delayed the bindings of all other jobs.
     markTaskDirty(job, task,
                   job.effectivePriority == Priority::low ? WritePriority::background
                                                          : WritePriority::immediate);
@@ -52,10 +54,10 @@
     allocation.recordVersion = job.layout.rangeOf(task).version;
     allocation.cells = std::move(cells);
     t.reserved = !allocation.cells.empty();
-    allocate(machine, std::move(allocation));
+    addAllocation(machine, std::move(allocation));
 }
 
-void Cluster::unbind(Job& job, std::uint32_t task) {
+void Cluster::unbindTask(Job& job, std::uint32_t task) {
     JobTask& t = job.tasks[task];
     if (t.phase == TaskPhase::running || t.phase == TaskPhase::checkpointing) --job.runningCount;
     t.state = TaskState::waiting;
@@ -65,19 +67,19 @@
     --job.boundCount;
     job.placementQueue.push_back(task);
     hasNewWork_ = true;
-    listWaiting(job);
+    updateWaitingList(job);
     markTaskDirty(job, task, WritePriority::progress);
 }
 
-Allocation& Cluster::allocate(MachineIndex machine, Allocation allocation) {
+Allocation& Cluster::addAllocation(MachineIndex machine, Allocation allocation) {
     Machine& m = machines_[machine];
     Job& job = *allocation.job;
     markCapacityDirty(quota_.occupyCells(allocation, machine, m));
-    quota_.addUse(job.spec);
+    quota_.addUsage(job.spec);
     ++job.tasksPerZone[m.zone];
-    // Found on a machine after its job's cancellation was acknowledged: leases in its zone may not
-    // be delegated for longer than that leaves.
-    if (job.cancelled) cancellations_.insert(&job);
+    // The task was found after its job's cancellation was acknowledged. Listing the job again
+    // limits the delegations in the zone of the machine (`latestDelegationEnd`).
+    if (job.cancelled) pendingCancellations_.insert(&job);
     m.allocations.push_back(std::move(allocation));
     markCapacityDirty(machine);
     scheduleTimer(machine, m.leaseEnd);
@@ -90,26 +92,26 @@
     Job& job = *allocation.job;
     markCapacityDirty(quota_.vacateCells(allocation, machine, m));
     m.allocations.erase(m.allocations.begin() + static_cast<std::ptrdiff_t>(position));
-    quota_.removeUse(job.spec);
-    const auto zone = job.tasksPerZone.find(m.zone);
-    if (--zone->second == 0) job.tasksPerZone.erase(zone);
+    quota_.removeUsage(job.spec);
+    const auto tasksInZone = job.tasksPerZone.find(m.zone);
+    if (--tasksInZone->second == 0) job.tasksPerZone.erase(tasksInZone);
     markCapacityDirty(machine);
-    if (ownsAllocation(allocation, machine)) unbind(job, allocation.task);
+    if (isCurrentAllocation(allocation, machine)) unbindTask(job, allocation.task);
 }
 
-void Cluster::releaseAll(MachineIndex machine) {
+void Cluster::releaseAllAllocations(MachineIndex machine) {
     while (!machines_[machine].allocations.empty())
         releaseAllocation(machine, machines_[machine].allocations.size() - 1);
 }
 
-void Cluster::stopMember(Job& job, std::uint32_t task) {
+void Cluster::stopTask(Job& job, std::uint32_t task) {
     JobTask& t = job.tasks[task];
     if (t.state != TaskState::bound || t.stopping) return;
     Machine& m = machines_[t.machine];
     const Allocation* allocation = m.findAllocation(job, task, t.attempt);
     if (allocation != nullptr && !allocation->state.launchSent()) {
-        // Its launch never left, so there is nothing to stop and nothing will be reported: told to
-        // stop, such a task once kept its resources for good.
+        // The launch was never sent, so there is nothing to stop and the machine will report
+        // nothing. Marked as stopping, such a task once kept its resources for good.
         releaseAllocation(t.machine, static_cast<std::size_t>(allocation - m.allocations.data()));
         return;
     }
@@ -118,13 +120,13 @@
     markCapacityDirty(t.machine);
 }
 
-void Cluster::stop(Job& job, std::uint32_t task) {
-    if (job.spec.shape != Shape::gang) return stopMember(job, task);
-    for (std::uint32_t member = 0; member < job.spec.tasks; ++member) stopMember(job, member);
+void Cluster::stopTaskOrGang(Job& job, std::uint32_t task) {
+    if (job.spec.shape != Shape::gang) return stopTask(job, task);
+    for (std::uint32_t member = 0; member < job.spec.tasks; ++member) stopTask(job, member);
 }
 
-void Cluster::stopAll(const TaskList& tasks) {
-    for (const auto& [job, task] : tasks) stop(*job, task);
+void Cluster::stopTasks(const TaskList& tasks) {
+    for (const auto& [job, task] : tasks) stopTaskOrGang(*job, task);
 }
 
 // ---------------------------------------------------------------- machines
@@ -134,10 +136,10 @@
     now_ = now;
     m.presence = Presence::gone;
     m.lastHeardAt = now;
-    releaseAll(machine);
+    releaseAllAllocations(machine);
     quota_.removeMachine(machine, m);
-    // The name must stay known, so that a late report does not bring the machine back; what was
-    // on it need not.
+    // The machine itself stays registered, so that a late report does not bring it back. What was
+    // known of its contents is dropped.
     m.images.clear();
     m.tombstones.clear();
     m.terminalStatuses.clear();
@@ -151,9 +153,9 @@
     markCapacityDirty(machine);
 }
 
-void Cluster::setZoneUnreachable(const std::string& zone, bool away) {
-    if (away == unreachableZones_.contains(zone)) return;
-    if (away)
+void Cluster::setZoneUnreachable(const std::string& zone, bool unreachable) {
+    if (unreachable == unreachableZones_.contains(zone)) return;
+    if (unreachable)
         unreachableZones_.insert(zone);
     else
         unreachableZones_.erase(zone);
@@ -164,6 +166,7 @@
 // ---------------------------------------------------------------- leases and timers
 
 TimePoint Cluster::leaseEnd(TimePoint renewed) const {
+    // A thousandth of the lease allows for drift between the clocks.
     return renewed + settings_.lease + settings_.lease / 1000 + leaseMargin;
 }
 
@@ -176,22 +179,24 @@
     return m.answeredAt == TimePoint{} ? now : m.answeredAt + settings_.lease;
 }
 
-void Cluster::checkpointBefore(MachineIndex machine, TimePoint until, TimePoint now) {
+void Cluster::stopCheckpointingTasksBefore(MachineIndex machine, TimePoint until, TimePoint now) {
     const Machine& m = machines_[machine];
     TaskList due;
     for (const Allocation& allocation : m.allocations) {
         const JobTask& task = allocation.job->tasks[allocation.task];
         const JobSpec& spec = allocation.job->spec;
-        if (!ownsAllocation(allocation, machine) || task.stopping || spec.checkpointIntervalS <= 0)
+        if (!isCurrentAllocation(allocation, machine) || task.stopping ||
+            spec.checkpointIntervalS <= 0)
             continue;
-        // As late as the checkpoint allows: the task may still finish.
-        const TimePoint last = until - fromSeconds(spec.checkpointDurationS) - interruptionMargin;
-        if (now < last)
-            scheduleTimer(machine, last);
+        // Stops the task as late as its checkpoint allows, since it may finish before.
+        const TimePoint latestStop =
+            until - fromSeconds(spec.checkpointDurationS) - interruptionMargin;
+        if (now < latestStop)
+            scheduleTimer(machine, latestStop);
         else
             due.emplace_back(allocation.job, allocation.task);
     }
-    stopAll(due);
+    stopTasks(due);
 }
 
 void Cluster::scheduleTimer(MachineIndex machine, TimePoint at) {
@@ -202,34 +207,34 @@
     timers_.emplace(at, machine);
 }
 
-void Cluster::releaseExpired(MachineIndex machine, TimePoint now) {
+void Cluster::releaseIfLeaseExpired(MachineIndex machine, TimePoint now) {
     Machine& m = machines_[machine];
     if (m.allocations.empty() || now < m.leaseEnd) return;
     if (now < possiblyRunningUntil(m, now)) {
-        // Answered by a delegate, perhaps: what it told this leader may be old, and is looked up
-        // again.
-        scheduleTimer(machine, now + delegationRecheck);
+        // A delegate may have renewed the lease. What this leader knows of that may be out of date,
+        // so it is checked again shortly.
+        scheduleTimer(machine, now + delegationRecheckInterval);
         return;
     }
-    // Nobody can have renewed it: the worker has killed everything and begun a new incarnation,
-    // which also fences direct commands that are still on their way.
+    // Nobody can have renewed the lease, so the worker has killed all tasks and begun a new
+    // incarnation, which also rejects direct commands that are still on their way.
     spdlog::warn("machine lease expired: machine={} released_tasks={}", m.name,
                  m.allocations.size());
     m.endedIncarnation = std::max(m.endedIncarnation, m.incarnation);
     m.tombstones.clear();
-    releaseAll(machine);
+    releaseAllAllocations(machine);
 }
 
 void Cluster::runTimers(MachineIndex machine, TimePoint now) {
     Machine& m = machines_[machine];
     if (m.presence == Presence::gone) return;
-    if (m.up() && m.interruptionAt) checkpointBefore(machine, *m.interruptionAt, now);
+    if (m.up() && m.interruptionAt) stopCheckpointingTasksBefore(machine, *m.interruptionAt, now);
     if (m.up() && m.outboundPartitioned)
-        checkpointBefore(machine, leaseEndWithoutRenewal(m, now), now);
-    releaseExpired(machine, now);
+        stopCheckpointingTasksBefore(machine, leaseEndWithoutRenewal(m, now), now);
+    releaseIfLeaseExpired(machine, now);
     if (now >= m.inboundPartitionedUntil) m.inboundPartitioned = false;
     markCapacityDirty(machine);
-    // Heartbeats move these on; the next look is at what they were when this one was due.
+    // New heartbeats postpone these times. The timer then runs too early and only reschedules.
     for (const TimePoint t : {m.lastHeardAt + settings_.heartbeatInterval * 2,
                               m.lastHeartbeatAt + settings_.heartbeatInterval * 2, m.backOffUntil,
                               m.inboundPartitionedUntil, m.leaseEnd})
--- a/src/scheduler/capacity_index.cpp
+++ b/src/scheduler/capacity_index.cpp
@@ -7,12 +7,13 @@
 
 namespace {
 
-bool moreThan(const Resources& now, const Resources& before) {
-    return now.cores > before.cores + epsilon || now.gpus > before.gpus + epsilon ||
-           now.ramGb > before.ramGb + epsilon;
+/// Whether there is more of some resource than before.
+bool exceedsInAnyResource(const Resources& now, const Resources& before) {
+    return now.cores > before.cores + resourceEpsilon || now.gpus > before.gpus + resourceEpsilon ||
+           now.ramGb > before.ramGb + resourceEpsilon;
 }
 
-CapacityIndex::PoolKey poolKeyOf(const FreeCapacity& capacity) {
+CapacityIndex::MachineGroupKey groupKeyOf(const FreeCapacity& capacity) {
     return {capacity.type,
             capacity.zone,
             capacity.spot,
@@ -26,7 +27,8 @@
 std::uint32_t maxReplicasThatFit(const Resources& each, const Resources& have) {
     double n = 1e6;
     const auto limit = [&](double need, double available) {
-        if (need > epsilon) n = std::min(n, std::floor((available + epsilon) / need));
+        if (need > resourceEpsilon)
+            n = std::min(n, std::floor((available + resourceEpsilon) / need));
     };
     limit(each.cores, have.cores);
     limit(each.gpus, have.gpus);
@@ -34,12 +36,12 @@
     return static_cast<std::uint32_t>(std::max(0.0, n));
 }
 
-void CapacityIndex::count(Warm& warm, const FreeCapacity& capacity, bool add) {
+void CapacityIndex::updateFreeReplicas(WarmClass& warm, const FreeCapacity& capacity, bool add) {
     const std::uint32_t n = capacity.spot || capacity.outboundPartitioned
                                 ? 0
                                 : maxReplicasThatFit(warm.perTask, capacity.free);
     if (n == 0) return;
-    for (const auto& image : capacity.images) {
+    for (const auto& image : capacity.cachedImages) {
         std::uint32_t& free = warm.freeReplicas[image];
         free = add ? free + n : free - n;
         if (free == 0) warm.freeReplicas.erase(image);
@@ -47,31 +49,34 @@
 }
 
 void CapacityIndex::addToIndex(MachineIndex machine, const FreeCapacity& capacity) {
-    Pool& pool = pools_[poolKeyOf(capacity)];
-    pool.all.insert(capacity.free, machine);
-    for (const auto& image : capacity.images) pool.cached[image].insert(capacity.free, machine);
-    for (const auto& image : capacity.fetching) pool.fetching[image].insert(capacity.free, machine);
-    for (std::size_t rank = 0; rank < FreeCapacity::preempting; ++rank)
-        if (moreThan(capacity.reclaimable[rank], capacity.free))
-            pool.reclaimable[rank].insert(capacity.reclaimable[rank], machine);
-    for (auto& [name, warm] : warm_) count(warm, capacity, true);
+    MachineGroup& group = machineGroups_[groupKeyOf(capacity)];
+    group.all.insert(capacity.free, machine);
+    for (const auto& image : capacity.cachedImages)
+        group.cached[image].insert(capacity.free, machine);
+    for (const auto& image : capacity.fetchingImages)
+        group.fetching[image].insert(capacity.free, machine);
+    for (std::size_t rank = 0; rank < FreeCapacity::preemptingRanks; ++rank)
+        if (exceedsInAnyResource(capacity.reclaimable[rank], capacity.free))
+            group.reclaimable[rank].insert(capacity.reclaimable[rank], machine);
+    for (auto& [name, warm] : warmClasses_) updateFreeReplicas(warm, capacity, true);
 }
 
 void CapacityIndex::removeFromIndex(MachineIndex machine, const FreeCapacity& capacity) {
-    const auto at = pools_.find(poolKeyOf(capacity));
-    Pool& pool = at->second;
-    const auto drop = [&](std::map<std::string, CapacitySet>& sets, const std::string& image) {
+    const auto at = machineGroups_.find(groupKeyOf(capacity));
+    MachineGroup& group = at->second;
+    const auto removeFromSet = [&](std::map<std::string, CapacitySet>& sets,
+                                   const std::string& image) {
         const auto set = sets.find(image);
         set->second.erase(capacity.free, machine);
         if (set->second.empty()) sets.erase(set);
     };
-    pool.all.erase(capacity.free, machine);
-    for (const auto& image : capacity.images) drop(pool.cached, image);
-    for (const auto& image : capacity.fetching) drop(pool.fetching, image);
-    for (std::size_t rank = 0; rank < FreeCapacity::preempting; ++rank)
-        pool.reclaimable[rank].erase(capacity.reclaimable[rank], machine);
-    for (auto& [name, warm] : warm_) count(warm, capacity, false);
-    if (pool.all.empty()) pools_.erase(at);
+    group.all.erase(capacity.free, machine);
+    for (const auto& image : capacity.cachedImages) removeFromSet(group.cached, image);
+    for (const auto& image : capacity.fetchingImages) removeFromSet(group.fetching, image);
+    for (std::size_t rank = 0; rank < FreeCapacity::preemptingRanks; ++rank)
+        group.reclaimable[rank].erase(capacity.reclaimable[rank], machine);
+    for (auto& [name, warm] : warmClasses_) updateFreeReplicas(warm, capacity, false);
+    if (group.all.empty()) machineGroups_.erase(at);
 }
 
 void CapacityIndex::update(MachineIndex machine, const FreeCapacity& capacity) {
@@ -80,11 +85,12 @@
         if (it->second == capacity) return;
         removeFromIndex(machine, it->second);
     }
-    bool more = fresh || moreThan(capacity.free, it->second.free) ||
-                capacity.reservationDistance > it->second.reservationDistance;
-    for (std::size_t rank = 0; rank < FreeCapacity::preempting; ++rank)
-        more = more || moreThan(capacity.reclaimable[rank], it->second.reclaimable[rank]);
-    if (more) ++increaseCount_;
+    bool hasMore = fresh || exceedsInAnyResource(capacity.free, it->second.free) ||
+                   capacity.reservationDistance > it->second.reservationDistance;
+    for (std::size_t rank = 0; rank < FreeCapacity::preemptingRanks; ++rank)
+        hasMore = hasMore ||
+                  exceedsInAnyResource(capacity.reclaimable[rank], it->second.reclaimable[rank]);
+    if (hasMore) ++increaseCount_;
     it->second = capacity;
     addToIndex(machine, capacity);
 }
@@ -98,44 +104,45 @@
 
 void CapacityIndex::addWarmDemand(const std::string& jobClass, Priority rank, const Resources& each,
                                   const std::string& image, std::uint32_t tasks) {
-    Warm& w = warm_[jobClass];
-    ++w.jobs[image];
-    w.rank = rank;
-    w.replicasPerImage = std::max(w.replicasPerImage, tasks);
-    // The most that any of its jobs asked for: that is counted anew a few times at most, however
-    // much jobs differ.
-    if (fits(each, w.perTask)) return;
-    w.perTask = {std::max(w.perTask.cores, each.cores), std::max(w.perTask.gpus, each.gpus),
-                 std::max(w.perTask.ramGb, each.ramGb)};
-    w.freeReplicas.clear();
-    for (const auto& [machine, o] : capacities_) count(w, o, true);
+    WarmClass& warm = warmClasses_[jobClass];
+    ++warm.jobs[image];
+    warm.rank = rank;
+    warm.replicasPerImage = std::max(warm.replicasPerImage, tasks);
+    // The maximum over the jobs, in each resource. It changes a few times at most, however much the
+    // jobs differ, so that the replicas are seldom counted again.
+    if (fits(each, warm.perTask)) return;
+    warm.perTask = {std::max(warm.perTask.cores, each.cores),
+                    std::max(warm.perTask.gpus, each.gpus),
+                    std::max(warm.perTask.ramGb, each.ramGb)};
+    warm.freeReplicas.clear();
+    for (const auto& [machine, capacity] : capacities_) updateFreeReplicas(warm, capacity, true);
 }
 
 void CapacityIndex::removeWarmDemand(const std::string& jobClass, const std::string& image) {
-    const auto w = warm_.find(jobClass);
-    if (w == warm_.end()) return;
-    const auto jobs = w->second.jobs.find(image);
-    if (jobs == w->second.jobs.end()) return;
-    if (--jobs->second == 0) w->second.jobs.erase(jobs);
-    if (w->second.jobs.empty()) warm_.erase(w);
+    const auto warm = warmClasses_.find(jobClass);
+    if (warm == warmClasses_.end()) return;
+    const auto jobs = warm->second.jobs.find(image);
+    if (jobs == warm->second.jobs.end()) return;
+    if (--jobs->second == 0) warm->second.jobs.erase(jobs);
+    if (warm->second.jobs.empty()) warmClasses_.erase(warm);
 }
 
-bool CapacityIndex::keepsWarmCapacity(MachineIndex machine, const Resources& taken,
-                                      Priority rank) const {
-    const FreeCapacity* o = find(machine);
-    if (o == nullptr || o->spot || o->outboundPartitioned) return true;
-    Resources left = o->free;
+bool CapacityIndex::leavesEnoughWarmCapacity(MachineIndex machine, const Resources& taken,
+                                             Priority rank) const {
+    const FreeCapacity* capacity = find(machine);
+    if (capacity == nullptr || capacity->spot || capacity->outboundPartitioned) return true;
+    Resources left = capacity->free;
     left -= taken;
-    for (const auto& [name, w] : warm_) {
-        if (w.rank >= rank) continue;
-        const std::uint32_t before = maxReplicasThatFit(w.perTask, o->free),
-                            after = maxReplicasThatFit(w.perTask, left);
+    for (const auto& [name, warm] : warmClasses_) {
+        if (warm.rank >= rank) continue;
+        const std::uint32_t before = maxReplicasThatFit(warm.perTask, capacity->free),
+                            after = maxReplicasThatFit(warm.perTask, left);
         if (after == before) continue;
-        for (const auto& image : o->images) {
-            if (!w.jobs.contains(image)) continue;
-            const auto free = w.freeReplicas.find(image);
-            if (free == w.freeReplicas.end() ||
-                free->second < w.replicasPerImage + (before - after))
+        for (const auto& image : capacity->cachedImages) {
+            if (!warm.jobs.contains(image)) continue;
+            const auto free = warm.freeReplicas.find(image);
+            if (free == warm.freeReplicas.end() ||
+                free->second < warm.replicasPerImage + (before - after))
                 return false;
         }
     }
@@ -143,23 +150,24 @@
 }
 
 double CapacityIndex::imageLocality(MachineIndex machine) const {
-    const FreeCapacity* o = find(machine);
+    const FreeCapacity* capacity = find(machine);
     std::size_t wanted = 0, here = 0;
-    for (const auto& [name, w] : warm_) {
-        wanted += w.jobs.size();
-        for (const auto& image : o->images) here += w.jobs.contains(image) ? 1 : 0;
+    for (const auto& [name, warm] : warmClasses_) {
+        wanted += warm.jobs.size();
+        for (const auto& image : capacity->cachedImages) here += warm.jobs.contains(image) ? 1 : 0;
     }
     return wanted == 0 ? 0.0 : static_cast<double>(here) / static_cast<double>(wanted);
 }
 
 CapacityIndex CapacityIndex::recount() const {
-    CapacityIndex plain;
-    for (const auto& [name, w] : warm_)
-        for (const auto& [image, jobs] : w.jobs)
+    CapacityIndex recounted;
+    for (const auto& [name, warm] : warmClasses_)
+        for (const auto& [image, jobs] : warm.jobs)
             for (std::uint32_t i = 0; i < jobs; ++i)
-                plain.addWarmDemand(name, w.rank, w.perTask, image, w.replicasPerImage);
-    for (const auto& [machine, o] : capacities_) plain.update(machine, o);
-    return plain;
+                recounted.addWarmDemand(name, warm.rank, warm.perTask, image,
+                                        warm.replicasPerImage);
+    for (const auto& [machine, capacity] : capacities_) recounted.update(machine, capacity);
+    return recounted;
 }
 
 }  // namespace basaltchute::scheduler
--- a/src/scheduler/cluster_fixture.h
+++ b/src/scheduler/cluster_fixture.h
@@ -1,5 +1,5 @@
 #pragma once
-// For tests only: a leader's state on a fake clock, and shorthands for what its machines do.
+// Test fixture: a cluster on a fake clock, and helpers that play its machines and state service.
 #include <gtest/gtest.h>
 
 #include "scheduler/cluster.h"
@@ -14,7 +14,7 @@
 using worker_api::StopTask;
 using worker_api::TaskStatus;
 
-/// The alternatives of a command, in their order, for comparisons of several at once.
+/// The alternatives of a command, in the order of the variant, to compare several commands at once.
 enum class CommandKind { launch, stop, forget };
 inline CommandKind kindOf(const Command& command) {
     static_assert(
@@ -23,7 +23,7 @@
     return static_cast<CommandKind>(command.index());
 }
 
-/// A leader's state on a fake clock, with the state service played by `commit`.
+/// A cluster on a fake clock. `commit` plays the state service.
 class ClusterTest : public ::testing::Test {
   protected:
     FakeClock clock;
@@ -36,29 +36,35 @@
         c->setCatalogue(testing::someCatalogue());
         return c;
     }
+    /// Makes everything that the cluster wants to write durable.
     void commit() { testing::commitAll(*cluster, records); }
+    /// Replaces the cluster by that of the next leader, loaded from the records.
     void takeOver() {
         cluster = makeCluster(cluster->token() + 1);
         for (const auto& [k, data] : records)
             ASSERT_TRUE(cluster->loadRecord(k, data, clock.now(), clock.wall()));
         cluster->finishLoading(clock.now());
     }
+    /// Sends a heartbeat and returns the commands in its response, without executing them.
     std::vector<Command> heartbeat(Worker& w) {
         const auto commands = cluster->onHeartbeat(w.next(), clock.now());
         w.report.token = cluster->token();
         return commands;
     }
+    /// Sends a heartbeat and executes the commands in its response.
     void exchangeHeartbeat(Worker& w) { w.execute(heartbeat(w)); }
+    /// Submits a job, which must be accepted, and commits.
     Job& submit(const JobSpec& spec) {
         EXPECT_EQ(cluster->submit(spec, clock.now(), clock.wall()), SubmitResult::accepted);
         commit();
         return *cluster->find(spec.id);
     }
     void place() { cluster->place(clock.now()); }
-    /// There is capacity for one of two jobs, and it goes to run-2, which came later.
-    void expectSecondJobPlacedFirst(const JobSpec& first, Duration apart) {
+    /// Expects that of two jobs, where there is capacity for one only, the second is placed. It is
+    /// submitted `delay` after `first`.
+    void expectSecondJobPlacedFirst(const JobSpec& first, Duration delay) {
         submit(first);
-        clock.advance(apart);
+        clock.advance(delay);
         submit(testing::spec("run-2", 2));
         Worker w("n-1");
         exchangeHeartbeat(w);
@@ -66,7 +72,7 @@
         EXPECT_EQ(cluster->find("run-2")->boundCount, 2U);
         EXPECT_EQ(cluster->find(first.id)->boundCount, 0U);
     }
-    /// Submits, places and launches on `w` so that every task runs there.
+    /// Submits a job and makes all its tasks run on `w`.
     Job& submitAndRun(Worker& w, const JobSpec& spec) {
         exchangeHeartbeat(w);
         Job& job = submit(spec);
--- a/src/scheduler/commands.cpp
+++ b/src/scheduler/commands.cpp
@@ -2,7 +2,7 @@
 
 #include "scheduler/cluster.h"
 
-// What a machine is told to do, in the response to its heartbeat or by a direct request.
+// The commands for a machine, sent in the response to its heartbeat or in a direct request.
 
 namespace basaltchute::scheduler {
 
@@ -18,8 +18,8 @@
 namespace {
 
 constexpr std::size_t maxCommands = 300;             // a message is one line of at most 64 KiB
-constexpr std::size_t maxForgets = maxCommands / 2;  // launches and stops go on meanwhile
-constexpr double checkpointMarginS = 0.5;            // beyond the time that the owner states
+constexpr std::size_t maxForgets = maxCommands / 2;  // leaves half for launches and stops
+constexpr double checkpointMarginS = 0.5;  // added to the checkpoint time that the owner states
 
 TaskAttempt attemptIn(const Allocation& allocation) {
     return {allocation.job->spec.id, allocation.task, allocation.attempt};
@@ -39,20 +39,21 @@
 
 bool Cluster::mayLaunch(const Allocation& allocation) const {
     const Job& job = *allocation.job;
-    // Launched before its binding is on record, it could be started a second time by a successor.
+    // If the task were launched before its binding is durable, the next leader would not know of
+    // it and could start it a second time.
     if (job.layout.rangeOf(allocation.task).durableVersion < allocation.recordVersion ||
         !job.accepted())
         return false;
-    // A gang starts once all of its bindings are on record.
+    // A gang starts once all of its bindings are durable.
     return job.spec.shape != Shape::gang || allTasksBound(job);
 }
 
-void Cluster::addForgets(const Machine& m, std::vector<Command>& out) const {
+void Cluster::addForgetCommands(const Machine& m, std::vector<Command>& out) const {
     for (const auto& [ended, version] : m.terminalStatuses) {
         if (out.size() >= maxForgets) break;
         if (m.tombstones.contains(ended)) continue;
         const auto job = jobs_.find(ended.job);
-        // What the exit proves must be on record first: a forgotten result is lost for good.
+        // The result of the exit must be durable first: once the worker forgets it, it is lost.
         if (job != jobs_.end() && ended.task < job->second->spec.tasks &&
             job->second->layout.rangeOf(ended.task).durableVersion < version)
             continue;
@@ -60,7 +61,8 @@
     }
 }
 
-void Cluster::addStop(Allocation& allocation, CommandChannel channel, std::vector<Command>& out) {
+void Cluster::addStopCommand(Allocation& allocation, CommandChannel channel,
+                             std::vector<Command>& out) {
     if (!allocation.state.launchSent()) return;
     if (channel == CommandChannel::direct && allocation.stopSent) return;
     const JobSpec& spec = allocation.job->spec;
@@ -68,8 +70,9 @@
     const bool checkpoints =
         task.stopping && allocation.job->open() && spec.checkpointIntervalS > 0;
     if (!allocation.state.confirmed() && allocation.state.directLaunchUnresolved())
-        // The launch may arrive yet. Making the attempt known and ending it at once turns the late
-        // one into a repetition, which does nothing.
+        // An unanswered direct launch may still arrive. A launch followed by a stop makes the
+        // attempt known to the worker and ends it, so that the late launch is a duplicate, which
+        // does nothing.
         out.emplace_back(LaunchTask{attemptIn(allocation)});
     out.emplace_back(StopTask{attemptIn(allocation),
                               checkpoints
@@ -78,7 +81,8 @@
     allocation.stopSent = true;
 }
 
-void Cluster::addLaunch(Allocation& allocation, CommandChannel channel, std::vector<Command>& out) {
+void Cluster::addLaunchCommand(Allocation& allocation, CommandChannel channel,
+                               std::vector<Command>& out) {
     if (allocation.state.confirmed() || allocation.state.adopted()) return;
     if (!mayLaunch(allocation)) return;
     if (channel == CommandChannel::direct && allocation.state.launchSent()) return;
@@ -93,7 +97,7 @@
 std::vector<Command> Cluster::commandsFor(MachineIndex machine, CommandChannel channel) {
     Machine& m = machines_[machine];
     std::vector<Command> out;
-    if (channel == CommandChannel::heartbeatResponse) addForgets(m, out);
+    if (channel == CommandChannel::heartbeatResponse) addForgetCommands(m, out);
     for (const auto& t : m.unknownTasks) {
         if (out.size() >= maxCommands) break;
         out.emplace_back(StopTask{{t.job, t.task, t.attempt}, Duration::zero()});
@@ -101,9 +105,9 @@
     for (Allocation& allocation : m.allocations) {
         if (out.size() >= maxCommands) break;
         if (mustStop(allocation))
-            addStop(allocation, channel, out);
+            addStopCommand(allocation, channel, out);
         else
-            addLaunch(allocation, channel, out);
+            addLaunchCommand(allocation, channel, out);
     }
     return out;
 }
@@ -120,7 +124,7 @@
     Machine& m = machines_[machine];
     m.commandInFlight = false;
     for (Allocation& allocation : m.allocations) {
-        if (unanswered) allocation.stopSent = false;  // perhaps it did not arrive
+        if (unanswered) allocation.stopSent = false;  // it may not have arrived
         allocation.state.onDirectLaunchEnded(unanswered);
     }
 }
--- a/src/scheduler/dependency_tracking.cpp
+++ b/src/scheduler/dependency_tracking.cpp
@@ -4,60 +4,62 @@
 
 #include "scheduler/cluster.h"
 
-// Jobs with dependencies: when they are released or cancelled with them, and the urgency that they
-// hand to their dependencies.
+// Jobs with dependencies: when they are released, when they are cancelled along with a dependency,
+// and how their dependencies inherit their urgency.
 
 namespace basaltchute::scheduler {
 
 using namespace std::chrono_literals;
 
 namespace {
-constexpr unsigned stagesAhead = 32;  // of dependencies; beyond that no capacity has to be planned
-constexpr Duration farOff = 24h;
+// Expected releases are not computed through longer chains of dependencies: no capacity has to be
+// planned that far ahead.
+constexpr unsigned maxDependencyDepth = 32;
+constexpr Duration farFuture = 24h;
 }  // namespace
 
 Cluster::DependencyError Cluster::checkDependencies(const JobSpec& spec) const {
     using Kind = DependencyError::Kind;
-    DependencyError notYetAccepted;
+    DependencyError result;
     for (const auto& id : spec.dependencies) {
         if (id == spec.id) return {Kind::self, id};
         const auto it = jobs_.find(id);
         if (it == jobs_.end()) return {Kind::unknown, id};
         if (it->second->spec.shape == Shape::service) return {Kind::isService, id};
-        if (!it->second->accepted()) notYetAccepted = {Kind::notYetAccepted, id};
+        if (!it->second->accepted()) result = {Kind::notYetAccepted, id};
     }
-    return notYetAccepted;
+    return result;
 }
 
 Duration Cluster::estimatedDuration(const JobSpec& s) const {
     double slowestFetchS = 0;
     for (const auto& [name, type] : catalogue_)
         if (s.allowsType(name) && fits(s.demand, type.capacity))
-            slowestFetchS = std::max(slowestFetchS, imageFetchTime(s, name));
+            slowestFetchS = std::max(slowestFetchS, imageFetchSeconds(s, name));
     return estimates_.jobDuration(s, slowestFetchS);
 }
 
-TimePoint Cluster::expectedEnd(const Job& job, TimePoint now, unsigned stages) const {
+TimePoint Cluster::expectedEndUpToDepth(const Job& job, TimePoint now, unsigned depth) const {
     if (job.allDone()) return now;
     const Duration duration = estimatedDuration(job.spec);
-    if (job.blocked) return expectedReleaseAfter(job, now, stages) + duration;
+    if (job.blocked) return expectedReleaseUpToDepth(job, now, depth) + duration;
     const bool runs = job.waitingCount() == 0 && job.startedAt != TimePoint{};
     return runs ? std::max(now, job.startedAt + duration) : now + duration;
 }
 
-TimePoint Cluster::expectedReleaseAfter(const Job& job, TimePoint now, unsigned stages) const {
+TimePoint Cluster::expectedReleaseUpToDepth(const Job& job, TimePoint now, unsigned depth) const {
     TimePoint at = now;
-    if (stages == 0) return now + farOff;
+    if (depth == 0) return now + farFuture;
     for (const auto& id : job.spec.dependencies) {
         const auto dependency = jobs_.find(id);
-        if (dependency == jobs_.end()) return now + farOff;
-        at = std::max(at, expectedEnd(*dependency->second, now, stages - 1));
+        if (dependency == jobs_.end()) return now + farFuture;
+        at = std::max(at, expectedEndUpToDepth(*dependency->second, now, depth - 1));
     }
     return at;
 }
 
 TimePoint Cluster::expectedRelease(const Job& job, TimePoint now) const {
-    return expectedReleaseAfter(job, now, stagesAhead);
+    return expectedReleaseUpToDepth(job, now, maxDependencyDepth);
 }
 
 std::optional<Duration> Cluster::slack(const Job& job, TimePoint now) const {
@@ -69,15 +71,15 @@
 Deadlines Cluster::deadlinesOf(const Job& job) const {
     Deadlines ends;
     if (!job.spec.deadlineS) return ends;
-    double least = 0, most = 0;
+    double minFactor = 0, maxFactor = 0;
     for (const auto& o : settings_.objectives) {
         if (o.jobClass != job.spec.jobClass || o.kind != "deadline") continue;
-        least = least == 0 ? o.deadlineFactor : std::min(least, o.deadlineFactor);
-        most = std::max(most, o.deadlineFactor);
+        minFactor = minFactor == 0 ? o.deadlineFactor : std::min(minFactor, o.deadlineFactor);
+        maxFactor = std::max(maxFactor, o.deadlineFactor);
     }
-    if (most == 0) least = most = 1;
-    ends.first = job.submittedAt + fromSeconds(*job.spec.deadlineS * least);
-    ends.last = job.submittedAt + fromSeconds(*job.spec.deadlineS * most);
+    if (maxFactor == 0) minFactor = maxFactor = 1;
+    ends.first = job.submittedAt + fromSeconds(*job.spec.deadlineS * minFactor);
+    ends.last = job.submittedAt + fromSeconds(*job.spec.deadlineS * maxFactor);
     return ends;
 }
 
@@ -95,7 +97,7 @@
     for (const auto& dependency : job.spec.dependencies) addToDependencyGraph(*find(dependency));
     addToDependencyGraph(job);
     dependencies_.addDependencies(id, job.spec.dependencies);
-    if (const JobId* cancelled = dependencies_.cancelledWith(id)) {
+    if (const JobId* cancelled = dependencies_.cancelledDependency(id)) {
         cancelWithDependency(job, *cancelled);
     } else if (dependencies_.isBlocked(id)) {
         job.blocked = true;
@@ -135,7 +137,7 @@
     dependencies_.addDependencies(dependent.id, dependent.dependencies);
     if (job.releasedWallTime)
         estimates_.recordLeadTime(job.spec, *job.releasedWallTime - job.submittedWallTime);
-    if (const JobId* cancelled = dependencies_.cancelledWith(dependent.id)) {
+    if (const JobId* cancelled = dependencies_.cancelledDependency(dependent.id)) {
         if (!job.cancelled) cancelWithDependency(job, *cancelled);
     } else if (dependencies_.isBlocked(dependent.id)) {
         if (!job.open()) return;
@@ -144,9 +146,9 @@
     } else if (job.releasedWallTime) {
         job.releasedAt += std::max(WallMillis(0), *job.releasedWallTime - job.submittedWallTime);
     } else {
-        // Released since the former leader last wrote its record.
+        // It was released after the former leader last wrote its record.
         job.releasedAt = now_;
-        job.releasedWallTime = wall_;
+        job.releasedWallTime = loadWallTime_;
     }
 }
 
@@ -167,8 +169,8 @@
 
 void Cluster::cancelWithDependency(Job& job, const JobId& dependency) {
     if (job.blocked) unblock(job);
-    // It follows from the record of the dependency, and is durable with it: nothing is written, and
-    // there is nothing to stop, since no task of it ever started.
+    // The cancellation follows from the durable record of the dependency, so nothing has to be
+    // written. No task of the job has ever started, so nothing has to be stopped.
     job.cancelled = job.cancelCommitted = true;
     job.cancelVersion = 0;
     job.cancelledDependency = dependency;
@@ -184,7 +186,7 @@
     if (rank == job.effectivePriority) return;
     job.effectivePriority = rank;
     if (job.boundCount == 0) return;
-    // Who may preempt it has changed.
+    // The new rank changes which jobs may preempt its tasks.
     for (const auto& t : job.tasks)
         if (t.state == TaskState::bound) markCapacityDirty(t.machine);
 }
@@ -193,10 +195,10 @@
     const dependencies::DependencyGraph::Changes changes = dependencies_.takeChanges();
     for (const auto& id : changes.cancelled)
         if (Job& job = *find(id); !job.cancelled)
-            cancelWithDependency(job, *dependencies_.cancelledWith(id));
+            cancelWithDependency(job, *dependencies_.cancelledDependency(id));
     for (const auto& id : changes.released)
         if (Job& job = *find(id); job.blocked) releaseBlocked(job, now);
-    for (const auto& id : changes.urgency)
+    for (const auto& id : changes.urgencyChanged)
         if (Job* job = find(id); job != nullptr && job->open()) applyInheritedUrgency(*job);
     refreshBlockedDurations(now);
 }
--- a/src/scheduler/free_capacity.cpp
+++ b/src/scheduler/free_capacity.cpp
@@ -3,7 +3,7 @@
 
 #include "scheduler/cluster.h"
 
-// The free capacity of each machine, as the capacity index has it, and the recount of every index.
+// Keeps the capacity index up to date, and checks every index against a recomputation.
 
 namespace basaltchute::scheduler {
 
@@ -11,9 +11,10 @@
 using worker_api::Machine;
 
 namespace {
-// A report over 64 KiB is refused, and a worker whose reports are refused loses its lease and all
-// that runs there: it gets no more tasks while its next report might not fit.
-constexpr std::size_t fullReportBytes = 48 * 1024;
+// A status report over 64 KiB is rejected. A worker whose reports are rejected loses its lease and
+// everything that runs on it, so it gets no more tasks while its next report might exceed the
+// limit.
+constexpr std::size_t maxReportBytes = 48 * 1024;
 constexpr std::size_t reportedTaskBytes = 96;
 }  // namespace
 
@@ -28,15 +29,15 @@
     for (const MachineIndex machine : machines) markCapacityDirty(machine);
 }
 
-bool Cluster::reportFitsOneMore(const Machine& m) const {
+bool Cluster::reportFitsOneMoreTask(const Machine& m) const {
     std::size_t bytes = m.reportBytes;
-    for (const auto& c : m.allocations)
-        if (!c.state.confirmed()) bytes += reportedTaskBytes;
-    return bytes <= fullReportBytes;
+    for (const Allocation& allocation : m.allocations)
+        if (!allocation.state.confirmed()) bytes += reportedTaskBytes;
+    return bytes <= maxReportBytes;
 }
 
 bool Cluster::acceptsWork(const Machine& m) const {
-    return isResponsive(m, now_) && reportFitsOneMore(m) && !m.quarantined && !m.draining &&
+    return isResponsive(m, now_) && reportFitsOneMoreTask(m) && !m.quarantined && !m.draining &&
            !m.interruptionAt && !unreachableZones_.contains(m.zone) && now_ >= m.backOffUntil &&
            !m.inboundPartitioned && catalogue_.contains(m.type);
 }
@@ -47,25 +48,27 @@
     capacity.type = m.type;
     capacity.zone = m.zone;
     capacity.spot = m.spot;
-    // Closed to replicas as well, such machines cost users more than by the leases that end: where
-    // every machine is in use there is no other capacity, and replicas start again on them at once.
+    // Such machines are a last resort for service replicas instead of being excluded. Excluding
+    // them cost users more than the leases that end: where every machine is in use there is no
+    // other capacity, and a replica that is lost starts again there at once.
     capacity.outboundPartitioned =
         m.outboundPartitioned || now_ - m.lastHeartbeatAt >= settings_.heartbeatInterval * 2;
     capacity.reservationDistance = quota_.reservationDistance(machine, m);
     capacity.free = freeCapacityOn(m);
     capacity.reclaimable.fill(capacity.free);
-    for (const auto& [image, used] : m.images) capacity.images.push_back(image);
+    for (const auto& [image, used] : m.images) capacity.cachedImages.push_back(image);
     for (const Allocation& allocation : m.allocations) {
         const JobSpec& spec = allocation.job->spec;
-        for (std::size_t rank = 0; rank < FreeCapacity::preempting; ++rank)
+        for (std::size_t rank = 0; rank < FreeCapacity::preemptingRanks; ++rank)
             if (mustStop(allocation) || mayPreempt(static_cast<Priority>(rank), allocation))
                 capacity.reclaimable[rank] += spec.demand;
         capacity.hasServices = capacity.hasServices || spec.shape == Shape::service;
-        if (!m.images.contains(spec.image)) capacity.fetching.push_back(spec.image);
+        if (!m.images.contains(spec.image)) capacity.fetchingImages.push_back(spec.image);
     }
-    std::sort(capacity.fetching.begin(), capacity.fetching.end());
-    capacity.fetching.erase(std::unique(capacity.fetching.begin(), capacity.fetching.end()),
-                            capacity.fetching.end());
+    std::sort(capacity.fetchingImages.begin(), capacity.fetchingImages.end());
+    capacity.fetchingImages.erase(
+        std::unique(capacity.fetchingImages.begin(), capacity.fetchingImages.end()),
+        capacity.fetchingImages.end());
     return capacity;
 }
 
@@ -86,12 +89,12 @@
     capacityDirty_.clear();
 }
 
-// ---------------------------------------------------------------- recounts
+// ---------------------------------------------------------------- consistency checks
 
 std::string Cluster::findInconsistency() {
     refreshCapacities();
     if (auto found = findCapacityInconsistency(); !found.empty()) return found;
-    if (auto found = findUseInconsistency(); !found.empty()) return found;
+    if (auto found = findUsageInconsistency(); !found.empty()) return found;
     std::map<const Job*, TasksPerZone> tasksPerZone;
     for (const Machine& m : machines_)
         for (const Allocation& allocation : m.allocations) ++tasksPerZone[allocation.job][m.zone];
@@ -106,37 +109,39 @@
     for (MachineIndex i = 0; i < machines_.size(); ++i) {
         const Machine& m = machines_[i];
         const FreeCapacity* indexed = capacityIndex_.find(i);
-        if ((indexed != nullptr) != acceptsWork(m)) return "which machines are open: " + m.name;
+        if ((indexed != nullptr) != acceptsWork(m))
+            return "whether the machine accepts work: " + m.name;
         if (indexed != nullptr && !(*indexed == freeCapacityFor(i)))
             return "the free capacity of " + m.name;
     }
     return {};
 }
 
-std::string Cluster::findUseInconsistency() const {
+std::string Cluster::findUsageInconsistency() const {
     constexpr double tolerance = 1e-3;
     std::unordered_map<std::string, Resources> recounted;
     for (const Machine& m : machines_)
         for (const Allocation& allocation : m.allocations)
             recounted[allocation.job->spec.team] += allocation.job->spec.demand;
-    for (const auto& [team, use] : quota_.useByTeam()) {
-        Resources left = use;
-        left -= recounted[team];
-        if (std::abs(left.cores) + std::abs(left.ramGb) + std::abs(left.gpus) > tolerance)
-            return "the use of team " + team;
+    for (const auto& [team, usage] : quota_.usageByTeam()) {
+        Resources difference = usage;
+        difference -= recounted[team];
+        if (std::abs(difference.cores) + std::abs(difference.ramGb) + std::abs(difference.gpus) >
+            tolerance)
+            return "the usage of team " + team;
     }
     return {};
 }
 
 std::string Cluster::findJobInconsistency(Job& job, const TasksPerZone& recounted) const {
     const JobId& id = job.spec.id;
-    if (job.tasksPerZone != recounted) return "the zones of " + id;
+    if (job.tasksPerZone != recounted) return "the tasks in each zone of " + id;
     const auto waiting = static_cast<std::uint32_t>(
         std::count_if(job.tasks.begin(), job.tasks.end(),
                       [](const JobTask& t) { return t.state == TaskState::waiting; }));
     if (waiting != job.waitingCount()) return "the waiting tasks of " + id;
     if ((job.queuePosition != Job::notQueued) != (job.open() && !job.blocked && waiting > 0))
-        return "whether " + id + " is queued";
+        return "whether " + id + " is on the waiting list";
     if (job.blocked != blocked_.contains(&job) || (job.blocked && !job.open()))
         return "whether " + id + " is blocked";
     if (!job.blocked && job.boundCount > 0 && dependencies_.isBlocked(id))
--- a/src/scheduler/job_lifecycle.cpp
+++ b/src/scheduler/job_lifecycle.cpp
@@ -5,7 +5,7 @@
 #include "jobs/codec.h"
 #include "scheduler/cluster.h"
 
-// From a job's submission to its end: submit, open and close, finish, cancel.
+// The life of a job: submission, opening and closing, finished tasks, cancellation.
 
 namespace basaltchute::scheduler {
 
@@ -14,7 +14,7 @@
 using worker_api::Allocation;
 
 namespace {
-// A cancellation that may not be acknowledged by then goes on record.
+// How long a cancellation may wait for its acknowledgement before it is put on record.
 constexpr Duration recordCancellationAfter = 500ms;
 }  // namespace
 
@@ -35,10 +35,10 @@
                     std::find(t.zones.begin(), t.zones.end(), *spec.zone) != t.zones.end());
         });
     if (!fitsSomeType) return SubmitResult::fitsNoMachine;
-    // All in one zone, and no more than half of them in any.
+    // All tasks in one zone, yet no more than half of them in any zone.
     if (spec.sameZone && spec.spread && spec.tasks > 1) return SubmitResult::contradictoryPlacement;
     if (quota_.exceedsLimit(spec)) return SubmitResult::overTeamLimit;
-    auto job = jobs::makeJob(spec, valueBytes_);
+    auto job = jobs::makeJob(spec, maxValueBytes_);
     job->submittedWallTime = wall;
     job->submittedAt = job->releasedAt = now;
     now_ = now;
@@ -64,19 +64,19 @@
     if (wantsWarmCapacity(job.spec))
         capacityIndex_.addWarmDemand(job.spec.jobClass, job.spec.priority, job.spec.demand,
                                      job.spec.image, job.spec.tasks);
-    listWaiting(job);
+    updateWaitingList(job);
 }
 
 void Cluster::onJobClosed(Job& job) {
     std::erase(openJobs_, &job);
     if (wantsWarmCapacity(job.spec))
         capacityIndex_.removeWarmDemand(job.spec.jobClass, job.spec.image);
-    listWaiting(job);
+    updateWaitingList(job);
 }
 
-void Cluster::listWaiting(Job& job) {
-    // Placed even before it is accepted: acceptance and bindings are then one change of one
-    // record, and nothing is launched before that is on record.
+void Cluster::updateWaitingList(Job& job) {
+    // A job is placed even before it is accepted, so that acceptance and bindings are written as
+    // one change of one record. Nothing is launched before that record is durable.
     const bool waits = job.open() && !job.blocked && job.waitingCount() > 0;
     const bool listed = job.queuePosition != Job::notQueued;
     if (waits == listed) return;
@@ -92,7 +92,7 @@
     job.queuePosition = Job::notQueued;
 }
 
-void Cluster::finish(Job& job, std::uint32_t task) {
+void Cluster::finishTask(Job& job, std::uint32_t task) {
     JobTask& t = job.tasks[task];
     if (t.state == TaskState::done) return;
     if (t.state == TaskState::bound) {
@@ -105,12 +105,12 @@
     t.machine = noMachine;
     ++job.doneCount;
     job.crashLooping = false;
-    // Users wait for the last result, nobody for those before it.
+    // Users wait for the last result only, so earlier ones are written at a lower priority.
     markTaskDirty(job, task, job.allDone() ? WritePriority::immediate : WritePriority::progress);
     if (job.allDone())
         onJobClosed(job);
     else
-        listWaiting(job);
+        updateWaitingList(job);
 }
 
 // ---------------------------------------------------------------- cancellation
@@ -123,22 +123,22 @@
         unblock(job);
     else
         onJobClosed(job);
-    // Bindings whose launch never left need no proof.
+    // Tasks whose launch was never sent are not on a machine and can be released at once.
     for (const JobTask& t : job.tasks) {
         if (t.state != TaskState::bound) continue;
-        const MachineIndex at = t.machine;
-        markCapacityDirty(at);
-        const auto& allocations = machines_[at].allocations;
+        const MachineIndex machine = t.machine;
+        markCapacityDirty(machine);
+        const auto& allocations = machines_[machine].allocations;
         for (std::size_t i = allocations.size(); i-- > 0;)
             if (allocations[i].job == &job && !allocations[i].state.launchSent())
-                releaseAllocation(at, i);
-        if (t.state == TaskState::bound) effects_.machinesToCommand.insert(at);
+                releaseAllocation(machine, i);
+        if (t.state == TaskState::bound) effects_.machinesToCommand.insert(machine);
     }
-    cancellations_.insert(&job);
+    pendingCancellations_.insert(&job);
     commitCancellations(now);
 }
 
-bool Cluster::cancellationAcknowledgeable(const Job& job, TimePoint now) const {
+bool Cluster::canAcknowledgeCancellation(const Job& job, TimePoint now) const {
     if (delegator_ == nullptr) return true;
     const TimePoint latest =
         now + std::max(Duration::zero(), delegator_->limits().maxDelegationAfterCancellation());
@@ -159,8 +159,8 @@
 TimePoint Cluster::latestDelegationEnd(const std::string& zone, TimePoint now) const {
     TimePoint cap = TimePoint::max();
     if (delegator_ == nullptr) return cap;
-    for (const Job* job : cancellations_)
-        // A machine that has not reported to this leader may be in any zone.
+    for (const Job* job : pendingCancellations_)
+        // A machine that has not reported to this leader (zone "") may be in any zone.
         if (job->tasksPerZone.contains(zone) || job->tasksPerZone.contains(""))
             cap = std::min(cap, job->acknowledgedAt.value_or(now) +
                                     delegator_->limits().maxDelegationAfterCancellation());
@@ -170,19 +170,19 @@
 void Cluster::commitCancellations(TimePoint now) {
     if (delegator_ != nullptr)
         delegator_->delegateToSelf(latestDelegationEnd(settings_.zone, now), now);
-    for (auto it = cancellations_.begin(); it != cancellations_.end();) {
+    for (auto it = pendingCancellations_.begin(); it != pendingCancellations_.end();) {
         Job& job = **it;
-        if (!job.cancelCommitted && cancellationAcknowledgeable(job, now)) {
+        if (!job.cancelCommitted && canAcknowledgeCancellation(job, now)) {
             job.cancelCommitted = true;
             markHeadDirty(job, WritePriority::userRequest);
             job.cancelVersion = job.layout.head().version;
         } else if (!job.cancelCommitted && !job.cancelRecorded &&
                    now - job.cancelRequestedAt > recordCancellationAfter) {
-            // So that a successor does not start it again.
+            // The record keeps the next leader from starting the job again.
             job.cancelRecorded = true;
             markHeadDirty(job, WritePriority::userRequest);
         }
-        it = job.cancelCommitted && job.tasksPerZone.empty() ? cancellations_.erase(it)
+        it = job.cancelCommitted && job.tasksPerZone.empty() ? pendingCancellations_.erase(it)
                                                              : std::next(it);
     }
 }
--- a/src/scheduler/persistence.cpp
+++ b/src/scheduler/persistence.cpp
@@ -5,7 +5,7 @@
 #include "jobs/codec.h"
 #include "scheduler/cluster.h"
 
-// The records of jobs in the key-value store: how they are read back, and what is written when.
+// The records of jobs in the key-value store: restoring the state from them, and encoding them.
 
 namespace basaltchute::scheduler {
 
@@ -17,13 +17,13 @@
 using Kind = jobs::RecordName::Kind;
 
 namespace {
-constexpr std::size_t minValueBytes = 256;  // no key-value store takes less
+constexpr std::size_t minValueBytes = 256;  // every key-value store accepts at least this
 }  // namespace
 
 // ---------------------------------------------------------------- reading
 
-Job& Cluster::add(std::unique_ptr<Job> job) {
-    job->submittedAt = now_ - std::max(WallMillis(0), wall_ - job->submittedWallTime);
+Job& Cluster::addJob(std::unique_ptr<Job> job) {
+    job->submittedAt = now_ - std::max(WallMillis(0), loadWallTime_ - job->submittedWallTime);
     job->releasedAt = job->submittedAt;
     Job& ref = *job;
     jobs_[ref.spec.id] = std::move(job);
@@ -33,30 +33,31 @@
 bool Cluster::loadRecord(const std::string& key, const std::string& data, TimePoint now,
                          WallMillis wall) {
     now_ = now;
-    wall_ = wall;
+    loadWallTime_ = wall;
     const auto name = RecordName::parse(key);
     if (!name) return false;
     const auto doc = json::parse(data);
-    const auto unreadable = [&] {
+    const auto reject = [&] {
         unreadableJobs_.insert(name->job);
         return false;
     };
-    if (!doc || !doc->IsObject()) return unreadable();
-    const bool first = name->kind == Kind::block && name->from == 0;
-    Job* job = first ? nullptr : find(name->job);
-    if (first && !jobs::specSectionCount(*doc)) {
-        auto decoded = jobs::decodeJob(*doc, "", valueBytes_);
-        if (decoded == nullptr || decoded->spec.id != name->job) return unreadable();
-        job = &add(std::move(decoded));
+    if (!doc || !doc->IsObject()) return reject();
+    const bool isFirstBlock = name->kind == Kind::block && name->from == 0;
+    Job* job = isFirstBlock ? nullptr : find(name->job);
+    if (isFirstBlock && !jobs::specSectionCount(*doc)) {
+        auto decoded = jobs::decodeJob(*doc, "", maxValueBytes_);
+        if (decoded == nullptr || decoded->spec.id != name->job) return reject();
+        job = &addJob(std::move(decoded));
     }
-    // Pages are applied after the records that they split; other records of a job after the first.
+    // Pages must be applied after the blocks that they were split from, and all other records of a
+    // job after its first block.
     if (job == nullptr || name->kind != Kind::block) {
         deferredRecords_[key] = data;
         return true;
     }
     const bool valid = jobs::decodeTasks(
         *doc, *name, *job, [&](const std::string& n) { return machines_.indexOf(n); });
-    return valid || unreadable();
+    return valid || reject();
 }
 
 void Cluster::markUnreadable(const RecordName& name) {
@@ -64,25 +65,25 @@
     unreadableJobs_.insert(name.job);
 }
 
-bool Cluster::addFromTexts(const RecordName& name, const json::Document& doc,
-                           const std::map<std::string, std::string>& records) {
+bool Cluster::addJobFromTextRecords(const RecordName& name, const json::Document& doc,
+                                    const std::map<std::string, std::string>& records) {
     std::string description;
     for (std::uint32_t i = 0; i < *jobs::specSectionCount(doc); ++i) {
         const auto text = records.find(RecordName{name.job, Kind::specSection, i, 0}.key());
         if (text != records.end())
             description += jobs::decodeSpecSection(*json::parse(text->second)).value_or("");
     }
-    auto decoded = jobs::decodeJob(doc, description, valueBytes_);
+    auto decoded = jobs::decodeJob(doc, description, maxValueBytes_);
     if (decoded == nullptr || decoded->spec.id != name.job) {
         markUnreadable(name);
         return false;
     }
-    add(std::move(decoded));
+    addJob(std::move(decoded));
     return true;
 }
 
 void Cluster::applyRecord(const RecordName& name, const json::Document& doc) {
-    // A job that was never accepted has no first record: nothing else of it counts.
+    // A job without a first block was never accepted, so its other records are ignored.
     Job* job = find(name.job);
     if (job == nullptr) return;
     if (name.kind == Kind::head) {
@@ -99,23 +100,23 @@
         RecordName name;
         json::Document doc;
     };
-    std::vector<Deferred> whole, pages;
+    std::vector<Deferred> blocks, pages;
     const auto records = std::exchange(deferredRecords_, {});
     for (const auto& [key, data] : records) {
         const auto name = *RecordName::parse(key);
         if (name.kind == Kind::specSection) continue;
         auto doc = *json::parse(data);
-        const bool first = name.kind == Kind::block && name.from == 0;
-        if (first && !addFromTexts(name, doc, records)) continue;
-        (name.kind == Kind::block ? whole : pages).push_back({name, std::move(doc)});
+        const bool isFirstBlock = name.kind == Kind::block && name.from == 0;
+        if (isFirstBlock && !addJobFromTextRecords(name, doc, records)) continue;
+        (name.kind == Kind::block ? blocks : pages).push_back({name, std::move(doc)});
     }
-    // Smaller ones are newer.
+    // A page is newer than any larger page that contains its tasks.
     std::stable_sort(pages.begin(), pages.end(), [](const Deferred& a, const Deferred& b) {
         return a.name.count > b.name.count;
     });
-    for (const auto& [name, doc] : whole) applyRecord(name, doc);
+    for (const auto& [name, doc] : blocks) applyRecord(name, doc);
     for (const auto& [name, doc] : pages) applyRecord(name, doc);
-    // Half of a job's records could start its tasks a second time.
+    // A job whose records are incomplete is not restored: its tasks could start a second time.
     for (const auto& id : unreadableJobs_) jobs_.erase(id);
 }
 
@@ -136,7 +137,7 @@
         allocation.task = t;
         allocation.attempt = task.attempt;
         allocation.state = worker_api::AllocationState::adoptedFromRecord();
-        allocate(task.machine, std::move(allocation));
+        addAllocation(task.machine, std::move(allocation));
     }
 }
 
@@ -146,14 +147,15 @@
     restoreDependencies();
     for (auto& [id, job] : jobs_) {
         if (job->open() && !job->blocked) onJobOpened(*job);
-        if (job->cancelled) cancellations_.insert(job.get());
+        if (job->cancelled) pendingCancellations_.insert(job.get());
         restoreAllocations(*job);
     }
-    // The former leader's lease had ended before this one's began.
+    // The former leader's lease ended before this leader's began, so it has renewed no machine's
+    // lease since.
     for (MachineIndex i = 0; i < machines_.size(); ++i) {
         machines_[i].leaseEnd = leaseEnd(now);
-        machines_[i].lastHeartbeatAt =
-            now;  // it has been there: its heartbeats are due from now on
+        // The machine existed before, so its heartbeats are due from now on.
+        machines_[i].lastHeartbeatAt = now;
         scheduleTimer(i, machines_[i].leaseEnd);
     }
 }
@@ -161,10 +163,10 @@
 // ---------------------------------------------------------------- writing
 
 void Cluster::markTaskDirty(Job& job, std::uint32_t task, WritePriority priority) {
-    const TaskRange& s = job.layout.markTaskChanged(task);
-    // No page is written before the job is accepted: nobody would find it.
-    if (s.page && !job.accepted()) return;
-    effects_.dirtyRecords.emplace_back(job.layout.nameOf(job.spec.id, s).key(), priority);
+    const TaskRange& range = job.layout.markTaskChanged(task);
+    // Pages are not written before the job is accepted: without its first block they are ignored.
+    if (range.page && !job.accepted()) return;
+    effects_.dirtyRecords.emplace_back(job.layout.nameOf(job.spec.id, range).key(), priority);
 }
 
 void Cluster::markHeadDirty(Job& job, WritePriority priority) {
@@ -207,34 +209,35 @@
 
 std::optional<EncodedRecord> Cluster::encodeTasks(Job& job, const RecordName& name) {
     jobs::RecordLayout& l = job.layout;
-    const TaskRange* s = l.find(name);
-    if (s == nullptr) return std::nullopt;  // split into pages by now
+    const TaskRange* range = l.find(name);
+    if (range == nullptr) return std::nullopt;  // split into pages by now
     std::string data = encodeRecord(job, name);
     const std::string key = name.key();
-    if (data.size() <= valueBytes_) return EncodedRecord{std::move(data), s->version};
-    if (!supportsPages_) {
-        // The form that every version reads is kept, as long as the service takes the value.
+    if (data.size() <= maxValueBytes_) return EncodedRecord{std::move(data), range->version};
+    if (!recordPagesEnabled_) {
+        // Keeps the format that every version reads for as long as the state service accepts the
+        // value.
         oversizedKeys_.insert(key);
         if (data.size() > settings_.valueBytesNow) return std::nullopt;
-        return EncodedRecord{std::move(data), s->version};
+        return EncodedRecord{std::move(data), range->version};
     }
-    const bool first = name.kind == Kind::block && name.from == 0;
-    if (first && !job.accepted()) {
+    const bool isFirstBlock = name.kind == Kind::block && name.from == 0;
+    if (isFirstBlock && !job.accepted()) {
         l.moveTasksOutOfFirstBlock();
         data = encodeRecord(job, name);
-        if (data.size() <= valueBytes_) return EncodedRecord{std::move(data), l.head().version};
-        splitHead(job);
+        if (data.size() <= maxValueBytes_) return EncodedRecord{std::move(data), l.head().version};
+        splitDescription(job);
         return std::nullopt;
     }
-    const TaskRange whole = *s;
+    const TaskRange whole = *range;
     if (!l.split(whole)) {
-        spdlog::error("record is too large: key={} limit_bytes={}", key, valueBytes_);
+        spdlog::error("record is too large: key={} limit_bytes={}", key, maxValueBytes_);
         return std::nullopt;
     }
     for (const std::uint32_t task : {whole.from, whole.from + whole.count / 2})
         effects_.dirtyRecords.emplace_back(l.nameOf(job.spec.id, l.rangeOf(task)).key(),
                                            WritePriority::immediate);
-    if (first) {
+    if (isFirstBlock) {
         const bool headDurable = !job.cancelled || job.cancelDurable();
         if (headDurable)
             l.discardHeadChange();
@@ -245,10 +248,11 @@
     return std::nullopt;
 }
 
-void Cluster::splitHead(Job& job) {
+void Cluster::splitDescription(Job& job) {
     jobs::RecordLayout& l = job.layout;
-    l.sectionValueBytes = valueBytes_;
-    l.specSections = static_cast<std::uint32_t>(jobs::encodeSpecSections(job, valueBytes_).size());
+    l.sectionValueBytes = maxValueBytes_;
+    l.specSections =
+        static_cast<std::uint32_t>(jobs::encodeSpecSections(job, maxValueBytes_).size());
     l.durableSpecSections = 0;
     for (std::uint32_t i = 0; i < l.specSections; ++i)
         effects_.dirtyRecords.emplace_back(RecordName{job.spec.id, Kind::specSection, i, 0}.key(),
@@ -256,21 +260,21 @@
 }
 
 void Cluster::onRecordTooLarge(const std::string& key, std::size_t bytes) {
-    // The limit has fallen below the known one: try half, and half again if that is still too
-    // large.
-    valueBytes_ = std::max<std::size_t>(std::min(valueBytes_, bytes / 2), minValueBytes);
+    // The state service's limit has fallen below the known one. Tries half the size, and half of
+    // that if the record is rejected again.
+    maxValueBytes_ = std::max<std::size_t>(std::min(maxValueBytes_, bytes / 2), minValueBytes);
     const auto name = RecordName::parse(key);
     if (!name) return;
     Job& job = *jobs_.at(name->job);
-    if (!job.accepted() && job.layout.specSections > 0) return splitHead(job);
-    if (supportsPages_)
+    if (!job.accepted() && job.layout.specSections > 0) return splitDescription(job);
+    if (recordPagesEnabled_)
         effects_.dirtyRecords.emplace_back(key, WritePriority::immediate);
     else
         oversizedKeys_.insert(key);
 }
 
 void Cluster::enableRecordPages() {
-    if (std::exchange(supportsPages_, true)) return;
+    if (std::exchange(recordPagesEnabled_, true)) return;
     for (const auto& key : std::exchange(oversizedKeys_, {}))
         effects_.dirtyRecords.emplace_back(key, WritePriority::immediate);
 }
@@ -280,30 +284,31 @@
     if (!name) return;
     Job& job = *jobs_.at(name->job);
     jobs::RecordLayout& l = job.layout;
-    const bool before = job.accepted();
+    const bool wasAccepted = job.accepted();
     auto [from, to] = l.markDurable(*name, version);
     if (name->kind == Kind::specSection) {
-        if (!before && l.durableSpecSections == l.specSections)
+        if (!wasAccepted && l.durableSpecSections == l.specSections)
             effects_.dirtyRecords.emplace_back(l.headName(job.spec.id).key(),
                                                WritePriority::userRequest);
         return;
     }
-    const bool justAccepted = !before && job.accepted();
+    const bool justAccepted = !wasAccepted && job.accepted();
     if (justAccepted && l.firstBlockHasNoTasks())
-        for (const TaskRange& s : l.ranges())
-            if (s.page && s.durableVersion < s.version)
-                effects_.dirtyRecords.emplace_back(l.nameOf(job.spec.id, s).key(),
+        for (const TaskRange& range : l.ranges())
+            if (range.page && range.durableVersion < range.version)
+                effects_.dirtyRecords.emplace_back(l.nameOf(job.spec.id, range).key(),
                                                    WritePriority::immediate);
     if (dependencies_.contains(job.spec.id)) {
         if (job.cancelDurable())
             dependencies_.setOutcome(job.spec.id, dependencies::JobOutcome::cancelled);
         else if (!job.cancelled && job.doneDurable())
             dependencies_.setOutcome(job.spec.id, dependencies::JobOutcome::done);
-        // At once: the next request has to see what follows from it.
+        // Applied at once, so that the next request sees the consequences.
         applyDependencyChanges(now_);
     }
     if (!job.open() && !job.cancelled) return;
-    // Nothing is launched before its job is accepted, whichever record came first.
+    // No task is launched before its job is accepted, even if its own record was durable earlier.
+    // So the acceptance makes all tasks launchable.
     if (justAccepted) std::tie(from, to) = std::pair(0U, job.spec.tasks);
     for (std::uint32_t t = from; t < to; ++t)
         if (job.tasks[t].state == TaskState::bound &&
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -5,6 +5,9 @@
 
 #include "scheduler/cluster.h"
 
+// Placement: which machine each waiting task is bound to, and moving tasks off machines that are to
+// be terminated.
+
 namespace basaltchute::scheduler {
 
 using namespace std::chrono_literals;
@@ -14,17 +17,19 @@
 namespace {
 
 // A service replica that is stopped sooner after its start does not count as started.
-constexpr Duration settledReplica = 40s;
-constexpr Duration nextLook = 1s;  // waiting jobs are looked at again, as their order changes
-constexpr Duration failedMachineBackOff = 60s;       // before a job returns where it failed
-constexpr std::size_t replicaMachinesCompared = 12;  // of a kind, for a replica
+constexpr Duration minUptimeBeforeMigration = 40s;
+// Waiting jobs are reconsidered at this interval even if nothing else changes, as their order does.
+constexpr Duration placementRetryInterval = 1s;
+constexpr Duration jobBackOffOnFailedMachine = 60s;        // before a job is placed where it failed
+constexpr std::size_t maxMachinesComparedPerReplica = 12;  // of each machine group
 
-// Costs of a placement, in seconds of delay that they are worth.
-constexpr double onDemandCost = 4;           // an ordinary machine, for work that allows spot
-constexpr double mixedCost = 1;              // batch work beside services, or the other way round
-constexpr double nearReservationCost = 0.5;  // for each step nearer to bound cells
-constexpr double lastResortCost = 60;
-constexpr double imageLocalityCost = 1.5;  // against the share of a machine that stays free
+// Costs of a placement, each as the number of seconds of start delay that it outweighs.
+constexpr double onDemandCost = 4;           // an on-demand machine for work that allows spot
+constexpr double mixedWorkloadCost = 1;      // batch work beside services, or the other way round
+constexpr double nearReservationCost = 0.5;  // for each step closer to bound cells
+constexpr double outboundPartitionedCost = 60;  // only if there is no other capacity
+// For a machine that has all warm images, weighed against the share of it that stays free.
+constexpr double imageLocalityCost = 1.5;
 
 }  // namespace
 
@@ -32,47 +37,47 @@
     const auto type = catalogue_.find(m.type);
     if (type == catalogue_.end()) return {};
     Resources free = type->second.capacity;
-    for (const auto& c : m.allocations) free -= c.job->spec.demand;
+    for (const Allocation& allocation : m.allocations) free -= allocation.job->spec.demand;
     return free;
 }
 
-bool Cluster::allowed(const Job& job, const std::string& type, const std::string& zone, bool spot,
-                      const Planned& planned) const {
+bool Cluster::meetsConstraints(const Job& job, const std::string& type, const std::string& zone,
+                               bool spot, const PlannedPlacements& planned) const {
     const JobSpec& s = job.spec;
     if (spot && !s.spotAllowed) return false;
     if (!s.allowsType(type)) return false;
     if (s.zone && *s.zone != zone) return false;
     if (!s.sameZone && !s.spread) return true;
-    // Judged against everything of the job that may be somewhere, not only what is reported. A
-    // machine that has not reported yet may be in any zone.
-    std::uint32_t here = 0;
+    // Counts all tasks of the job that may be running, not only the reported ones. A machine that
+    // has not reported yet (zone "") may be in any zone.
+    std::uint32_t tasksInZone = 0;
     for (const auto& [other, tasks] : job.tasksPerZone) {
         if (other == zone || (other.empty() && s.spread))
-            here += tasks;
+            tasksInZone += tasks;
         else if (s.sameZone)
             return false;
     }
-    for (const auto& [index, share] : planned) {
+    for (const auto& [index, onMachine] : planned) {
         if (machines_[index].zone == zone)
-            here += share.tasks;
-        else if (s.sameZone && share.tasks > 0)
+            tasksInZone += onMachine.tasks;
+        else if (s.sameZone && onMachine.tasks > 0)
             return false;
     }
-    return !s.spread || here < (s.tasks + 1) / 2;
+    return !s.spread || tasksInZone < (s.tasks + 1) / 2;
 }
 
-double Cluster::imageFetchTime(const JobSpec& s, const std::string& type) const {
+double Cluster::imageFetchSeconds(const JobSpec& s, const std::string& type) const {
     const auto t = catalogue_.find(type);
     return t == catalogue_.end() ? 0 : s.imageGb / std::max(t->second.fetchGbPerS, 1e-3);
 }
 
-double Cluster::startDelay(const JobSpec& s, const Machine& m) const {
+double Cluster::startDelaySeconds(const JobSpec& s, const Machine& m) const {
     if (m.images.contains(s.image)) return 0;
-    // Joining a fetch that is under way costs only what is left of it.
-    const bool joins =
-        std::any_of(m.allocations.begin(), m.allocations.end(),
-                    [&](const Allocation& c) { return c.job->spec.image == s.image; });
-    return imageFetchTime(s, m.type) / (joins ? 2 : 1);
+    // If another task is fetching the image already, half of the fetch is assumed to be left.
+    const bool isBeingFetched = std::any_of(
+        m.allocations.begin(), m.allocations.end(),
+        [&](const Allocation& allocation) { return allocation.job->spec.image == s.image; });
+    return imageFetchSeconds(s, m.type) / (isBeingFetched ? 2 : 1);
 }
 
 bool Cluster::wantsWarmCapacity(const JobSpec& s) const {
@@ -81,23 +86,24 @@
                        [&](const auto& o) { return o.kind == "wait" && o.jobClass == s.jobClass; });
 }
 
-bool Cluster::placeable(const Job& job, MachineIndex machine, TimePoint now) const {
+bool Cluster::isPlaceable(const Job& job, MachineIndex machine, TimePoint now) const {
     const auto failed = job.failedOn.find(machine);
     return capacityIndex_.find(machine) != nullptr &&
-           (failed == job.failedOn.end() || now - failed->second >= failedMachineBackOff);
+           (failed == job.failedOn.end() || now - failed->second >= jobBackOffOnFailedMachine);
 }
 
-bool Cluster::hasCapacityFor(const Job& job, MachineIndex machine, const Planned& planned,
+bool Cluster::hasCapacityFor(const Job& job, MachineIndex machine, const PlannedPlacements& planned,
                              TimePoint now) const {
     ++visitedMachines_;
     const Resources& demand = job.spec.demand;
-    if (!placeable(job, machine, now) ||
-        !capacityIndex_.keepsWarmCapacity(machine, demand, job.effectivePriority))
+    if (!isPlaceable(job, machine, now) ||
+        !capacityIndex_.leavesEnoughWarmCapacity(machine, demand, job.effectivePriority))
         return false;
     Resources free = capacityIndex_.find(machine)->free;
     if (const auto p = planned.find(machine); p != planned.end()) free -= p->second.demand;
-    // Capacity that is being reclaimed is not for those who had to give way: they once took each
-    // piece of it back as it came free, to be stopped again in the next pass.
+    // Capacity that is being reclaimed is withheld from other jobs of the same or a lower rank.
+    // Otherwise preempted jobs once took each part of it back as it was freed, only to be stopped
+    // again in the next pass.
     const auto [from, to] = reclaimedFor_.equal_range(machine);
     for (auto p = from; p != to; ++p)
         if (p->second != &job && p->second->effectivePriority <= job.effectivePriority)
@@ -105,92 +111,96 @@
     return fits(demand, free);
 }
 
-MachineIndex Cluster::chooseMachine(const Job& job, const Planned& planned, TimePoint now) const {
+MachineIndex Cluster::chooseMachine(const Job& job, const PlannedPlacements& planned,
+                                    TimePoint now) const {
     const JobSpec& s = job.spec;
     const bool isService = s.shape == Shape::service;
     const bool startsAtOnce = wantsWarmCapacity(s);
     MachineIndex best = noMachine;
     double bestCost = std::numeric_limits<double>::infinity();
-    // The first that fits leaves least free; replicas compare several.
-    const auto consider = [&](const CapacitySet& machines, double kindCost, double wholeMachine) {
-        if (kindCost >= bestCost) return;
+    // Machines are visited by ascending free capacity, so the first that fits leaves the least
+    // free. For replicas several machines are compared.
+    const auto consider = [&](const CapacitySet& machines, double groupCost, double machineCores) {
+        if (groupCost >= bestCost) return;
         std::size_t compared = 0;
         machines.visitFitting(s.demand, [&](MachineIndex i) {
             if (!hasCapacityFor(job, i, planned, now)) return false;
             const double left = capacityIndex_.find(i)->free.cores - s.demand.cores;
-            double cost = kindCost + left / wholeMachine;
-            // A replica starts at once only where its image is: a machine with few others is taken
-            // first, so that the capacity that is left suits whatever comes next.
+            double cost = groupCost + left / machineCores;
+            // A replica starts at once only on a machine that has its image. Machines with few
+            // other warm images are preferred, so that the capacity that remains suits more jobs.
             if (startsAtOnce) cost += imageLocalityCost * capacityIndex_.imageLocality(i);
             if (cost < bestCost) {
                 bestCost = cost;
                 best = i;
             }
-            return !startsAtOnce || ++compared >= replicaMachinesCompared;
+            return !startsAtOnce || ++compared >= maxMachinesComparedPerReplica;
         });
     };
-    for (const auto& [key, pool] : capacityIndex_.pools()) {
-        // A replica is there again at once, whatever ends it; other work would be lost.
-        if (!allowed(job, key.type, key.zone, key.spot, planned) ||
+    for (const auto& [key, group] : capacityIndex_.machineGroups()) {
+        // Outbound-partitioned machines lose their lease. A replica then starts again elsewhere at
+        // once, while other tasks would lose their work.
+        if (!meetsConstraints(job, key.type, key.zone, key.spot, planned) ||
             (key.outboundPartitioned && !isService))
             continue;
-        const double whole = std::max(catalogue_.at(key.type).capacity.cores, 1.0);
-        // Seconds until it runs, then: leave ordinary machines to work that needs them, and
-        // fill the fullest machine that has the capacity so that whole ones stay whole.
-        // Low-priority work keeps away from reserved cells, which may grow into its capacity.
-        // What comes and goes keeps off ordinary machines with replicas, and replicas off the
-        // others, so that a machine rented for a peak is empty after it.
+        const double machineCores = std::max(catalogue_.at(key.type).capacity.cores, 1.0);
+        // Besides the seconds until the task runs, the cost reflects these preferences:
+        // - on-demand machines are left to work that needs them;
+        // - the fullest machine with enough capacity is filled first, so that others stay empty;
+        // - unreserved work keeps away from bound cells, which may expand into its capacity;
+        // - batch work avoids on-demand machines with replicas and replicas avoid those without, so
+        //   that a machine rented for a peak is empty after it.
         const bool mixes = !key.spot && key.hasServices != isService;
         const double base = (s.spotAllowed && !key.spot ? onDemandCost : 0) +
-                            (mixes ? mixedCost : 0) +
+                            (mixes ? mixedWorkloadCost : 0) +
                             nearReservationCost * (2 - key.reservationDistance) +
-                            (key.outboundPartitioned ? lastResortCost : 0);
-        const double fetch = imageFetchTime(s, key.type);
-        if (const auto set = pool.cached.find(s.image); set != pool.cached.end())
-            consider(set->second, base, whole);
-        if (const auto set = pool.fetching.find(s.image); set != pool.fetching.end())
-            consider(set->second, base + fetch / 2, whole);
-        consider(pool.all, base + fetch, whole);
+                            (key.outboundPartitioned ? outboundPartitionedCost : 0);
+        const double fetch = imageFetchSeconds(s, key.type);
+        if (const auto set = group.cached.find(s.image); set != group.cached.end())
+            consider(set->second, base, machineCores);
+        if (const auto set = group.fetching.find(s.image); set != group.fetching.end())
+            consider(set->second, base + fetch / 2, machineCores);
+        consider(group.all, base + fetch, machineCores);
     }
     return best;
 }
 
 bool Cluster::placeGang(Job& job, TimePoint now) {
-    // All or nothing: half a gang would hold machines and do no work.
-    Planned planned;
+    // All or nothing: a part of a gang would occupy machines and do no work.
+    PlannedPlacements planned;
     std::vector<std::pair<std::uint32_t, MachineIndex>> chosen;
     for (std::uint32_t t = 0; t < job.spec.tasks; ++t) {
         if (job.tasks[t].state != TaskState::waiting) continue;
         const MachineIndex m = chooseMachine(job, planned, now);
         if (m == noMachine) return false;
-        PlannedShare& share = planned[m];
-        share.demand += job.spec.demand;
-        ++share.tasks;
+        PlannedTasks& onMachine = planned[m];
+        onMachine.demand += job.spec.demand;
+        ++onMachine.tasks;
         chosen.emplace_back(t, m);
     }
-    for (const auto& [task, machine] : chosen) bind(job, task, machine);
+    for (const auto& [task, machine] : chosen) bindTask(job, task, machine);
     return true;
 }
 
 bool Cluster::hasPlaceableWork() {
     if (waiting_.empty()) return false;
     refreshCapacities();
-    return hasNewWork_ || capacityIndex_.increaseCount() != increasesSeen_ ||
-           now_ - lastPass_ >= nextLook;
+    return hasNewWork_ || capacityIndex_.increaseCount() != increaseCountAtLastPass_ ||
+           now_ - lastPassAt_ >= placementRetryInterval;
 }
 
-bool Cluster::place(TimePoint now, std::size_t most) {
+bool Cluster::place(TimePoint now, std::size_t maxTasks) {
     advanceTo(now);
     refreshCapacities();
     hasNewWork_ = false;
-    increasesSeen_ = capacityIndex_.increaseCount();
-    lastPass_ = now;
+    increaseCountAtLastPass_ = capacityIndex_.increaseCount();
+    lastPassAt_ = now;
     estimates_.measureDrainRate(openJobs_, now);
     std::map<Priority, std::vector<Job*>> ranks;
     for (Job* job : waiting_)
         if (now >= job->backOffUntil) ranks[job->effectivePriority].push_back(job);
     for (const auto& [rank, waiting] : ranks)
-        if (placeRank(waiting, most, now)) return true;
+        if (placeRank(waiting, maxTasks, now)) return true;
     return false;
 }
 
@@ -204,9 +214,9 @@
 
 bool Cluster::placeRank(const std::vector<Job*>& waiting, std::size_t& budget, TimePoint now) {
     TeamQueues queues = queuesByTeam(waiting, now);
-    // Within a rank the team that uses least goes next: max-min fairness, one task at a time.
+    // Max-min fairness within a rank: the next task is of the team with the least weighted usage.
     const auto usesLess = [&](const auto& a, const auto& b) {
-        return quota_.weightedUse(a.first) < quota_.weightedUse(b.first);
+        return quota_.weightedUsage(a.first) < quota_.weightedUsage(b.first);
     };
     while (!queues.empty()) {
         const auto next = std::min_element(queues.begin(), queues.end(), usesLess);
@@ -222,12 +232,12 @@
         }
         if (budget == 0) return true;
         --budget;
-        if (!placeNext(job, now)) jobs.pop_back();
+        if (!placeNextTask(job, now)) jobs.pop_back();
     }
     return false;
 }
 
-bool Cluster::placeNext(Job& job, TimePoint now) {
+bool Cluster::placeNextTask(Job& job, TimePoint now) {
     if (job.spec.shape == Shape::gang) {
         if (!placeGang(job, now)) preemptFor(job, job.waitingCount(), now);
         refreshCapacities();
@@ -241,14 +251,14 @@
     MachineIndex machine = chooseMachine(job, {}, now);
     if (machine == noMachine) {
         preemptFor(job, job.waitingCount(), now);
-        // What gave way before its launch had left has freed its capacity already.
+        // Preempted tasks whose launch was never sent have freed their capacity at once.
         machine = chooseMachine(job, {}, now);
     }
     if (machine == noMachine) return false;
     spdlog::debug("task is placed: job={} task={} machine={} waited_s={:.2f} start_delay_s={:.1f}",
                   job.spec.id, task, machines_[machine].name, toSeconds(now - job.releasedAt),
-                  startDelay(job.spec, machines_[machine]));
-    bind(job, task, machine);
+                  startDelaySeconds(job.spec, machines_[machine]));
+    bindTask(job, task, machine);
     refreshCapacities();
     return true;
 }
@@ -260,21 +270,25 @@
         if (job.spec.checkpointIntervalS > 0 && isOpportunistic(job) && !mustStop(allocation))
             chosen.emplace_back(allocation.job, allocation.task);
     }
-    stopAll(chosen);
+    stopTasks(chosen);
 }
 
 void Cluster::migrateReplica(MachineIndex machine, TimePoint now) {
     refreshCapacities();
-    const auto moving = [&](const Allocation& c) { return mustStop(c); };
+    const auto isStopping = [&](const Allocation& allocation) { return mustStop(allocation); };
     Machine& m = machines_[machine];
-    if (std::any_of(m.allocations.begin(), m.allocations.end(), moving)) return;  // one at a time
-    for (const auto& c : m.allocations) {
-        if (c.job->spec.shape != Shape::service || !ownsAllocation(c, machine)) continue;
-        JobTask& task = c.job->tasks[c.task];
-        if (task.phase != TaskPhase::running || now - task.runningSince < settledReplica) continue;
-        const MachineIndex to = chooseMachine(*c.job, {}, now);
-        if (to == noMachine || startDelay(c.job->spec, machines_[to]) > 0) continue;
-        stop(*c.job, c.task);
+    // One at a time.
+    if (std::any_of(m.allocations.begin(), m.allocations.end(), isStopping)) return;
+    for (const auto& allocation : m.allocations) {
+        if (allocation.job->spec.shape != Shape::service ||
+            !isCurrentAllocation(allocation, machine))
+            continue;
+        JobTask& task = allocation.job->tasks[allocation.task];
+        if (task.phase != TaskPhase::running || now - task.runningSince < minUptimeBeforeMigration)
+            continue;
+        const MachineIndex to = chooseMachine(*allocation.job, {}, now);
+        if (to == noMachine || startDelaySeconds(allocation.job->spec, machines_[to]) > 0) continue;
+        stopTaskOrGang(*allocation.job, allocation.task);
         return;
     }
 }
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -3,7 +3,7 @@
 
 #include "scheduler/cluster.h"
 
-// Which work gives way to work of a higher rank.
+// Preemption: which work is stopped to make room for work of a higher rank.
 
 namespace basaltchute::scheduler {
 
@@ -11,12 +11,12 @@
 using worker_api::Machine;
 
 namespace {
-constexpr std::size_t machinesCompared = 24;     // of a pool, before work is stopped on one
-constexpr std::uint32_t maxReclaimedTasks = 32;  // for which a job has work stopped in a pass
-constexpr double restartCost = 1;                // seconds, for each task that is stopped
+constexpr std::size_t maxMachinesCompared = 24;         // of each machine group
+constexpr std::uint32_t maxTasksReclaimedPerPass = 32;  // for each job
+constexpr double restartCostSeconds = 1;                // for each task that is stopped
 
 /// Seconds of work that are lost if the allocation's task is stopped now.
-double lostWork(const Allocation& allocation, TimePoint now) {
+double lostWorkSeconds(const Allocation& allocation, TimePoint now) {
     const JobSpec& spec = allocation.job->spec;
     if (spec.checkpointIntervalS > 0) return spec.checkpointDurationS;
     const JobTask& task = allocation.job->tasks[allocation.task];
@@ -33,7 +33,7 @@
 }
 
 Resources Cluster::capacityOnceStoppedFor(const Job& job, MachineIndex machine,
-                                          const Planned& planned) const {
+                                          const PlannedPlacements& planned) const {
     Resources capacity = capacityOnceStopped(machines_[machine]);
     const auto [from, to] = reclaimedFor_.equal_range(machine);
     for (auto p = from; p != to; ++p)
@@ -56,7 +56,7 @@
         capacity += allocation.job->spec.demand;
         chosen.emplace_back(allocation.job, allocation.task);
     }
-    if (fits(demand, capacity)) stopAll(chosen);
+    if (fits(demand, capacity)) stopTasks(chosen);
     return false;
 }
 
@@ -66,7 +66,7 @@
 }
 
 std::optional<Cluster::PreemptionPlan> Cluster::planPreemption(const Job& job, MachineIndex machine,
-                                                               const Planned& planned,
+                                                               const PlannedPlacements& planned,
                                                                const PreemptionPlan& best,
                                                                TimePoint now) const {
     ++visitedMachines_;
@@ -75,43 +75,44 @@
     std::vector<std::pair<double, std::size_t>> candidates;
     for (std::size_t i = 0; i < m.allocations.size(); ++i)
         if (mayPreempt(job.effectivePriority, m.allocations[i]))
-            candidates.emplace_back(lostWork(m.allocations[i], now), i);
+            candidates.emplace_back(lostWorkSeconds(m.allocations[i], now), i);
     std::sort(candidates.begin(), candidates.end());
 
     Resources capacity = capacityOnceStoppedFor(job, machine, planned);
     Resources taken = demand;
     PreemptionPlan plan;
     plan.machine = machine;
-    plan.loss = startDelay(job.spec, m);
-    for (const auto& [lost, i] : candidates) {
+    plan.costSeconds = startDelaySeconds(job.spec, m);
+    for (const auto& [lostSeconds, i] : candidates) {
         if (fits(demand, capacity)) break;
         const Resources& freed = m.allocations[i].job->spec.demand;
         capacity += freed;
         taken -= freed;
-        plan.loss += lost + restartCost;
+        plan.costSeconds += lostSeconds + restartCostSeconds;
         plan.victims.push_back(i);
     }
-    if (!fits(demand, capacity) || plan.loss >= best.loss) return std::nullopt;
-    // Capacity that must stay warm for others would not be taken: nobody is stopped for it.
-    if (!capacityIndex_.keepsWarmCapacity(machine, taken, job.effectivePriority))
+    if (!fits(demand, capacity) || plan.costSeconds >= best.costSeconds) return std::nullopt;
+    // The job could not use capacity that must stay warm for others, so nothing is stopped for it.
+    if (!capacityIndex_.leavesEnoughWarmCapacity(machine, taken, job.effectivePriority))
         return std::nullopt;
     return plan;
 }
 
-Cluster::PreemptionPlan Cluster::cheapestPreemption(const Job& job, const Planned& planned,
+Cluster::PreemptionPlan Cluster::cheapestPreemption(const Job& job,
+                                                    const PlannedPlacements& planned,
                                                     TimePoint now) const {
     PreemptionPlan best;
-    for (const auto& [key, pool] : capacityIndex_.pools()) {
+    for (const auto& [key, group] : capacityIndex_.machineGroups()) {
         if (key.outboundPartitioned) continue;
-        if (!allowed(job, key.type, key.zone, key.spot, planned)) continue;
+        if (!meetsConstraints(job, key.type, key.zone, key.spot, planned)) continue;
         const CapacitySet& machines =
-            pool.reclaimable[static_cast<std::size_t>(job.effectivePriority)];
+            group.reclaimable[static_cast<std::size_t>(job.effectivePriority)];
         std::size_t compared = 0;
         machines.visitFitting(job.spec.demand, [&](MachineIndex machine) {
-            if (placeable(job, machine, now))
+            if (isPlaceable(job, machine, now))
                 if (auto plan = planPreemption(job, machine, planned, best, now))
                     best = std::move(*plan);
-            return ++compared >= machinesCompared;
+            return ++compared >= maxMachinesCompared;
         });
     }
     return best;
@@ -119,13 +120,13 @@
 
 void Cluster::preemptFor(const Job& job, std::uint32_t tasks, TimePoint now) {
     if (job.effectivePriority == Priority::low) return;
-    Planned planned;  // what is being reclaimed for the job already
+    PlannedPlacements planned;  // tasks that capacity is being reclaimed for already
     for (const auto& [machine, beneficiary] : reclaimedFor_) {
         if (beneficiary != &job) continue;
         ++planned[machine].tasks;
         if (--tasks == 0) return;
     }
-    for (tasks = std::min(tasks, maxReclaimedTasks); tasks > 0; --tasks) {
+    for (tasks = std::min(tasks, maxTasksReclaimedPerPass); tasks > 0; --tasks) {
         const PreemptionPlan plan = cheapestPreemption(job, planned, now);
         if (plan.machine == noMachine) return;
         TaskList victims;
@@ -133,7 +134,7 @@
             const Allocation& allocation = machines_[plan.machine].allocations[i];
             victims.emplace_back(allocation.job, allocation.task);
         }
-        stopAll(victims);
+        stopTasks(victims);
         reclaimedFor_.emplace(plan.machine, &job);
         ++planned[plan.machine].tasks;
         refreshCapacities();
--- a/src/scheduler/queue_order.cpp
+++ b/src/scheduler/queue_order.cpp
@@ -12,14 +12,15 @@
 
 namespace {
 
-constexpr Duration minAgingTime = 240s;  // until age alone puts a late job first
+// How long a job that meets no objective waits until it goes first by age.
+constexpr Duration minAgingTime = 240s;
 constexpr Duration agingTimeWithoutObjectives = 900s;
-constexpr int agingTimePerObjective = 4;  // in multiples of the time the objective allows
+constexpr int agingTimePerObjective = 4;  // in multiples of the time that the objective allows
 
-/// What a job's objectives ask of its start.
+/// When a job has to start to meet its objectives.
 struct ObjectiveStarts {
-    std::size_t missed = 0;
-    std::vector<TimePoint> latestStarts;  // of those that can still be met, ascending
+    std::size_t missed = 0;               // objectives that cannot be met any more
+    std::vector<TimePoint> latestStarts;  // for those that can still be met, ascending
     Duration agingTime = minAgingTime;
 };
 
@@ -33,9 +34,9 @@
 
     ObjectiveStarts build() {
         if (starts_.latestStarts.empty() && starts_.missed == 0) {
-            // Work that nobody has an objective for does not go before work that can still meet
-            // one, or whoever takes their time would fill the capacity of those in a hurry; its
-            // turn comes late, but it does.
+            // A job without objectives must not go before jobs that can still meet one, as it
+            // would take the capacity of more urgent work. Its age alone puts it first in the
+            // end.
             starts_.missed = 1;
             starts_.agingTime = agingTimeWithoutObjectives;
         }
@@ -60,11 +61,11 @@
     ObjectiveStarts starts_;
 };
 
-ObjectiveStarts startsOf(const Job& job, const std::vector<Objective>& objectives, Duration runTime,
-                         TimePoint now) {
+ObjectiveStarts latestStartsOf(const Job& job, const std::vector<Objective>& objectives,
+                               Duration runTime, TimePoint now) {
     ObjectiveStartsBuilder starts(runTime, now);
-    // The time a job was blocked by others is no wait of its own; its deadline counts from its
-    // submission.
+    // Waiting counts from the job's release, since it does not include the time that the job was
+    // blocked by dependencies. Deadlines count from its submission.
     bool hasDeadlineObjective = false;
     for (const Objective& o : objectives) {
         if (o.jobClass != job.spec.jobClass) continue;
@@ -78,7 +79,7 @@
     }
     if (job.spec.deadlineS && !hasDeadlineObjective)
         starts.addEndWithin(job.submittedAt, fromSeconds(*job.spec.deadlineS));
-    // What its dependents ask of it: the jobs of a dependency graph are late together.
+    // The deadlines of its dependents: if this job is late, they are late as well.
     if (job.inheritedDeadlines.first != Deadlines::never)
         starts.addEndBy(job.inheritedDeadlines.first);
     if (job.inheritedDeadlines.last != job.inheritedDeadlines.first)
@@ -99,11 +100,11 @@
             tiers_[priority.missedObjectives].push_back({priority, job});
         }
         std::vector<QueueEntry> ordered;
-        // Jobs that concede an objective join a later tier, which may come to exist by that.
+        // Jobs that concede an objective move to a later tier, which is created if necessary.
         for (auto tier = tiers_.begin(); tier != tiers_.end(); ++tier) {
             auto& [missed, entries] = *tier;
             std::sort(entries.begin(), entries.end(), goesBefore);
-            const std::vector<bool> concedes = largestThatMakeOthersLate(entries);
+            const std::vector<bool> concedes = selectConcedingEntries(entries);
             for (std::size_t i = 0; i < entries.size(); ++i) {
                 if (concedes[i])
                     moveToLaterTier(*entries[i].job, missed);
@@ -125,32 +126,33 @@
                                   conceded);
     }
 
-    /// Which entries of a tier concede their next objective. In order of the latest starts alone
-    /// everybody would be late together where not everything can be served in time.
-    std::vector<bool> largestThatMakeOthersLate(const std::vector<QueueEntry>& entries) {
+    /// Which entries of a tier concede their next objective: the largest ones, until the capacity
+    /// that is freed by the time that each other entry has to start suffices for the work ahead of
+    /// it.
+    std::vector<bool> selectConcedingEntries(const std::vector<QueueEntry>& entries) {
         std::vector<bool> concedes(entries.size(), false);
-        std::set<std::pair<double, std::size_t>> keeping;  // by cores that wait
+        std::set<std::pair<double, std::size_t>> notConceding;  // by the cores that are waited for
         for (std::size_t i = 0; i < entries.size(); ++i) {
             const auto& [priority, job] = entries[i];
             const double drainRate = estimates_.drainRate(job->effectivePriority);
-            const double work = job->spec.demand.cores * job->waitingCount();
-            coresAhead_ += work;
+            const double waitingCores = job->spec.demand.cores * job->waitingCount();
+            coresAhead_ += waitingCores;
             if (!priority.canMeetAnother || job->spec.shape == Shape::service || drainRate <= 0)
                 continue;
-            keeping.emplace(work, i);
-            const double servedInTime = drainRate * toSeconds(priority.startBy - now_);
-            while (!keeping.empty() && coresAhead_ > servedInTime) {
-                const auto largest = std::prev(keeping.end());
+            notConceding.emplace(waitingCores, i);
+            const double coresFreedInTime = drainRate * toSeconds(priority.startBy - now_);
+            while (!notConceding.empty() && coresAhead_ > coresFreedInTime) {
+                const auto largest = std::prev(notConceding.end());
                 coresAhead_ -= largest->first;
                 concedes[largest->second] = true;
-                keeping.erase(largest);
+                notConceding.erase(largest);
             }
         }
         return concedes;
     }
 
     void moveToLaterTier(Job& job, std::size_t tier) {
-        // What it could meet and concedes counts as missed; what it has missed does already.
+        // Conceded objectives count as missed, besides those that are missed already.
         std::size_t conceded = 1;
         SchedulingPriority later = priorityOf(job, conceded);
         while (later.missedObjectives <= tier && later.canMeetAnother)
@@ -163,14 +165,14 @@
     const RuntimeEstimates& estimates_;
     TimePoint now_;
     std::map<std::size_t, std::vector<QueueEntry>> tiers_;
-    double coresAhead_ = 0;  // of what goes before, in this tier and those before it
+    double coresAhead_ = 0;  // of all entries that go before, in this tier and earlier ones
 };
 
 }  // namespace
 
 SchedulingPriority schedulingPriority(const Job& job, const std::vector<Objective>& objectives,
                                       Duration runTime, TimePoint now, std::size_t conceded) {
-    const ObjectiveStarts starts = startsOf(job, objectives, runTime, now);
+    const ObjectiveStarts starts = latestStartsOf(job, objectives, runTime, now);
     SchedulingPriority priority;
     priority.missedObjectives = starts.missed + std::min(conceded, starts.latestStarts.size());
     priority.canMeetAnother = conceded < starts.latestStarts.size();
@@ -178,9 +180,9 @@
         priority.startBy = starts.latestStarts[conceded];
         return priority;
     }
-    // A start that meets every objective is worth more than one that meets the rest: in a burst
-    // what is late would make all that follows late as well. What has missed them all waits, but
-    // not for ever: its turn comes by age.
+    // A start that meets all objectives is worth more than one that meets only the remaining ones:
+    // in a burst, late jobs that go first would make all the jobs after them late as well. A job
+    // that has missed all its objectives waits until its age puts it first.
     priority.startBy = job.releasedAt + starts.agingTime;
     if (priority.startBy <= now) priority.missedObjectives = 0;
     return priority;
--- a/src/scheduler/queue_order_test.cpp
+++ b/src/scheduler/queue_order_test.cpp
@@ -46,7 +46,7 @@
             ids.push_back(entry.job->spec.id);
         return ids;
     }
-    /// As if so many cores of the jobs' rank were freed each second.
+    /// Makes the drain rate of the jobs' rank that many cores per second.
     void setDrainRate(double coresPerS) {
         Job running;
         running.spec.estimatedRuntimeS = 1;
@@ -96,7 +96,7 @@
     EXPECT_EQ(order(start), (std::vector<JobId>{"run-2", "run-1"}));
 }
 
-TEST_F(QueueOrderTest, DependentsHandDownTheirDeadlines) {
+TEST_F(QueueOrderTest, AJobInheritsTheDeadlinesOfItsDependents) {
     Job& job = add("run-1", "etl");
     job.inheritedDeadlines = {start + 50s, start + 80s};
     const SchedulingPriority priority = priorityOf(job, start);
@@ -105,7 +105,7 @@
     EXPECT_EQ(priorityOf(job, start + 41s).startBy, start + 70s);
 }
 
-TEST_F(QueueOrderTest, TheEarliestLatestStartGoesFirstThenTheEarlierSubmission) {
+TEST_F(QueueOrderTest, TheEarliestLatestStartGoesFirstAndThenTheEarlierSubmission) {
     addObjective("wait", "web", 30s);
     addObjective("wait", "api", 20s);
     add("run-3", "web");
--- a/src/scheduler/quota.cpp
+++ b/src/scheduler/quota.cpp
@@ -16,52 +16,54 @@
 
 namespace {
 
-Resources useOf(const std::unordered_map<std::string, Resources>& uses, const std::string& team) {
-    const auto it = uses.find(team);
-    return it == uses.end() ? Resources{} : it->second;
+Resources usageOf(const std::unordered_map<std::string, Resources>& usage,
+                  const std::string& team) {
+    const auto it = usage.find(team);
+    return it == usage.end() ? Resources{} : it->second;
 }
 
 }  // namespace
 
 // ---------------------------------------------------------------- teams
 
-const settings::Team* Quota::find(const std::string& team) const {
+const settings::Team* Quota::findTeam(const std::string& team) const {
     const auto it = std::find_if(settings_.teams.begin(), settings_.teams.end(),
                                  [&](const auto& t) { return t.name == team; });
     return it == settings_.teams.end() ? nullptr : &*it;
 }
 
 bool Quota::exceedsLimit(const JobSpec& spec) const {
-    const settings::Team* team = find(spec.team);
+    const settings::Team* team = findTeam(spec.team);
     if (team == nullptr) return true;
-    const double together = spec.shape == Shape::array ? 1 : spec.tasks;
-    return (team->coresMax > 0 && spec.demand.cores * together > team->coresMax) ||
-           (team->gpusMax > 0 && spec.demand.gpus * together > team->gpusMax);
+    const double concurrentTasks = spec.shape == Shape::array ? 1 : spec.tasks;
+    return (team->coresMax > 0 && spec.demand.cores * concurrentTasks > team->coresMax) ||
+           (team->gpusMax > 0 && spec.demand.gpus * concurrentTasks > team->gpusMax);
 }
 
 bool Quota::withinLimit(const JobSpec& spec) const {
-    const settings::Team* team = find(spec.team);
+    const settings::Team* team = findTeam(spec.team);
     if (team == nullptr) return false;
-    const Resources used = useOf(use_, spec.team);
-    return (team->coresMax <= 0 || used.cores + spec.demand.cores <= team->coresMax + epsilon) &&
-           (team->gpusMax <= 0 || used.gpus + spec.demand.gpus <= team->gpusMax + epsilon);
+    const Resources used = usageOf(usage_, spec.team);
+    return (team->coresMax <= 0 ||
+            used.cores + spec.demand.cores <= team->coresMax + resourceEpsilon) &&
+           (team->gpusMax <= 0 || used.gpus + spec.demand.gpus <= team->gpusMax + resourceEpsilon);
 }
 
 bool Quota::withinReservation(const JobSpec& spec) const {
-    const settings::Team* team = find(spec.team);
+    const settings::Team* team = findTeam(spec.team);
     if (team == nullptr) return false;
     const bool hasCells = std::any_of(operator_.reservations.begin(), operator_.reservations.end(),
                                       [&](const auto& r) { return r.team == spec.team; });
-    if (hasCells) return true;  // the cells themselves are the bound
-    const Resources used = useOf(reservedUse_, spec.team);
-    return (team->cores > 0 && used.cores + spec.demand.cores <= team->cores + epsilon) ||
+    if (hasCells) return true;  // limited by the number of cells instead
+    const Resources used = usageOf(reservedUsage_, spec.team);
+    return (team->cores > 0 && used.cores + spec.demand.cores <= team->cores + resourceEpsilon) ||
            (team->gpus > 0 && spec.demand.gpus > 0 &&
-            used.gpus + spec.demand.gpus <= team->gpus + epsilon);
+            used.gpus + spec.demand.gpus <= team->gpus + resourceEpsilon);
 }
 
-double Quota::weightedUse(const std::string& team) const {
+double Quota::weightedUsage(const std::string& team) const {
     const auto weight = operator_.weights.find(team);
-    return useOf(use_, team).cores / (weight == operator_.weights.end() ? 1.0 : weight->second);
+    return usageOf(usage_, team).cores / (weight == operator_.weights.end() ? 1.0 : weight->second);
 }
 
 // ---------------------------------------------------------------- machines
@@ -72,15 +74,16 @@
     const double slots = countsGpus ? type.capacity.gpus : type.capacity.cores;
     cells::PoolShape shape;
     shape.slotsPerMachine = static_cast<std::uint32_t>(std::max(1.0, std::floor(slots)));
-    shape.machinesPerZone = operator_.machinesPerZoneCell;
+    shape.machinesPerZoneCell = operator_.machinesPerZoneCell;
     CellPool& pool = pools_.emplace(type.name, CellPool(shape)).first->second;
     for (const auto& r : operator_.reservations)
         if (r.type == type.name) pool.reserve(r.team, r.level, r.cells);
     for (const auto& team : settings_.teams) {
-        const auto more =
+        const auto slotsOfTeam =
             static_cast<std::uint32_t>(std::floor(countsGpus ? team.gpus : team.cores));
-        if (more > 0)
-            pool.reserve(team.name, Level::slot, pool.reservedCells(team.name, Level::slot) + more);
+        if (slotsOfTeam > 0)
+            pool.reserve(team.name, Level::slot,
+                         pool.reservedCells(team.name, Level::slot) + slotsOfTeam);
     }
     return true;
 }
@@ -102,9 +105,9 @@
 }
 
 int Quota::reservationDistance(MachineIndex index, const Machine& machine) const {
-    constexpr int farthest = 2;
+    constexpr int noBoundCellsNear = 2;
     const auto pool = pools_.find(machine.type);
-    return pool == pools_.end() ? farthest : pool->second.distanceToBoundCells(index);
+    return pool == pools_.end() ? noBoundCellsNear : pool->second.distanceToBoundCells(index);
 }
 
 // ---------------------------------------------------------------- cells
@@ -121,38 +124,38 @@
     const double needed =
         std::max({share(spec.demand.cores, whole.cores), share(spec.demand.gpus, whole.gpus),
                   share(spec.demand.ramGb, whole.ramGb), 1.0});
-    return static_cast<std::uint32_t>(std::ceil(needed - epsilon));
+    return static_cast<std::uint32_t>(std::ceil(needed - resourceEpsilon));
 }
 
 std::optional<std::vector<CellIndex>> Quota::bindSlots(const JobSpec& spec, const std::string& type,
-                                                       const UsableMachine& usable) {
+                                                       const MachineFilter& usable) {
     CellPool* pool = poolOf(type);
     if (pool == nullptr) return std::nullopt;
     const std::uint32_t slots = slotsFor(spec, type);
     std::set<MachineIndex> tooSmall;
     while (true) {
-        const auto first = pool->bind(spec.team, Level::slot, [&](MachineIndex m) {
+        const auto first = pool->bindCell(spec.team, Level::slot, [&](MachineIndex m) {
             return !tooSmall.contains(m) && usable(m);
         });
         if (!first) return std::nullopt;
-        // The slots of one task lie on one machine.
+        // All slots of a task must be on one machine.
         const MachineIndex machine = pool->machinesOf(*first).front();
         std::vector<CellIndex> found{*first};
         while (found.size() < slots) {
-            const auto next =
-                pool->bind(spec.team, Level::slot, [&](MachineIndex m) { return m == machine; });
+            const auto next = pool->bindCell(spec.team, Level::slot,
+                                             [&](MachineIndex m) { return m == machine; });
             if (!next) break;
             found.push_back(*next);
         }
         if (found.size() == slots) return found;
-        for (const CellIndex cell : found) pool->release(cell);
+        for (const CellIndex cell : found) pool->releaseCell(cell);
         tooSmall.insert(machine);
     }
 }
 
 std::optional<CellIndex> Quota::findSharedCell(const std::string& team, const std::string& type,
                                                std::uint32_t slots,
-                                               const UsableMachine& usable) const {
+                                               const MachineFilter& usable) const {
     const CellPool& pool = pools_.at(type);
     std::optional<CellIndex> found;
     for (const auto& [key, shared] : sharedCells_) {
@@ -165,7 +168,7 @@
 }
 
 std::optional<Quota::ReservedCells> Quota::bindCells(const JobSpec& spec, const std::string& type,
-                                                     const UsableMachine& usable) {
+                                                     const MachineFilter& usable) {
     CellPool* pool = poolOf(type);
     if (pool == nullptr) return std::nullopt;
     const std::uint32_t slots = slotsFor(spec, type);
@@ -173,7 +176,7 @@
         return ReservedCells{{*shared}, true};
     if (auto found = bindSlots(spec, type, usable)) return ReservedCells{std::move(*found), false};
     if (slots > pool->slotsPerMachine()) return std::nullopt;
-    const auto cell = pool->bind(spec.team, Level::machine, usable);
+    const auto cell = pool->bindCell(spec.team, Level::machine, usable);
     if (!cell) return std::nullopt;
     sharedCells_[{type, *cell}] = SharedCell{spec.team, 0, 0};
     return ReservedCells{{*cell}, false};
@@ -183,7 +186,7 @@
     if (bound.sharedWithOthers) return;
     sharedCells_.erase({type, bound.cells.front()});
     CellPool& pool = pools_.at(type);
-    for (const CellIndex cell : bound.cells) pool.release(cell);
+    for (const CellIndex cell : bound.cells) pool.releaseCell(cell);
 }
 
 MachineIndex Quota::machineOf(const std::string& type, const ReservedCells& bound) const {
@@ -201,13 +204,13 @@
         pool->addLowPrioritySlots(index, static_cast<int>(slots));
         return {};
     }
-    reservedUse_[spec.team] += spec.demand;
+    reservedUsage_[spec.team] += spec.demand;
     const auto shared = sharedCells_.find({machine.type, allocation.cells.front()});
     if (shared != sharedCells_.end()) {
         shared->second.usedSlots += slots;
         ++shared->second.tasks;
     }
-    return pool->buddies(index);
+    return pool->machinesInSameZoneCell(index);
 }
 
 std::vector<MachineIndex> Quota::vacateCells(const Allocation& allocation, MachineIndex index,
@@ -218,15 +221,15 @@
         pool->addLowPrioritySlots(index, -static_cast<int>(allocation.opportunisticSlots));
     if (allocation.cells.empty()) return {};
     const JobSpec& spec = allocation.job->spec;
-    reservedUse_[spec.team] -= spec.demand;
-    const std::vector<MachineIndex> buddies = pool->buddies(index);
+    reservedUsage_[spec.team] -= spec.demand;
+    const std::vector<MachineIndex> buddies = pool->machinesInSameZoneCell(index);
     const auto shared = sharedCells_.find({machine.type, allocation.cells.front()});
     if (shared != sharedCells_.end()) {
         shared->second.usedSlots -= slotsFor(spec, machine.type);
         if (--shared->second.tasks > 0) return buddies;
         sharedCells_.erase(shared);
     }
-    for (const CellIndex cell : allocation.cells) pool->release(cell);
+    for (const CellIndex cell : allocation.cells) pool->releaseCell(cell);
     return buddies;
 }
 
--- a/src/scheduler/quota_test.cpp
+++ b/src/scheduler/quota_test.cpp
@@ -11,7 +11,7 @@
 using worker_api::Machine;
 
 /// Two teams: red has 4 cores reserved and no limit, blue has a limit of 16 cores. Machines are of
-/// one type with 8 cores, a slot each.
+/// one type, with 8 cores and as many slots.
 class QuotaTest : public ::testing::Test {
   protected:
     settings::Settings settings = testing::someSettings();
@@ -50,29 +50,29 @@
     EXPECT_FALSE(quota.exceedsLimit(specOf("red", 1000))) << "no limit is set";
 }
 
-TEST_F(QuotaTest, UseCountsAgainstTheLimitUntilItIsRemoved) {
+TEST_F(QuotaTest, UsageCountsAgainstTheLimitUntilItIsRemoved) {
     Quota quota(settings, operatorSettings, catalogue);
     const JobSpec spec = specOf("blue", 8);
-    quota.addUse(spec);
+    quota.addUsage(spec);
     EXPECT_TRUE(quota.withinLimit(spec));
-    quota.addUse(spec);
+    quota.addUsage(spec);
     EXPECT_FALSE(quota.withinLimit(spec));
-    quota.removeUse(spec);
+    quota.removeUsage(spec);
     EXPECT_TRUE(quota.withinLimit(spec));
     EXPECT_FALSE(quota.withinLimit(specOf("green", 1))) << "an unknown team may run nothing";
 }
 
-TEST_F(QuotaTest, FairShareWeightsDivideTheUse) {
+TEST_F(QuotaTest, FairShareWeightsDivideTheUsage) {
     operatorSettings.weights["blue"] = 4;
     Quota quota(settings, operatorSettings, catalogue);
-    quota.addUse(specOf("blue", 8));
-    quota.addUse(specOf("red", 8));
-    EXPECT_DOUBLE_EQ(quota.weightedUse("blue"), 2);
-    EXPECT_DOUBLE_EQ(quota.weightedUse("red"), 8);
-    EXPECT_DOUBLE_EQ(quota.weightedUse("green"), 0);
+    quota.addUsage(specOf("blue", 8));
+    quota.addUsage(specOf("red", 8));
+    EXPECT_DOUBLE_EQ(quota.weightedUsage("blue"), 2);
+    EXPECT_DOUBLE_EQ(quota.weightedUsage("red"), 8);
+    EXPECT_DOUBLE_EQ(quota.weightedUsage("green"), 0);
 }
 
-TEST_F(QuotaTest, AReservationInCoresIsClaimedUpToItsSum) {
+TEST_F(QuotaTest, AReservationInCoresCanBeUsedUpToItsAmount) {
     Quota quota(settings, operatorSettings, catalogue);
     ASSERT_TRUE(quota.addPool(catalogue.at("box")));
     EXPECT_FALSE(quota.addPool(catalogue.at("box"))) << "its cells exist";
@@ -101,7 +101,7 @@
     EXPECT_EQ(quota.pools().at("box").findInconsistency(), "");
 }
 
-TEST_F(QuotaTest, AMachineCellIsSharedByItsTeamAndReturnedWithItsLastTask) {
+TEST_F(QuotaTest, AMachineCellIsSharedByItsTeamAndReleasedWithItsLastTask) {
     settings.teams = {{"red", 0, 0, 0, 0}};
     operatorSettings.reservations = {{"red", "box", cells::Level::machine, 1}};
     Quota quota(settings, operatorSettings, catalogue);
--- a/src/scheduler/reconciliation.cpp
+++ b/src/scheduler/reconciliation.cpp
@@ -4,8 +4,8 @@
 
 #include "scheduler/cluster.h"
 
-// Status reports against the state: what a report proves about the allocations of its machine, and
-// whether reports and responses get through.
+// Reconciles status reports with the state: what a report proves about the allocations of its
+// machine, and whether heartbeats and their responses arrive (network partitions).
 
 namespace basaltchute::scheduler {
 
@@ -25,18 +25,22 @@
 
 namespace {
 
-constexpr Duration minHealthyRun = 15s;          // a task that ran this long speaks for its job
-constexpr std::size_t crashLoopMachines = 3;     // a job that failed on so many is at fault itself
-constexpr std::size_t quarantineFailedJobs = 2;  // a machine on which so many failed is
-constexpr Duration machineBackOff = 10s;         // after a failed task
-constexpr Duration fullMachineBackOff = 2s;
-constexpr Duration refusedJobBackOff = 1s;
+constexpr Duration minHealthyRunTime = 15s;  // a task that has run this long is healthy
+// A job that has failed on this many machines is at fault itself.
+constexpr std::size_t crashLoopAfterMachines = 3;
+// A machine on which this many jobs have failed is at fault itself.
+constexpr std::size_t quarantineAfterFailedJobs = 2;
+constexpr Duration machineBackOffAfterFailure = 10s;  // after a task failed on it
+constexpr Duration fullMachineBackOff = 2s;           // after it had no capacity for a task
+constexpr Duration refusedJobBackOff = 1s;            // after a machine refused a task of the job
 constexpr Duration maxCrashLoopBackOff = 60s;
 constexpr std::uint32_t maxCrashLoopDoublings = 8;
-constexpr std::uint32_t maxIgnoredResponses = 2;  // in a row, of a machine that receives them
-constexpr Duration heartbeatDelay = 1500ms;       // that an undisturbed network may cause
+// A machine that acts on none of this many responses in a row does not receive them.
+constexpr std::uint32_t maxIgnoredResponses = 2;
+constexpr Duration maxHeartbeatNetworkDelay = 1500ms;  // of a network without faults
 
-bool occupiesMachine(TaskPhase phase) {
+/// Whether a task in that phase has been started on its machine.
+bool hasStarted(TaskPhase phase) {
     return phase == TaskPhase::running || phase == TaskPhase::checkpointing;
 }
 
@@ -51,20 +55,21 @@
 // ---------------------------------------------------------------- tasks
 
 void Cluster::setPhase(Job& job, JobTask& task, TaskPhase phase, TimePoint now) {
-    if (occupiesMachine(phase) && !occupiesMachine(task.phase)) {
+    if (hasStarted(phase) && !hasStarted(task.phase)) {
         ++job.runningCount;
         task.runningSince = now;
         if (job.startedAt == TimePoint{}) job.startedAt = now;
     }
-    if (!occupiesMachine(phase) && occupiesMachine(task.phase)) --job.runningCount;
+    if (!hasStarted(phase) && hasStarted(task.phase)) --job.runningCount;
     task.phase = phase;
 }
 
 bool Cluster::hasHealthyTask(const Job& job, TimePoint now) const {
     if (job.doneCount > 0) return true;
-    // A job with a mistake may run for a while before it fails, so only what has run for longer
-    // than its failures did speaks for it; machines differ in speed.
-    const Duration longEnough = std::max<Duration>(minHealthyRun, job.longestFailure * 5 / 4);
+    // A faulty job may run for a while before it fails, so only a task that has run for longer than
+    // its failed ones shows that the job is healthy. The factor allows for machines of different
+    // speed.
+    const Duration longEnough = std::max<Duration>(minHealthyRunTime, job.longestFailure * 5 / 4);
     return std::any_of(job.tasks.begin(), job.tasks.end(), [&](const JobTask& t) {
         return t.state == TaskState::bound && t.phase == TaskPhase::running &&
                now - t.runningSince >= longEnough;
@@ -77,13 +82,14 @@
     ++job.failures;
     m.failedJobs.insert(job.spec.id);
     job.failedOn[machine] = now;
-    m.backOffUntil = now + machineBackOff;
+    m.backOffUntil = now + machineBackOffAfterFailure;
     markCapacityDirty(machine);
     scheduleTimer(machine, m.backOffUntil);
-    // A job that fails wherever it goes is at fault itself, unless some of its tasks do run: then
-    // it only met several faulty machines, as a large array does when dozens are faulty at once.
+    // A job that fails on every machine is at fault itself, unless some of its tasks do run. Then
+    // it has only met several faulty machines, as a large array does when dozens are faulty at
+    // once.
     const bool healthy = hasHealthyTask(job, now);
-    job.crashLooping = !healthy && job.failedOn.size() >= crashLoopMachines;
+    job.crashLooping = !healthy && job.failedOn.size() >= crashLoopAfterMachines;
     if (job.crashLooping) {
         for (const auto& [at, when] : job.failedOn) machines_[at].failedJobs.erase(job.spec.id);
         const auto doublings = std::min(job.failures, maxCrashLoopDoublings);
@@ -91,7 +97,7 @@
             now + std::min<Duration>(maxCrashLoopBackOff, 1s * (1U << doublings) / 4);
         return;
     }
-    if ((m.failedJobs.size() >= quarantineFailedJobs || healthy) && !m.quarantined) {
+    if ((m.failedJobs.size() >= quarantineAfterFailedJobs || healthy) && !m.quarantined) {
         m.quarantined = true;
         spdlog::warn("machine is quarantined: machine={} reason=tasks_fail failed_jobs={}", m.name,
                      m.failedJobs.size());
@@ -104,14 +110,14 @@
     const double ranS = toSeconds(now - task.runningSince);
     if (bound && task.attempt == 1 && job.spec.estimatedRuntimeS > 0 && ranS > 0)
         estimates_.recordRun(job.spec.jobClass, job.spec.estimatedRuntimeS, ranS);
-    // A result is a result, whichever attempt brought it: but not while another attempt may be on
-    // another machine. The record would no longer say where, and a successor would neither count
-    // it nor wait for its end. It ends by itself as soon as it has its image.
+    // The result of any attempt counts, but not while another attempt may be on another machine:
+    // the record would no longer say where, and the next leader would neither account for that
+    // attempt nor wait for its end. The other attempt ends by itself as soon as it has its image.
     const Allocation* other =
         bound && task.attempt != t.attempt
             ? machines_[task.machine].findAllocation(job, t.task, task.attempt)
             : nullptr;
-    if (other == nullptr || !other->state.launchSent()) finish(job, t.task);
+    if (other == nullptr || !other->state.launchSent()) finishTask(job, t.task);
 }
 
 void Cluster::applyExitCause(MachineIndex machine, const Allocation& allocation, ExitCause cause,
@@ -125,7 +131,7 @@
             m.failures = 0;
             break;
         case ExitCause::error:
-            if (!ownsAllocation(allocation, machine)) break;
+            if (!isCurrentAllocation(allocation, machine)) break;
             if (task.phase == TaskPhase::running)
                 job.longestFailure = std::max(job.longestFailure, now - task.runningSince);
             onTaskFailed(machine, job, now);
@@ -166,17 +172,17 @@
     found.state = AllocationState::foundOnMachine();
     if (task.state == TaskState::waiting && t.attempt >= task.attempt && job.open() &&
         !job.blocked) {
-        // It runs although no record says so: it stays where it is, on record.
+        // It runs although no record says so. It stays there, and its binding is recorded.
         task.state = TaskState::bound;
         task.machine = machine;
         task.attempt = t.attempt;
         ++job.boundCount;
-        listWaiting(job);
+        updateWaitingList(job);
         markTaskDirty(job, t.task, WritePriority::immediate);
     } else {
         found.orphaned = true;
     }
-    return allocate(machine, std::move(found));
+    return addAllocation(machine, std::move(found));
 }
 
 void Cluster::onTaskReported(MachineIndex machine, const ReportedTask& t, TimePoint now) {
@@ -190,7 +196,7 @@
     Allocation& allocation = known != nullptr ? *known : adoptReported(machine, *job, t);
     allocation.lastReportedIn = m.heartbeatSequence;
     allocation.state.onReported();
-    if (!ownsAllocation(allocation, machine)) return;
+    if (!isCurrentAllocation(allocation, machine)) return;
     JobTask& task = job->tasks[t.task];
     const TaskPhase before = task.phase;
     const TaskPhase phase = phaseOf(t.status);
@@ -214,13 +220,13 @@
     m.incarnation = r.incarnation;
     m.heartbeatSequence = r.sequence;
     m.sequenceSeenAt = now;
-    if (r.incarnation <= m.endedIncarnation) return takeLateResults(index, r, now);
-    noteContact(index, source, now);
+    if (r.incarnation <= m.endedIncarnation) return acceptLateResults(index, r, now);
+    recordContact(index, source, now);
     m.reportBytes = r.bytes;
     if ((capacityIndex_.find(index) != nullptr) != acceptsWork(m))
-        markCapacityDirty(index);  // unresponsive for a while, new, or its reports are full
+        markCapacityDirty(index);  // it is new, was unresponsive, or its report is (no longer) full
     scheduleTimer(index, now + settings_.heartbeatInterval * 2);
-    if (r.interruptionNotice) noteInterruption(index, *r.interruptionNotice, now);
+    if (r.interruptionNotice) recordInterruptionNotice(index, *r.interruptionNotice, now);
     reconcileTasks(index, r, now);
     releaseUnreported(index, r, source);
 }
@@ -232,45 +238,46 @@
     m.type = r.type;
     m.zone = r.zone;
     m.spot = r.spot;
-    // Bound by a former leader, in a zone that was not known until now.
+    // Allocations of a former leader were counted in the zone "", as the real one was unknown.
     for (const Allocation& allocation : m.allocations) {
         auto& tasksPerZone = allocation.job->tasksPerZone;
         --tasksPerZone[""];
         ++tasksPerZone[m.zone];
         std::erase_if(tasksPerZone, [](const auto& zone) { return zone.second == 0; });
     }
-    enterPool(machine);
+    addToCellPool(machine);
     markCapacityDirty(machine);
 }
 
 void Cluster::onNewIncarnation(MachineIndex machine, TimePoint now) {
     Machine& m = machines_[machine];
     if (m.incarnation != 0) {
-        // A response that it received lately would have kept the former incarnation alive.
+        // Had it received a recent response, the former incarnation would still be alive.
         if (m.answeredHeartbeats >= maxIgnoredResponses && now - m.answeredAt < settings_.lease / 2)
             markInboundPartitioned(machine, "lease_expired_despite_responses", now);
         m.answeredHeartbeats = m.ignoredResponses = 0;
         m.tombstones.clear();
         m.images.clear();
         markCapacityDirty(machine);
-        // The worker killed all it had. Bindings whose launch never left are still good.
+        // The worker has killed all its tasks. Bindings whose launch was never sent remain valid.
         for (std::size_t i = m.allocations.size(); i-- > 0;)
             if (m.allocations[i].state.launchSent()) releaseAllocation(machine, i);
     }
-    // An incarnation lives for a lease from when it began, though none of its heartbeats has been
-    // answered: one that became known by its answer to a probe was given work, and up to the end of
-    // the former incarnation's lease only, after which that work was started elsewhere as well.
+    // A new incarnation holds a lease from its start, before any of its heartbeats is answered.
+    // Once, an incarnation that became known by its answer to a probe was given work while the
+    // lease of the former incarnation still counted; when that one ended, the work was started
+    // elsewhere a second time.
     m.leaseEnd = std::max(m.leaseEnd, leaseEnd(now));
 }
 
-void Cluster::takeLateResults(MachineIndex machine, const StatusReport& r, TimePoint now) {
-    // A report held back since before the lease ran out: only results in it still count.
+void Cluster::acceptLateResults(MachineIndex machine, const StatusReport& r, TimePoint now) {
+    // The report was delayed since before the lease ran out, so only its results still count.
     for (const ReportedTask& t : r.tasks)
         if (t.status == TaskStatus::exited && t.cause == ExitCause::done)
             onTaskExited(machine, t, now);
 }
 
-void Cluster::noteContact(MachineIndex machine, ReportSource source, TimePoint now) {
+void Cluster::recordContact(MachineIndex machine, ReportSource source, TimePoint now) {
     Machine& m = machines_[machine];
     m.lastHeardAt = now;
     m.unansweredProbes = 0;
@@ -282,12 +289,12 @@
         }
         return;
     }
-    m.ignoredResponses = 0;  // it received the request
+    m.ignoredResponses = 0;  // it received the direct request
     if (std::exchange(m.inboundPartitioned, false)) markCapacityDirty(machine);
     checkHeartbeatsArrive(machine, now);
 }
 
-void Cluster::noteInterruption(MachineIndex machine, Duration notice, TimePoint now) {
+void Cluster::recordInterruptionNotice(MachineIndex machine, Duration notice, TimePoint now) {
     Machine& m = machines_[machine];
     if (!m.interruptionAt) {
         spdlog::info("spot interruption notice: machine={} remaining_s={:.1f}", m.name,
@@ -314,8 +321,8 @@
         }
         onTaskExited(machine, t, now);
         const Job* job = find(t.job);
-        const bool onRecord = job != nullptr && t.task < job->spec.tasks;
-        m.terminalStatuses.emplace(ended, onRecord ? job->layout.rangeOf(t.task).version : 0);
+        const bool isKnownTask = job != nullptr && t.task < job->spec.tasks;
+        m.terminalStatuses.emplace(ended, isKnownTask ? job->layout.rangeOf(t.task).version : 0);
     }
 }
 
@@ -325,11 +332,12 @@
         const Allocation& allocation = m.allocations[i];
         const AllocationState& state = allocation.state;
         if (allocation.lastReportedIn == r.sequence || !state.launchSent()) continue;
-        // Not mentioned. Proof that it is not there, unless a launch may still be on its way:
-        // those of a former leader are fenced once the worker has seen our token.
+        // An attempt that the report does not list is not on the machine, unless a launch of it may
+        // still be on its way. Launches of a former leader are rejected once the worker has seen
+        // this leader's fencing token.
         const bool fenced = state.adopted() && r.token == token_;
-        // A launch in a heartbeat response is executed or dropped before the next heartbeat is
-        // sent; the body of a direct response may be older than that.
+        // The worker executes or drops a launch in a heartbeat response before it sends its next
+        // heartbeat. The report in a direct response may be older than that.
         const bool neverLaunched = source == ReportSource::heartbeat && mustStop(allocation) &&
                                    !state.adopted() && !state.directLaunchMayArrive();
         if (state.confirmed() || fenced || neverLaunched) releaseAllocation(machine, i);
@@ -342,8 +350,9 @@
     const bool isNew =
         std::tie(r.incarnation, r.sequence) > std::tie(m.incarnation, m.heartbeatSequence);
     onStatusReport(r, ReportSource::heartbeat, now);
-    // What is older than the newest report was sent before that one arrived. Copies arrive for
-    // minutes, and must not hold back for ever what ran on a machine that is gone.
+    // A report that is not new was sent before the newest one arrived, so it extends the lease from
+    // that time only. Duplicates arrive for minutes, and must not delay the release of a dead
+    // machine's tasks for ever.
     m.leaseEnd = std::max(m.leaseEnd, leaseEnd(isNew ? now : m.sequenceSeenAt));
     if (m.presence == Presence::gone || r.incarnation <= m.endedIncarnation ||
         r.incarnation != m.incarnation || r.sequence != m.heartbeatSequence)
@@ -351,14 +360,14 @@
     if (isNew) checkResponsesArrive(index, now);
     if (m.inboundPartitioned) effects_.machinesToProbe.insert(index);
     auto commands = commandsFor(index, CommandChannel::heartbeatResponse);
-    if (!isNew) return commands;  // a copy: its response reaches nobody
+    if (!isNew) return commands;  // a duplicate: nobody receives its response
     ++m.answeredHeartbeats;
     m.answeredAt = now;
-    noteLaunchesInResponse(index, commands);
+    markLaunchesInResponse(index, commands);
     return commands;
 }
 
-void Cluster::noteLaunchesInResponse(MachineIndex machine, const std::vector<Command>& commands) {
+void Cluster::markLaunchesInResponse(MachineIndex machine, const std::vector<Command>& commands) {
     for (const Command& command : commands) {
         const auto* launch = std::get_if<LaunchTask>(&command);
         if (launch == nullptr) continue;
@@ -374,9 +383,9 @@
 
 void Cluster::checkHeartbeatsArrive(MachineIndex machine, TimePoint now) {
     Machine& m = machines_[machine];
-    // Known only since it answered a request, it has had no time to send a heartbeat yet.
+    // A machine that became known by its answer to a request has had no time to send a heartbeat.
     if (m.lastHeartbeatAt == TimePoint{}) m.lastHeartbeatAt = now;
-    const Duration overdue = settings_.heartbeatInterval * 5 / 4 + heartbeatDelay;
+    const Duration overdue = settings_.heartbeatInterval * 5 / 4 + maxHeartbeatNetworkDelay;
     if (now - m.lastHeartbeatAt <= overdue) return;
     if (!std::exchange(m.outboundPartitioned, true)) {
         spdlog::warn("machine is outbound-partitioned: machine={} reason=heartbeats_overdue",
@@ -384,7 +393,7 @@
         markCapacityDirty(machine);
     }
     scheduleTimer(machine, now);
-    // What has to stop there has not been told so in a heartbeat response.
+    // Stop commands have not reached it in heartbeat responses, so they are sent directly.
     if (std::any_of(m.allocations.begin(), m.allocations.end(), [&](const Allocation& allocation) {
             return mustStop(allocation) && allocation.state.launchSent() && !allocation.stopSent;
         }))
@@ -402,8 +411,8 @@
 
 void Cluster::checkResponsesArrive(MachineIndex machine, TimePoint now) {
     Machine& m = machines_[machine];
-    // One report is on its way at a time: the response to the one before was acted on, or never
-    // will be. Copies are nothing new and do not come here.
+    // A worker sends one heartbeat at a time: by now it has acted on the response to the previous
+    // one, or never will. Only new reports are checked, never duplicates.
     bool launchExpected = false, launchReported = false;
     for (const Allocation& allocation : m.allocations) {
         if (!allocation.launchInLastResponse) continue;
@@ -413,7 +422,8 @@
     if (launchReported) m.ignoredResponses = 0;
     if (launchExpected && !launchReported && ++m.ignoredResponses >= maxIgnoredResponses)
         markInboundPartitioned(machine, "responses_ignored", now);
-    // Allocations without a launch under way need not wait there for the lease to end.
+    // On an inbound-partitioned machine, allocations whose launch cannot arrive any more are
+    // released at once, rather than when the lease ends.
     for (std::size_t i = m.allocations.size(); i-- > 0;) {
         Allocation& allocation = m.allocations[i];
         const AllocationState& state = allocation.state;
--- a/src/scheduler/reservations.cpp
+++ b/src/scheduler/reservations.cpp
@@ -2,7 +2,7 @@
 
 #include "scheduler/cluster.h"
 
-// Placing tasks in the cells of their team's reservation; `Quota` has the cells.
+// Placing tasks in the cells of their team's reservation. `Quota` keeps track of the cells.
 
 namespace basaltchute::scheduler {
 
@@ -16,24 +16,25 @@
                        return a.first == b.first && a.second.capacity == b.second.capacity;
                    });
     catalogue_ = std::move(catalogue);
-    if (sameTypes) return;  // prices move, and nothing here follows them
+    if (sameTypes) return;  // only prices have changed, which nothing here depends on
     for (MachineIndex i = 0; i < machines_.size(); ++i) markCapacityDirty(i);
     for (const auto& [name, type] : catalogue_) {
         if (!quota_.addPool(type)) continue;
         for (MachineIndex i = 0; i < machines_.size(); ++i)
-            if (machines_[i].up() && machines_[i].type == name) enterPool(i);
+            if (machines_[i].up() && machines_[i].type == name) addToCellPool(i);
     }
 }
 
-void Cluster::enterPool(MachineIndex machine) {
+void Cluster::addToCellPool(MachineIndex machine) {
     Machine& m = machines_[machine];
     if (!quota_.addMachine(machine, m)) return;
-    // After a take-over: bindings on record come first, before anything new is placed.
+    // After a change of leaders, allocations restored from records get their cells back before
+    // anything new is placed.
     for (Allocation& allocation : m.allocations) {
         if (!allocation.cells.empty() || allocation.opportunisticSlots > 0) continue;
         const JobSpec& spec = allocation.job->spec;
         const JobTask& task = allocation.job->tasks[allocation.task];
-        if (task.reserved && ownsAllocation(allocation, machine) &&
+        if (task.reserved && isCurrentAllocation(allocation, machine) &&
             quota_.withinReservation(spec)) {
             auto found =
                 quota_.bindSlots(spec, m.type, [machine](MachineIndex i) { return i == machine; });
@@ -46,10 +47,10 @@
 bool Cluster::placeInReservation(Job& job, std::uint32_t task, TimePoint now) {
     const JobSpec& spec = job.spec;
     const auto usable = [&](MachineIndex m) {
-        return placeable(job, m, now) && allowed(job, machines_[m]);
+        return isPlaceable(job, m, now) && meetsConstraints(job, machines_[m]);
     };
-    // Only opportunistic work gives way: work of another team beyond its reservation, or of a
-    // lower priority.
+    // Only work outside of reserved cells is preempted: that of other teams, or of the same team
+    // with a lower priority.
     const auto isOpportunisticHere = [&](const Allocation& allocation) {
         const Job& other = *allocation.job;
         return allocation.cells.empty() &&
@@ -61,10 +62,10 @@
         if (!bound) continue;
         const MachineIndex machine = quota_.machineOf(type, *bound);
         if (reclaimCapacity(job, machine, isOpportunisticHere)) {
-            bind(job, task, machine, bound->cells);
+            bindTask(job, task, machine, bound->cells);
             return true;
         }
-        // Not free yet: the cells are bound again once what is on them has gone.
+        // Not free yet. The cells are bound again once what runs on them has ended.
         quota_.unbindCells(type, *bound);
     }
     return false;
--- a/src/scheduler/reservations_test.cpp
+++ b/src/scheduler/reservations_test.cpp
@@ -16,9 +16,9 @@
     std::unique_ptr<Cluster> cluster;
     std::map<std::string, std::string> records;
 
-    void start(const settings::OperatorSettings& own, FencingToken token = 1) {
+    void startCluster(const settings::OperatorSettings& operatorSettings, FencingToken token = 1) {
         cluster = std::make_unique<Cluster>(settings, token);
-        cluster->setOperatorSettings(own);
+        cluster->setOperatorSettings(operatorSettings);
         cluster->setCatalogue(testing::someCatalogue());
     }
     void commit() { testing::commitAll(*cluster, records); }
@@ -33,91 +33,91 @@
         commit();
         return *cluster->find(id);
     }
-    void settle(std::initializer_list<Worker*> workers) {
-        for (int i = 0; i < 8; ++i) {  // capacity is reclaimed for one task after the other
+    void runUntilSettled(std::initializer_list<Worker*> workers) {
+        for (int i = 0; i < 8; ++i) {  // each round reclaims capacity for one task
             cluster->place(clock.now());
             commit();
             for (Worker* w : workers) exchange(*w);
         }
     }
-    static settings::OperatorSettings machineFor(const std::string& team) {
-        settings::OperatorSettings own;
-        own.reservations = {{team, "box", cells::Level::machine, 1}};
-        own.pooledMachines = {{"box", 2}};
-        return own;
+    static settings::OperatorSettings reserveOneMachineFor(const std::string& team) {
+        settings::OperatorSettings operatorSettings;
+        operatorSettings.reservations = {{team, "box", cells::Level::machine, 1}};
+        operatorSettings.pooledMachines = {{"box", 2}};
+        return operatorSettings;
     }
 };
 
 TEST_F(ReservationsTest, AReservationPreemptsOpportunisticWork) {
-    start(machineFor("red"));
+    startCluster(reserveOneMachineFor("red"));
     Worker w("n-1"), v("n-2");
-    settle({&w, &v});
+    runUntilSettled({&w, &v});
     Job& opportunistic = submit("run-1", "blue", 4);
-    settle({&w, &v});
+    runUntilSettled({&w, &v});
     EXPECT_EQ(opportunistic.runningCount, 4U) << "idle cells are used opportunistically";
     Job& owner = submit("run-2", "red", 2);
-    settle({&w, &v});
+    runUntilSettled({&w, &v});
     EXPECT_EQ(owner.runningCount, 2U);
     EXPECT_EQ(opportunistic.runningCount, 2U) << "only one machine was reclaimed";
     EXPECT_EQ(owner.tasks[0].machine, owner.tasks[1].machine) << "tasks share the bound cell";
 }
 
 TEST_F(ReservationsTest, BeyondTheReservationNothingIsPreempted) {
-    start(machineFor("red"));
+    startCluster(reserveOneMachineFor("red"));
     Worker w("n-1"), v("n-2");
-    settle({&w, &v});
+    runUntilSettled({&w, &v});
     Job& opportunistic = submit("run-1", "blue", 4);
-    settle({&w, &v});
+    runUntilSettled({&w, &v});
     Job& owner = submit("run-2", "red", 4);
-    settle({&w, &v});
+    runUntilSettled({&w, &v});
     EXPECT_EQ(owner.runningCount, 2U);
     EXPECT_EQ(opportunistic.runningCount, 2U);
 }
 
 TEST_F(ReservationsTest, AReservationInCoresIsMetByAnyType) {
     settings.teams = {{"red", 4, 0, 0, 0}, {"blue", 0, 0, 0, 0}};
-    start({});
+    startCluster({});
     Worker w("n-1");
-    settle({&w});
+    runUntilSettled({&w});
     Job& opportunistic = submit("run-1", "blue", 2);
-    settle({&w});
+    runUntilSettled({&w});
     Job& owner = submit("run-2", "red", 2);
-    settle({&w});
+    runUntilSettled({&w});
     EXPECT_EQ(owner.runningCount, 1U);
     EXPECT_EQ(opportunistic.runningCount, 1U);
 }
 
-TEST_F(ReservationsTest, CellsAreReturnedWithTheLastTaskAndSurviveATakeOver) {
-    start(machineFor("red"));
+TEST_F(ReservationsTest, CellsAreReleasedWithTheLastTaskAndRestoredByANewLeader) {
+    startCluster(reserveOneMachineFor("red"));
     Worker w("n-1"), v("n-2");
-    settle({&w, &v});
+    runUntilSettled({&w, &v});
     submit("run-1", "red", 2);
-    settle({&w, &v});
+    runUntilSettled({&w, &v});
     EXPECT_EQ(cluster->pools().at("box").boundCells("red", cells::Level::machine), 1U);
-    start(machineFor("red"), 2);
+    startCluster(reserveOneMachineFor("red"), 2);
     for (const auto& [k, data] : records)
         ASSERT_TRUE(cluster->loadRecord(k, data, clock.now(), clock.wall()));
     cluster->finishLoading(clock.now());
-    settle({&w, &v});
+    runUntilSettled({&w, &v});
     Job& job = *cluster->find("run-1");
     EXPECT_EQ(job.runningCount, 2U);
     cluster->cancel(job, clock.now());
     commit();
-    settle({&w, &v});
+    runUntilSettled({&w, &v});
     EXPECT_EQ(cluster->pools().at("box").boundCells("red", cells::Level::machine), 0U);
     EXPECT_EQ(cluster->pools().at("box").findInconsistency(), "");
 }
 
 TEST_F(ReservationsTest, UnreservedCapacityIsSharedByWeight) {
-    settings::OperatorSettings own;
-    own.weights = {{"blue", 3.0}};
+    settings::OperatorSettings operatorSettings;
+    operatorSettings.weights = {{"blue", 3.0}};
     settings.teams = {{"red", 0, 0, 0, 0}, {"blue", 0, 0, 0, 0}};
-    start(own);
+    startCluster(operatorSettings);
     Worker w("n-1"), v("n-2"), x("n-3"), y("n-4");
-    settle({&w, &v, &x, &y});
+    runUntilSettled({&w, &v, &x, &y});
     Job& red = submit("run-1", "red", 20);
     Job& blue = submit("run-2", "blue", 20);
-    settle({&w, &v, &x, &y});
+    runUntilSettled({&w, &v, &x, &y});
     EXPECT_EQ(red.boundCount, 2U);
     EXPECT_EQ(blue.boundCount, 6U);
 }
--- a/src/scheduler/runtime_estimates.cpp
+++ b/src/scheduler/runtime_estimates.cpp
@@ -8,21 +8,22 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr double learningRate = 0.1;        // of the moving average of the logarithmic bias
-constexpr double maxLogBias = 2.0;          // one run counts at most as e^2 times its estimate
-constexpr Duration shiftInterval = 5s;      // between two looks for biases that have moved
-constexpr double significantShift = 0.1;    // of the logarithmic bias
-constexpr double lastTaskFactor = 0.25;     // the last of n tasks takes longer, by this times ln n
-constexpr Duration handoverDelay = 2s;      // a result is reported and written, a command sent
-constexpr std::size_t leadTimesKept = 20;   // for each class
-constexpr Duration drainRateInterval = 1s;  // between two measurements
-constexpr double minRunTimeS = 1.0;         // shorter ones count as this long
+constexpr double learningRate = 0.1;         // of the moving average of the logarithmic bias
+constexpr double maxLogBias = 2.0;           // one run counts at most as e^2 times its estimate
+constexpr Duration shiftCheckInterval = 5s;  // between two checks for biases that have changed
+constexpr double significantShift = 0.1;     // of the logarithmic bias
+constexpr double lastTaskFactor = 0.25;      // the last of n tasks takes longer, by this times ln n
+constexpr Duration handoverDelay = 2s;       // to report and write a result, and to send a command
+constexpr std::size_t maxLeadTimesPerClass = 20;  // the most recent ones
+constexpr Duration drainRateInterval = 1s;        // between two measurements
+constexpr double minRunTimeS = 1.0;               // shorter run times count as this long
 }  // namespace
 
 void RuntimeEstimates::recordRun(const std::string& jobClass, double estimatedRuntimeS,
-                                 double ranS) {
+                                 double observedS) {
     double& logBias = logBias_[jobClass];
-    const double observed = std::clamp(std::log(ranS / estimatedRuntimeS), -maxLogBias, maxLogBias);
+    const double observed =
+        std::clamp(std::log(observedS / estimatedRuntimeS), -maxLogBias, maxLogBias);
     logBias += learningRate * (observed - logBias);
 }
 
@@ -43,8 +44,8 @@
 
 std::set<std::string> RuntimeEstimates::takeShiftedClasses(TimePoint now) {
     std::set<std::string> shifted;
-    if (now - shiftsLookedForAt_ < shiftInterval) return shifted;
-    shiftsLookedForAt_ = now;
+    if (now - lastShiftCheckAt_ < shiftCheckInterval) return shifted;
+    lastShiftCheckAt_ = now;
     for (const auto& [jobClass, logBias] : logBias_) {
         double& applied = appliedLogBias_[jobClass];
         if (std::abs(logBias - applied) < significantShift) continue;
@@ -55,11 +56,11 @@
 }
 
 void RuntimeEstimates::recordLeadTime(const JobSpec& spec, Duration lead) {
-    // Classes without any job that has dependencies are not kept.
+    // Nothing is stored for classes in which no job has dependencies.
     if (spec.dependencies.empty() && !leadTimes_.contains(spec.jobClass)) return;
     auto& leads = leadTimes_[spec.jobClass];
     leads.push_back(lead);
-    if (leads.size() > leadTimesKept) leads.pop_front();
+    if (leads.size() > maxLeadTimesPerClass) leads.pop_front();
 }
 
 Duration RuntimeEstimates::arrivalLeadTime(const std::string& jobClass) const {
--- a/src/scheduler/runtime_estimates_test.cpp
+++ b/src/scheduler/runtime_estimates_test.cpp
@@ -19,7 +19,7 @@
     return spec;
 }
 
-TEST(RuntimeEstimates, TrustsTheOwnersEstimateUntilARunIsRecorded) {
+TEST(RuntimeEstimates, UsesTheOwnersEstimateUntilARunIsRecorded) {
     const RuntimeEstimates estimates;
     EXPECT_DOUBLE_EQ(estimates.bias("etl"), 1.0);
     EXPECT_EQ(estimates.estimatedRunTime(specOf("etl")), Duration(10s));
@@ -34,7 +34,7 @@
     EXPECT_DOUBLE_EQ(estimates.bias("other"), 1.0);
 }
 
-TEST(RuntimeEstimates, OneRunCountsAtMostAsASquareOfE) {
+TEST(RuntimeEstimates, TheRatioOfOneRunIsLimitedToESquared) {
     RuntimeEstimates estimates;
     estimates.recordRun("long", 1, 1e9);
     estimates.recordRun("short", 1e9, 1);
@@ -57,12 +57,12 @@
     estimates.recordRun("steady", 10, 11);
     EXPECT_EQ(estimates.takeShiftedClasses(start), std::set<std::string>{"moved"});
     estimates.recordRun("moved", 10, 100);
-    EXPECT_TRUE(estimates.takeShiftedClasses(start + 4s).empty()) << "looked for a moment ago";
+    EXPECT_TRUE(estimates.takeShiftedClasses(start + 4s).empty()) << "checked a moment ago";
     EXPECT_EQ(estimates.takeShiftedClasses(start + 5s), std::set<std::string>{"moved"});
-    EXPECT_TRUE(estimates.takeShiftedClasses(start + 10s).empty()) << "nothing has moved since";
+    EXPECT_TRUE(estimates.takeShiftedClasses(start + 10s).empty()) << "nothing has changed since";
 }
 
-TEST(RuntimeEstimates, LeadTimeIsTheOneThatFourOfFiveRecentJobsReach) {
+TEST(RuntimeEstimates, LeadTimeIsReachedByFourOfFiveRecentJobs) {
     RuntimeEstimates estimates;
     JobSpec dependent = specOf("etl");
     dependent.dependencies = {"run-0"};
@@ -81,7 +81,7 @@
     estimates.recordLeadTime(specOf("etl"), Duration::zero());
     estimates.recordLeadTime(dependent, 9s);
     EXPECT_EQ(estimates.arrivalLeadTime("etl"), Duration(9s))
-        << "the first came too early to count";
+        << "the first job came before any with dependencies";
     estimates.recordLeadTime(specOf("etl"), Duration::zero());
     EXPECT_EQ(estimates.arrivalLeadTime("etl"), Duration::zero());
 }
