--- a/src/jobs/codec.cpp
+++ b/src/jobs/codec.cpp
@@ -14,12 +14,12 @@
 constexpr std::uint64_t maxTasks = 100'000;
 constexpr std::size_t maxTextBytes = 200;  // of a text field of a submission
 constexpr std::size_t maxIdBytes = 120;
-// Of a record: index, attempt and a machine's name of usual length. With longer ones a block is
-// split once it does not fit.
+// Space of a task in a record: its index, its attempt and a machine name of usual length. Longer
+// names can make a block too large; it is split then.
 constexpr std::size_t bytesPerTask = 26;
-constexpr std::size_t headBytes = 160;  // of a first block, beside description and tasks
+constexpr std::size_t jobOverheadBytes = 160;  // of a first block, beside description and tasks
 constexpr std::size_t minTasksPerBlock = 8;
-constexpr std::size_t textFrameBytes = 32;  // of a text record, beside its section
+constexpr std::size_t sectionOverheadBytes = 32;  // of a section record, beside the section itself
 constexpr std::size_t minSectionBytes = 16;
 
 constexpr std::array<std::pair<const char*, Priority>, 4> priorities{
@@ -38,7 +38,7 @@
         ->first;
 }
 
-/// Reads the fields of a submission and remembers the first that is wrong.
+/// Reads the fields of a submission and remembers the first one that is missing or invalid.
 class SubmissionReader {
   public:
     explicit SubmissionReader(const json::Value& submission) : submission_(submission) {}
@@ -69,7 +69,7 @@
         fail(name);
         return 1;
     }
-    /// The value that `names` lists under the field's text.
+    /// The value that `names` maps the text of the field to.
     template <typename Names>
     auto choice(const char* name, const Names& names) {
         const std::string value = text(name);
@@ -95,7 +95,7 @@
                 fail(name);
         return values;
     }
-    /// Ids of jobs, each once.
+    /// Job ids without duplicates.
     std::vector<JobId> ids(const char* name) {
         if (!has(name)) return {};
         std::vector<JobId> values;
@@ -110,14 +110,14 @@
         }
         return values;
     }
-    /// The first wrong field; empty if there is none.
-    [[nodiscard]] const std::string& wrongField() const { return wrongField_; }
+    /// The first field that is missing or invalid; empty if there is none.
+    [[nodiscard]] const std::string& invalidField() const { return invalidField_; }
 
   private:
     [[nodiscard]] bool has(const char* name) const {
         return json::find(submission_, name) != nullptr;
     }
-    /// Of an array; none if it is not one.
+    /// The elements of an array; none if the field is not an array.
     std::vector<const json::Value*> elements(const char* name) {
         std::vector<const json::Value*> out;
         const auto* array = json::array(submission_, name);
@@ -129,11 +129,11 @@
         return out;
     }
     void fail(const char* name) {
-        if (wrongField_.empty()) wrongField_ = name;
+        if (invalidField_.empty()) invalidField_ = name;
     }
 
     const json::Value& submission_;
-    std::string wrongField_;
+    std::string invalidField_;
 };
 
 std::variant<JobSpec, SubmissionError> readSpec(const json::Value& value) {
@@ -159,14 +159,14 @@
     spec.checkpointDurationS = reader.amount("flushS");
     spec.deadlineS = reader.optionalAmount("cutoffS");
     spec.dependencies = reader.ids("waitsOn");
-    if (!reader.wrongField().empty())
-        return SubmissionError{"missing or invalid: " + reader.wrongField()};
+    if (!reader.invalidField().empty())
+        return SubmissionError{"missing or invalid: " + reader.invalidField()};
     return spec;
 }
 
-void writeTexts(json::Writer& out, const char* name, const std::vector<std::string>& texts) {
+void writeStrings(json::Writer& out, const char* name, const std::vector<std::string>& values) {
     out.key(name).openArray();
-    for (const auto& text : texts) out.value(text);
+    for (const auto& value : values) out.value(value);
     out.closeArray();
 }
 
@@ -177,19 +177,19 @@
     out.field("splits", spec.tasks);
     out.field("cores", spec.demand.cores).field("gpus", spec.demand.gpus);
     out.field("ramGb", spec.demand.ramGb).field("build", spec.image).field("sizeGb", spec.imageGb);
-    if (spec.machineTypes) writeTexts(out, "rigs", *spec.machineTypes);
+    if (spec.machineTypes) writeStrings(out, "rigs", *spec.machineTypes);
     if (spec.zone) out.field("hall", *spec.zone);
     out.field("together", spec.sameZone).field("spread", spec.spread);
     out.field("loaners", spec.spotAllowed);
     out.field("parS", spec.estimatedRuntimeS).field("savepointS", spec.checkpointIntervalS);
     out.field("flushS", spec.checkpointDurationS);
     if (spec.deadlineS) out.field("cutoffS", *spec.deadlineS);
-    if (!spec.dependencies.empty()) writeTexts(out, "waitsOn", spec.dependencies);
+    if (!spec.dependencies.empty()) writeStrings(out, "waitsOn", spec.dependencies);
     out.close();
     return out.text();
 }
 
-/// The state of the job itself that changes after its submission.
+/// Writes the state of the job itself that changes after its submission.
 void writeState(json::Writer& out, const Job& job) {
     if (job.cancelled && job.cancelledDependency.empty())
         out.field(job.cancelCommitted ? "cancelled" : "withdrawing", true);
@@ -197,18 +197,20 @@
         out.field("released", static_cast<std::int64_t>(job.releasedWallTime->count()));
 }
 
-void readState(const json::Value& v, Job& job) {
-    job.cancelCommitted = job.cancelCommitted || json::boolean(v, "cancelled").value_or(false);
-    job.cancelRecorded = job.cancelRecorded || json::boolean(v, "withdrawing").value_or(false);
+void readState(const json::Value& record, Job& job) {
+    job.cancelCommitted = job.cancelCommitted || json::boolean(record, "cancelled").value_or(false);
+    job.cancelRecorded = job.cancelRecorded || json::boolean(record, "withdrawing").value_or(false);
     job.cancelled = job.cancelCommitted || job.cancelRecorded;
     job.cancelVersion = job.cancelCommitted ? 1 : 0;
-    // A former leader may have acknowledged it at any time.
+    // A former leader may have acknowledged the cancellation at any time.
     if (job.cancelCommitted) job.acknowledgedAt = TimePoint{};
-    if (const auto at = json::number(v, "released"))
+    if (const auto at = json::number(record, "released"))
         job.releasedWallTime = WallMillis(static_cast<std::int64_t>(*at));
 }
 
-/// Done tasks as pairs of first and last, the rest as [task, attempt] or with its machine.
+/// Writes the tasks from `from` up to, but not including, `to`. Done tasks are pairs of the first
+/// and last index of each run. Other tasks that have had an attempt are [index, attempt]; bound
+/// ones add the name of their machine, and `true` if they are reserved.
 void writeTasks(json::Writer& out, const Job& job, std::uint32_t from, std::uint32_t to,
                 const MachineNameLookup& name) {
     out.key("done").openArray();
@@ -232,7 +234,7 @@
     out.closeArray();
 }
 
-/// Pairs of the first and last task of each run of done tasks.
+/// Reads pairs of the first and last index of each run of done tasks.
 bool readDoneTasks(const json::Value& done, Job& job) {
     for (unsigned i = 0; i + 1 < done.Size(); i += 2) {
         if (!done[i].IsUint() || !done[i + 1].IsUint()) return false;
@@ -243,7 +245,8 @@
     return true;
 }
 
-/// Arrays of a task, its attempt, and for a bound one its machine and whether it is reserved.
+/// Reads arrays of a task's index, its attempt, and for a bound task its machine and whether it is
+/// reserved.
 bool readBoundTasks(const json::Value& bound, Job& job, const MachineIndexLookup& machine) {
     for (const auto& entry : bound.GetArray()) {
         if (!entry.IsArray() || entry.Size() < 2 || !entry[0].IsUint() || !entry[1].IsUint64())
@@ -262,8 +265,8 @@
 }  // namespace
 
 bool validId(std::string_view id) {
-    // The published form is a word, a dash and a number. Only what would be unsafe in a key or
-    // a path is refused, so that a longer number or another word still works.
+    // Documented ids are a word, a dash and a number. Only characters that would be unsafe in a key
+    // or a path are rejected, so that a longer number or another word still works.
     return !id.empty() && id.size() <= maxIdBytes && std::all_of(id.begin(), id.end(), [](char c) {
         return std::isalnum(static_cast<unsigned char>(c)) != 0 || c == '-' || c == '_';
     });
@@ -299,7 +302,7 @@
 
 std::unique_ptr<Job> makeJob(JobSpec spec, std::size_t valueBytes) {
     auto job = std::make_unique<Job>();
-    const std::size_t jobBytes = headBytes + specText(spec).size();
+    const std::size_t jobBytes = jobOverheadBytes + specText(spec).size();
     const std::size_t taskBytes = valueBytes > jobBytes ? valueBytes - jobBytes : 0;
     const std::size_t tasksPerBlock = std::max(minTasksPerBlock, taskBytes / bytesPerTask);
     job->layout = RecordLayout(spec.tasks, static_cast<std::uint32_t>(tasksPerBlock));
@@ -314,21 +317,22 @@
 std::string encodeBlock(const Job& job, std::uint32_t block, const MachineNameLookup& name) {
     json::Writer out;
     out.open();
-    const std::uint32_t per = job.layout.tasksPerBlock();
+    const std::uint32_t tasksPerBlock = job.layout.tasksPerBlock();
     if (block == 0) {
         if (job.layout.specSections > 0)
             out.field("texts", job.layout.specSections);
         else
             out.key("spec").raw(specText(job.spec));
-        out.field("at", static_cast<std::int64_t>(job.submittedWallTime.count())).field("per", per);
+        out.field("at", static_cast<std::int64_t>(job.submittedWallTime.count()))
+            .field("per", tasksPerBlock);
         writeState(out, job);
         if (job.layout.firstBlockHasNoTasks()) {
             out.field("bare", true).close();
             return out.text();
         }
     }
-    const std::uint32_t from = block * per;
-    writeTasks(out, job, from, std::min(from + per, job.spec.tasks), name);
+    const std::uint32_t from = block * tasksPerBlock;
+    writeTasks(out, job, from, std::min(from + tasksPerBlock, job.spec.tasks), name);
     out.close();
     return out.text();
 }
@@ -350,17 +354,19 @@
 }
 
 std::vector<std::string> encodeSpecSections(const Job& job, std::size_t valueBytes) {
-    const std::string all = specText(job.spec);
-    // Quoted, each byte takes two at most, as the text has no control characters.
+    const std::string description = specText(job.spec);
+    // In a JSON string each byte takes at most two, as the description has no control characters.
     const std::size_t sectionBytes =
-        std::max(minSectionBytes, (valueBytes - std::min(valueBytes, textFrameBytes)) / 2);
+        std::max(minSectionBytes, (valueBytes - std::min(valueBytes, sectionOverheadBytes)) / 2);
     std::vector<std::string> records;
-    for (std::size_t from = 0; from < all.size();) {
-        std::size_t to = std::min(all.size(), from + sectionBytes);
-        // Not within a character.
-        while (to < all.size() && (static_cast<unsigned char>(all[to]) & 0xC0U) == 0x80U) --to;
+    for (std::size_t from = 0; from < description.size();) {
+        std::size_t to = std::min(description.size(), from + sectionBytes);
+        // Move back to the start of a UTF-8 character: a section must be valid text by itself.
+        while (to < description.size() &&
+               (static_cast<unsigned char>(description[to]) & 0xC0U) == 0x80U)
+            --to;
         json::Writer out;
-        out.open().field("text", std::string_view(all).substr(from, to - from)).close();
+        out.open().field("text", std::string_view(description).substr(from, to - from)).close();
         records.push_back(out.text());
         from = to;
     }
@@ -376,24 +382,26 @@
     return n ? std::optional(static_cast<std::uint32_t>(*n)) : std::nullopt;
 }
 
-std::unique_ptr<Job> decodeJob(const json::Value& block, const std::string& texts,
+std::unique_ptr<Job> decodeJob(const json::Value& block, const std::string& sections,
                                std::size_t valueBytes) {
-    std::optional<json::Document> joinedTexts;
+    std::optional<json::Document> joinedSections;
     const json::Value* spec = json::find(block, "spec");
     if (specSectionCount(block)) {
-        joinedTexts = json::parse(texts);
-        spec = joinedTexts ? &*joinedTexts : nullptr;
+        joinedSections = json::parse(sections);
+        spec = joinedSections ? &*joinedSections : nullptr;
     }
-    const auto at = json::number(block, "at");
-    const auto per = json::count(block, "per");
-    if (spec == nullptr || !at || !per || *per == 0 || *per > maxTasks) return nullptr;
+    const auto submittedAt = json::number(block, "at");
+    const auto tasksPerBlock = json::count(block, "per");
+    if (spec == nullptr || !submittedAt || !tasksPerBlock || *tasksPerBlock == 0 ||
+        *tasksPerBlock > maxTasks)
+        return nullptr;
     auto parsed = readSpec(*spec);
     if (!std::holds_alternative<JobSpec>(parsed)) return nullptr;
     auto job = makeJob(std::get<JobSpec>(std::move(parsed)), valueBytes);
-    job->layout = RecordLayout(job->spec.tasks, static_cast<std::uint32_t>(*per));
+    job->layout = RecordLayout(job->spec.tasks, static_cast<std::uint32_t>(*tasksPerBlock));
     job->layout.specSections = job->layout.durableSpecSections =
         specSectionCount(block).value_or(0);
-    job->submittedWallTime = WallMillis(static_cast<std::int64_t>(*at));
+    job->submittedWallTime = WallMillis(static_cast<std::int64_t>(*submittedAt));
     if (json::boolean(block, "bare").value_or(false)) job->layout.moveTasksOutOfFirstBlock();
     readState(block, *job);
     return job;
@@ -407,7 +415,7 @@
                  const MachineIndexLookup& machine) {
     job.layout.markRestored(name);
     if (name.kind == RecordName::Kind::page) {
-        // Newer than what other records say of these tasks.
+        // A page is newer than any other record of these tasks that has been applied.
         const std::uint32_t end =
             std::min<std::uint64_t>(std::uint64_t{name.from} + name.count, job.spec.tasks);
         for (std::uint32_t task = name.from; task < end; ++task) job.tasks[task] = JobTask{};
--- a/src/jobs/codec.h
+++ b/src/jobs/codec.h
@@ -1,8 +1,8 @@
 #pragma once
-// The forms of a job outside this process: submissions and status responses of the user API, and
-// the stored records. The field names of both are mapped to this project's terms here and nowhere
-// else. Pure functions without state. Called by the Controller and LeaderTerm for the user API, and
-// by the scheduler's persistence for the records; record_layout.h explains what a record holds.
+// Encodes and decodes jobs: submissions and status responses of the user API, and stored records.
+// This is the only place that maps the field names of both to the names used in the code. Pure
+// functions without state. Called by the Controller and LeaderTerm for the user API, and by the
+// scheduler's persistence for the records; record_layout.h explains what each record holds.
 #include <functional>
 #include <memory>
 #include <optional>
@@ -19,56 +19,62 @@
 /// Whether the id is safe in a stored key and in a path of the user API.
 [[nodiscard]] bool validId(std::string_view id);
 
-/// Why a submission is refused, for its user.
+/// Why a submission is rejected. The message is returned to the user.
 struct SubmissionError {
     std::string message;
 };
-/// Parses the body of a submission.
+/// Parses the JSON body of a submission and checks each field.
 [[nodiscard]] std::variant<JobSpec, SubmissionError> parseSubmission(const std::string& body);
 
-/// Body of a status response: `{"ref":...,"status":...}`; for a job with its counts of tasks.
+/// The body of a status response, `{"ref":...,"status":...}`. The second form adds the numbers of
+/// tasks done and running, and the dependency whose cancellation cancelled the job.
 [[nodiscard]] std::string encodeStatusResponse(const JobId& id, const char* status);
 [[nodiscard]] std::string encodeStatusResponse(const Job& job, const char* status);
-/// What a response says of a job, from oldest to newest.
+/// What a response of the user API tells about a job. A job only moves towards later values.
 enum class JobState {
-    none,     // nothing, or that the service is unavailable
-    unknown,  // no such job, or refused
-    open,     // accepted
-    ended,    // durably done or cancelled
+    none,     // the response does not tell, for instance because the service is unavailable
+    unknown,  // there is no such job, or its submission was rejected
+    open,     // accepted, and neither done nor cancelled
+    ended,    // done or cancelled, and that is stored
 };
-/// Reads the state from a response of the user API. `httpStatus`: its status code.
+/// Reads the state of a job from the HTTP status code and the body of a response.
 [[nodiscard]] JobState parseJobState(int httpStatus, const std::string& body);
 
-/// Maps machines to the names that records hold, and back.
+/// Maps a machine's index to its name, which is what records hold, and back.
 using MachineNameLookup = std::function<const std::string&(MachineIndex)>;
 using MachineIndexLookup = std::function<MachineIndex(const std::string&)>;
 
-/// The record of a block: the job itself with its first tasks (block 0), or further tasks.
+/// Encodes a block record: block 0 holds the job itself and its first tasks, any other block only
+/// tasks.
 [[nodiscard]] std::string encodeBlock(const Job& job, std::uint32_t block,
                                       const MachineNameLookup& name);
+/// Encodes a page record: the tasks of the range.
 [[nodiscard]] std::string encodePage(const Job& job, const TaskRange& page,
                                      const MachineNameLookup& name);
-/// The head record: the changing state of a job whose first block must not be written again.
+/// Encodes the head record: the state of the job itself that changes after its submission. Needed
+/// for a job whose first block must not be written again.
 [[nodiscard]] std::string encodeHead(const Job& job);
-/// The text records of the job's description: as many as values of that size need.
+/// Encodes the job's description as sections, one record each, sized for values of `valueBytes`.
 [[nodiscard]] std::vector<std::string> encodeSpecSections(const Job& job, std::size_t valueBytes);
 
-/// How many text records hold the description; nothing if it is in the first block itself.
+/// The number of section records that hold the description of the job; nothing if the first block
+/// holds it itself.
 [[nodiscard]] std::optional<std::uint32_t> specSectionCount(const json::Value& block);
-/// The section of the description that a text record holds; nothing if it is malformed.
+/// The part of the description that a section record holds; nothing if the record is malformed.
 [[nodiscard]] std::optional<std::string> decodeSpecSection(const json::Value& record);
-/// The job of a first block, without its tasks; nullptr if it is malformed. `texts`: the sections
-/// of its text records, joined.
-[[nodiscard]] std::unique_ptr<Job> decodeJob(const json::Value& block, const std::string& texts,
+/// Decodes the job itself from its first block; all its tasks are waiting. Returns nullptr if the
+/// record is malformed. `sections`: the joined sections of the description, if it has any.
+[[nodiscard]] std::unique_ptr<Job> decodeJob(const json::Value& block, const std::string& sections,
                                              std::size_t valueBytes);
-/// Takes the state of a head record into the job.
+/// Applies the state that a head record holds to the job.
 void decodeHead(const json::Value& record, Job& job);
-/// Takes the tasks of a block or page into the job; to be called for records of more tasks first.
-/// False if the record is malformed: then some tasks may have been taken.
+/// Applies the tasks of a block or page to the job. Records of more tasks must be applied before
+/// those of fewer tasks, which are newer. Returns false if the record is malformed; some of its
+/// tasks may have been applied then.
 [[nodiscard]] bool decodeTasks(const json::Value& record, const RecordName& name, Job& job,
                                const MachineIndexLookup& machine);
 
-/// A job of that description with all tasks waiting, laid out in blocks that fit into a value.
+/// Creates a job with all tasks waiting. Its blocks are sized to fit into `valueBytes`.
 [[nodiscard]] std::unique_ptr<Job> makeJob(JobSpec spec, std::size_t valueBytes);
 
 }  // namespace basaltchute::jobs
--- a/src/jobs/record_layout.cpp
+++ b/src/jobs/record_layout.cpp
@@ -15,8 +15,9 @@
     return number;
 }
 
-/// What follows "parts/<job>/": "s<from>" of a text, "<from>-<count>" of a page.
-std::optional<RecordName> parsePageOrText(std::string job, std::string_view text) {
+/// Parses what follows "parts/<job>/" in a key: "s<from>" names a section of the description,
+/// "<from>-<count>" a page.
+std::optional<RecordName> parsePageOrSection(std::string job, std::string_view text) {
     if (text.starts_with('s')) {
         const auto from = parseNumber(text.substr(1));
         if (!from) return std::nullopt;
@@ -57,7 +58,7 @@
     if (slash == std::string_view::npos)
         return RecordName{std::move(job), block ? Kind::block : Kind::head, 0, 0};
     rest.remove_prefix(slash + 1);
-    if (!block) return parsePageOrText(std::move(job), rest);
+    if (!block) return parsePageOrSection(std::move(job), rest);
     const auto from = parseNumber(rest);
     if (!from) return std::nullopt;
     return RecordName{std::move(job), Kind::block, *from, 0};
@@ -65,7 +66,8 @@
 
 RecordLayout::RecordLayout(std::uint32_t tasks, std::uint32_t tasksPerBlock)
     : tasksPerBlock_(tasksPerBlock) {
-    // Only the first record says that the job exists; the others appear with their first change.
+    // Only the first block is written for a new job. The others are written once a task of theirs
+    // changes.
     for (std::uint32_t from = 0; from < tasks; from += tasksPerBlock)
         ranges_.push_back({from, std::min(tasksPerBlock, tasks - from), 0, 0, false});
 }
@@ -94,8 +96,8 @@
 }
 
 RecordName RecordLayout::headName(const std::string& job) const {
-    // A first block that holds no tasks can be written again; one that does must not be, since
-    // its pages are newer.
+    // A split first block must not be written again, since its pages are newer, unless it holds no
+    // tasks.
     return {job,
             split_ && !firstBlockHasNoTasks_ ? RecordName::Kind::head : RecordName::Kind::block, 0,
             0};
@@ -146,7 +148,7 @@
     const std::uint32_t from = page ? name.from : name.from * tasksPerBlock_;
     const std::uint32_t end =
         std::min(from + (page ? name.count : tasksPerBlock_), ranges_.back().end());
-    // It may have been split since it was encoded: what was durable of it is so of both halves.
+    // The record may have been split since it was encoded: its tasks are durable in all parts then.
     for (std::size_t i = indexOf(from); i < ranges_.size() && ranges_[i].from < end; ++i)
         ranges_[i].durableVersion = std::max(ranges_[i].durableVersion, version);
     return {from, end};
--- a/src/jobs/record_layout.h
+++ b/src/jobs/record_layout.h
@@ -1,14 +1,18 @@
 #pragma once
-// How the state of a job is laid out in records of the key-value store (format version 2).
+// How the state of a job is divided into records of the key-value store (format version 2).
 //
-// A job has blocks of a fixed number of tasks each; the first block also holds the job itself. A
-// block that does not fit into a value any more is split into pages, by halves, and is not written
-// again from then on: a page is newer than every record that holds more of its tasks. Whoever reads
-// larger records first and smaller ones after them has what was written last. A description that is
-// too large for one value is in text records of its own.
+// - A block holds a fixed number of consecutive tasks. The first block also holds the job itself:
+//   its description and its head, which is the state of the job that is not a task's (acceptance,
+//   cancellation, release).
+// - A page holds some of a block's tasks. A block that has grown too large for one value is split
+//   into two pages, and a page that has grown too large into two smaller ones. What was split is
+//   never written again, so a page is newer than every record that holds more of its tasks. Whoever
+//   applies records of more tasks first ends up with the latest state of each task.
+// - The head record holds the head once the first block is split.
+// - Section records hold a description that is too large for one value.
 //
-// State of RecordLayout: which records a job has, the version of each, and which version is
-// durable. It holds no task and does no I/O. Called by the scheduler's persistence.
+// RecordLayout tracks which records a job has, the version of each, and which version is durable.
+// It holds no tasks and does no I/O. Called by the scheduler's persistence.
 #include <cstddef>
 #include <cstdint>
 #include <optional>
@@ -20,100 +24,104 @@
 /// Consecutive tasks that share one record, a block or a page, and the versions of that record.
 struct TaskRange {
     std::uint32_t from = 0, count = 0;
-    std::uint64_t version = 0,
-                  durableVersion = 0;  // rises with each change; the one that is stored
-    bool page = false;                 // of a block that grew too large to be written whole
+    std::uint64_t version = 0;         // rises with each change
+    std::uint64_t durableVersion = 0;  // the latest version that is stored
+    bool page = false;                 // the record is a page, not a block
     [[nodiscard]] std::uint32_t end() const { return from + count; }
 };
 
-/// Identifies a record; key() and of() map it to its stored key and back.
+/// Identifies a record of a job. key() and parse() map it to its stored key and back.
 struct RecordName {
-    enum class Kind {  // of a record
-        block,  // the job itself with its first tasks, or further ones: `from`, counted in blocks
-        page,   // some tasks of a block: `from` and `count`; newer than what holds more of them
-        head,   // the changing state of a job whose first block is split
-        specSection,  // a section of a description that is too large for one value: `from`, from 0
+    enum class Kind {
+        block,  // `from`: number of the block, from 0
+        page,   // `from` and `count`: its tasks
+        head,
+        specSection,  // `from`: number of the section of the description, from 0
     };
     std::string job;
     Kind kind = Kind::block;
     std::uint32_t from = 0, count = 0;
 
     [[nodiscard]] std::string key() const;
-    /// Nothing if no record has such a key.
+    /// Returns nothing if no record can have the key.
     static std::optional<RecordName> parse(const std::string& key);
     bool operator==(const RecordName&) const = default;
 };
 
-/// Stored keys of blocks, and of all other records, begin with these.
+/// Prefixes of stored keys: of blocks, and of all other records of jobs.
 inline const std::string jobKeyPrefix = "jobs/", partKeyPrefix = "parts/";
 
-/// See the top of this file.
+/// The records of one job and their versions, as described at the top of this file.
 class RecordLayout {
   public:
     RecordLayout() : RecordLayout(1, 1) {}
-    /// A job that is not stored yet; `tasksPerBlock` tasks in each block.
+    /// The layout of a job that is not stored yet.
     RecordLayout(std::uint32_t tasks, std::uint32_t tasksPerBlock);
 
     [[nodiscard]] std::uint32_t tasksPerBlock() const { return tasksPerBlock_; }
-    /// The record that holds the task.
+    /// The block or page that holds the task.
     [[nodiscard]] const TaskRange& rangeOf(std::uint32_t task) const;
-    /// The task has changed: raises the version of its record and returns it.
+    /// Raises the version of the record that holds the task, and returns its range.
     const TaskRange& markTaskChanged(std::uint32_t task);
-    /// The job itself has changed.
+    /// Raises the version of the record that holds the head.
     void markHeadChanged() { ++mutableHead().version; }
-    /// Versions of the job's own state (acceptance, cancellation): those of the first block, or of
-    /// a record of its own if the first block is split.
+    /// The versions of the head: those of the first block, or of a record of its own once the first
+    /// block is split.
     [[nodiscard]] const TaskRange& head() const { return split_ ? head_ : ranges_.front(); }
-    /// No change of the job's own state is to be written any more.
+    /// Drops a pending change of the head: nothing of it needs to be written.
     void discardHeadChange() { mutableHead().version = mutableHead().durableVersion; }
-    /// The record that holds the job's own state.
+    /// The record that holds the head.
     [[nodiscard]] RecordName headName(const std::string& job) const;
-    /// The record of a range of this layout.
+    /// The record that holds a range of this layout.
     [[nodiscard]] RecordName nameOf(const std::string& job, const TaskRange& range) const;
 
-    /// Whether the job itself is durable, so that its acceptance may be reported.
+    /// Whether the job itself is durable, so that its user may be told that it is accepted.
     [[nodiscard]] bool accepted() const { return head().durableVersion > 0; }
     /// Whether every change is durable.
     [[nodiscard]] bool durable() const;
 
-    /// The range that the record holds as a whole; nullptr if it was split since, or the record
-    /// holds no tasks.
+    /// The range that the record holds; nullptr if the record was split in the meantime or holds no
+    /// tasks.
     [[nodiscard]] const TaskRange* find(const RecordName& name) const;
-    /// The record is durable as it was in that version. Returns the tasks that it holds: the first,
-    /// and the one after the last.
+    /// Notes that the version of the record is stored. Returns the tasks that the record holds: the
+    /// first, and the one after the last.
     std::pair<std::uint32_t, std::uint32_t> markDurable(const RecordName& name,
                                                         std::uint64_t version);
-    /// The record was read back, so it is durable; splits blocks as its existence implies.
+    /// Notes that the record was read from the store, so that it is durable. For a page, splits the
+    /// block as the former leader must have split it.
     void markRestored(const RecordName& name);
-    /// Replaces a range of this layout by two halves, as pages. Both have to be written if there is
-    /// anything in the range. False if it is of one task only.
+    /// Replaces a range of this layout by two pages with half of its tasks each. Both must be
+    /// written if the range holds anything. Returns false for a range of a single task.
     bool split(const TaskRange& range);
 
-    /// Whether the first block holds no tasks: they are in pages from the start.
+    /// Whether the first block holds no tasks, because the description leaves no space for them.
+    /// Its tasks are in pages from the start, and the block can be written again.
     [[nodiscard]] bool firstBlockHasNoTasks() const { return firstBlockHasNoTasks_; }
     void moveTasksOutOfFirstBlock();
-    /// How many text records hold the description (0: it is in the first block), and how many of
-    /// them are durable.
+    /// The number of section records that hold the description (0: the first block holds it), and
+    /// how many of them are durable.
     std::uint32_t specSections = 0, durableSpecSections = 0;
-    std::size_t sectionValueBytes = 0;  // limit of a value when the text records were made
+    /// The size limit of a value for which the description was divided into sections.
+    std::size_t sectionValueBytes = 0;
 
-    /// All ranges, by `from`, without gaps.
+    /// All ranges in the order of their tasks, without gaps.
     [[nodiscard]] const std::vector<TaskRange>& ranges() const { return ranges_; }
 
   private:
     [[nodiscard]] std::size_t indexOf(std::uint32_t task) const;
     [[nodiscard]] TaskRange& mutableHead() { return split_ ? head_ : ranges_.front(); }
-    /// Whether the record holds the job's own state apart from any tasks.
+    /// Whether the record holds the head but no tasks.
     [[nodiscard]] bool holdsHeadOnly(const RecordName& name) const;
-    /// The first task of a block or page; beyond the last task if there is no such record.
+    /// The first task of a block or page. Beyond the last task if the job has no such record.
     [[nodiscard]] std::uint64_t firstTask(const RecordName& name) const;
     void splitAt(std::size_t index);
-    /// Splits down to the page; false if no halves lead to it, so that nobody can have written it.
+    /// Splits ranges until the page exists. Returns false if halving never yields it, so that no
+    /// leader can have written it.
     bool splitDownTo(const RecordName& page);
 
     std::uint32_t tasksPerBlock_ = 1;
     bool paged_ = false;  // some block is split
-    bool split_ = false;  // the first block is
+    bool split_ = false;  // the first block is split
     bool firstBlockHasNoTasks_ = false;
     TaskRange head_;
     std::vector<TaskRange> ranges_;
--- a/src/jobs/wire_format_test.cpp
+++ b/src/jobs/wire_format_test.cpp
@@ -34,16 +34,16 @@
     return machineNames[machine];
 }
 
-void bind(Job& job, std::uint32_t task, Attempt attempt, MachineIndex machine, bool guaranteed) {
+void bind(Job& job, std::uint32_t task, Attempt attempt, MachineIndex machine, bool reserved) {
     job.tasks[task].state = TaskState::bound;
     job.tasks[task].attempt = attempt;
     job.tasks[task].machine = machine;
-    job.tasks[task].reserved = guaranteed;
+    job.tasks[task].reserved = reserved;
     ++job.boundCount;
 }
 
-/// Tasks 0 to 2 and 5 are done, 3 is bound, 4 is bound with a guarantee, 6 waits for its fourth
-/// attempt and the others for their first.
+/// Tasks 0 to 2 and 5 are done, 3 is bound, 4 is bound in reserved cells, 6 waits for its fourth
+/// attempt, and the others wait for their first.
 void setEveryTaskState(Job& job) {
     for (const std::uint32_t task : {0, 1, 2, 5}) job.tasks[task].state = TaskState::done;
     job.doneCount = 4;
@@ -251,19 +251,20 @@
     EXPECT_EQ(read->releasedWallTime, WallMillis(1700000005000));
 }
 
-TEST(WireFormat, DescriptionInSeveralRecordsBytes) {
+TEST(WireFormat, DescriptionSectionRecordsBytes) {
     auto job = jobOf(shortSubmission);
-    const auto texts = encodeSpecSections(*job, 432);
-    ASSERT_EQ(texts.size(), 2U);
+    const auto sections = encodeSpecSections(*job, 432);
+    ASSERT_EQ(sections.size(), 2U);
     EXPECT_EQ(
-        texts[0],
+        sections[0],
         R"({"text":"{\"ref\":\"run-000018\",\"category\":\"web\",\"crew\":\"blue\",)"
         R"(\"shape\":\"standing\",\"rank\":\"low\",\"splits\":1,\"cores\":1.0,\"gpus\":0.0,)"
         R"(\"ramGb\":2.0,\"build\":\"web\",\"sizeGb\":1.0,\"together\":false,\"spread\":true,)"
         R"(\"loaners\":fal"})");
-    EXPECT_EQ(texts[1], R"({"text":"se,\"parS\":0.0,\"savepointS\":0.0,\"flushS\":0.0}"})");
+    EXPECT_EQ(sections[1], R"({"text":"se,\"parS\":0.0,\"savepointS\":0.0,\"flushS\":0.0}"})");
     std::string description;
-    for (const auto& text : texts) description += decodeSpecSection(*json::parse(text)).value();
+    for (const auto& section : sections)
+        description += decodeSpecSection(*json::parse(section)).value();
     EXPECT_EQ(description, shortSubmission);
 
     job->layout.specSections = 2;
