--- a/src/runtime_statistics/quantile_histogram.cpp
+++ b/src/runtime_statistics/quantile_histogram.cpp
@@ -9,15 +9,16 @@
 namespace bh = boost::histogram;
 
 namespace {
-/// The prior's weight beyond `high` is the weight below divided by this.
-constexpr double tailDivisor = 20;
+/// The prior's weight above `high` is its weight up to `high` divided by this.
+constexpr double priorTailDivisor = 20;
 constexpr double minRatio = 0.05, maxRatio = 20;
-/// Factor on the weights with each new observation. Old observations say little about today's
-/// machines and owners; the sum of weights stays below 1 / (1 - decay), so that a changed
-/// distribution is learnt after some hundred observations.
+/// Each new observation multiplies all earlier weights by this: old observations say little about
+/// today's machines and users. The sum of weights stays below 1 / (1 - decay) = 200, so that a
+/// changed distribution is learnt within some hundred observations.
 constexpr double decay = 0.995;
-/// Weights are stored with two decimals: the record is written every minute, and small.
-constexpr double storedUnits = 100;
+/// Weights are stored as integers in units of 1/100, which keeps the record small: it is written
+/// every minute.
+constexpr double storedUnitsPerWeight = 100;
 }  // namespace
 
 QuantileHistogram::QuantileHistogram(double low, double high, double priorWeight)
@@ -28,7 +29,7 @@
     for (int i = from; i <= to; ++i) prior_.at(i) = priorWeight / (to - from + 1);
     const int tailEnd = std::min(axis.index(high * 2), axis.size() - 1);
     for (int i = to + 1; i <= tailEnd; ++i)
-        prior_.at(i) = priorWeight / tailDivisor / (tailEnd - to);
+        prior_.at(i) = priorWeight / priorTailDivisor / (tailEnd - to);
 }
 
 void QuantileHistogram::add(double ratio) {
@@ -49,7 +50,7 @@
             below += here;
             continue;
         }
-        // Within the bin as if its weight were spread evenly over the logarithm.
+        // Interpolate within the bin as if its weight were spread evenly over the logarithm.
         return axis.value(i + (q * total - below) / here);
     }
     return axis.value(static_cast<double>(bins));
@@ -65,7 +66,8 @@
     out.openArray();
     for (int i = 0; i < static_cast<int>(bins); ++i) {
         if (observed_.at(i) < minWeight) continue;
-        const auto units = static_cast<std::uint64_t>(std::llround(observed_.at(i) * storedUnits));
+        const auto units =
+            static_cast<std::uint64_t>(std::llround(observed_.at(i) * storedUnitsPerWeight));
         if (units > 0) out.value(static_cast<std::uint64_t>(i)).value(units);
     }
     out.closeArray();
@@ -79,7 +81,7 @@
     observed_.reset();
     observedWeight_ = 0;
     for (unsigned i = 0; i < value.Size(); i += 2) {
-        const double weight = static_cast<double>(value[i + 1].GetUint64()) / storedUnits;
+        const double weight = static_cast<double>(value[i + 1].GetUint64()) / storedUnitsPerWeight;
         observed_.at(static_cast<int>(value[i].GetUint())) = weight;
         observedWeight_ += weight;
     }
--- a/src/runtime_statistics/quantile_histogram.h
+++ b/src/runtime_statistics/quantile_histogram.h
@@ -1,6 +1,7 @@
 #pragma once
-// Distribution of a ratio (observed over expected), learnt from observations that lose weight as
-// newer ones come; while there are few it relies on a prior. Boost.Histogram holds the counts.
+// Estimates quantiles of a ratio, such as observed over expected time. Observations lose weight as
+// newer ones are added; while there are few, a prior distribution dominates. Boost.Histogram holds
+// the weights. Used by RuntimeStatistics.
 #include <boost/histogram.hpp>
 #include <string>
 #include <vector>
@@ -9,25 +10,27 @@
 
 namespace basaltchute::runtime_statistics {
 
-/// See the top of this file. Ratios from 0.05 to 20 are told apart; others count as these.
+/// A histogram of ratios in logarithmic bins from 0.05 to 20. Ratios outside count in the first or
+/// the last bin.
 class QuantileHistogram {
   public:
-    /// The prior: ratios from `low` to `high`, evenly over the logarithm, with the weight of
-    /// `priorWeight` observations; and a twentieth of that weight from `high` to twice as far.
+    /// Creates a histogram without observations. The prior spreads the weight of `priorWeight`
+    /// observations evenly over the logarithm of the ratios from `low` to `high`, and a twentieth
+    /// of that weight over those from `high` to twice `high`.
     QuantileHistogram(double low, double high, double priorWeight);
     /// Adds an observation. Ratios that are not positive and finite are ignored.
     void add(double ratio);
-    /// The ratio that a share `q` (0 to 1) of the observations stays below.
+    /// The ratio below which a share `q` (0 to 1) of prior and observations lies.
     [[nodiscard]] double quantile(double q) const;
-    /// Sum of the observations' weights.
+    /// The sum of the weights of all observations, without the prior.
     [[nodiscard]] double weight() const { return observedWeight_; }
 
     static constexpr std::size_t bins = 96;
-    /// Writes the observations as an array of bins and weights: the heaviest bins, `maxBins` at
-    /// most.
+    /// Writes the observations as an array of alternating bin indices and weights. Only the
+    /// `maxBins` bins of the largest weight are written.
     void encode(json::Writer& out, std::size_t maxBins = bins) const;
-    /// Replaces the observations. False if the value is not what encode() wrote; then nothing has
-    /// changed.
+    /// Replaces the observations by those that encode() wrote. Returns false and changes nothing if
+    /// the value is malformed.
     bool decode(const json::Value& value);
 
   private:
--- a/src/runtime_statistics/runtime_statistics.cpp
+++ b/src/runtime_statistics/runtime_statistics.cpp
@@ -5,7 +5,8 @@
 namespace {
 constexpr std::uint64_t recordFormat = 1;
 
-/// By the cloud's protocol: 0.6 to 1.5 times what the catalogue states, now and then much more.
+/// The cloud's protocol documents 0.6 to 1.5 times the time that its catalogue states, and
+/// occasionally much more.
 QuantileHistogram bootTimePrior() {
     return {0.6, 1.5, 20};
 }
--- a/src/runtime_statistics/runtime_statistics.h
+++ b/src/runtime_statistics/runtime_statistics.h
@@ -1,7 +1,7 @@
 #pragma once
-// What a leader has observed of the deployment that no settings state: how long machines take to
-// boot. State: one histogram for each machine type; the leader's term writes them as one record
-// for each type, and the next leader reads them. Called by the autoscaler and by LeaderTerm.
+// What leaders have learnt about the deployment while running: how long machines take to boot.
+// Holds one histogram for each machine type. LeaderTerm stores them, one record for each type, and
+// loads what former leaders stored. The autoscaler adds observations and asks for estimates.
 #include <map>
 #include <set>
 #include <string>
@@ -11,21 +11,23 @@
 
 namespace basaltchute::runtime_statistics {
 
-/// See the top of this file.
+/// Boot times of each machine type, relative to the time that the cloud's catalogue states.
 class RuntimeStatistics {
   public:
-    /// A machine of the type was ready `actual` after it was requested, where the cloud's
-    /// catalogue states `stated`.
+    /// Adds an observation: a machine of the type was ready `actual` after it was requested, and
+    /// the cloud's catalogue states `stated` for its type.
     void recordBoot(const std::string& type, Duration actual, Duration stated);
-    /// The time from the request within which a share `q` of the machines of the type is ready.
+    /// Estimates within which time after the request a share `q` (0 to 1) of the machines of the
+    /// type is ready. `stated`: the time that the cloud's catalogue states.
     [[nodiscard]] Duration bootTime(const std::string& type, Duration stated, double q) const;
 
-    /// Types that were observed since their record was last encoded.
+    /// Types with observations that are not in an encoded record yet.
     [[nodiscard]] const std::set<std::string>& changed() const { return changed_; }
-    /// The record of one type, in `maxBytes` at most: rare observations are left out first.
+    /// Encodes the record of one type in at most `maxBytes`. If the observations take more, the
+    /// bins of the smallest weight are left out.
     std::string encode(const std::string& type, std::size_t maxBytes);
-    /// Replaces the statistics of the types that the record names. False if the text is not such a
-    /// record; then nothing has changed.
+    /// Replaces the statistics of the types that the record names. Returns false and changes
+    /// nothing if the record is malformed.
     bool decode(const std::string& text);
 
   private:
--- a/src/runtime_statistics/runtime_statistics_test.cpp
+++ b/src/runtime_statistics/runtime_statistics_test.cpp
@@ -12,13 +12,13 @@
 
 using namespace std::chrono_literals;
 
-TEST(QuantileHistogram, FollowsThePriorAndThenTheObservations) {
+TEST(QuantileHistogram, ObservationsOutweighThePriorAndOlderObservations) {
     QuantileHistogram histogram(0.6, 1.5, 20);
     EXPECT_NEAR(histogram.quantile(0.5), 0.95, 0.1);
     EXPECT_GT(histogram.quantile(0.99), 1.4);
     for (int i = 0; i < 400; ++i) histogram.add(3.0);
     EXPECT_NEAR(histogram.quantile(0.5), 3.0, 0.25);
-    // The distribution changes: old observations lose their weight.
+    // After the distribution has changed, old observations lose their weight.
     for (int i = 0; i < 1000; ++i) histogram.add(0.8);
     EXPECT_NEAR(histogram.quantile(0.9), 0.8, 0.1);
 }
@@ -40,13 +40,13 @@
 TEST(QuantileHistogram, InvalidRatiosAreIgnored) {
     QuantileHistogram histogram(0.6, 1.5, 20);
     const double before = histogram.quantile(0.9);
-    for (const double odd : {0.0, -1.0, std::nan(""), HUGE_VAL}) histogram.add(odd);
+    for (const double invalid : {0.0, -1.0, std::nan(""), HUGE_VAL}) histogram.add(invalid);
     EXPECT_EQ(histogram.quantile(0.9), before);
     histogram.add(1e9);
     EXPECT_LE(histogram.quantile(1.0), 20.1);
 }
 
-TEST(RuntimeStatistics, RecordsPassFromOneLeaderToTheNext) {
+TEST(RuntimeStatistics, NextLeaderLoadsTheRecordsOfTheFormerOne) {
     RuntimeStatistics former;
     for (int i = 0; i < 100; ++i) former.recordBoot("box", 60s, 20s);
     former.recordBoot("slow", 200s, 20s);
@@ -60,16 +60,17 @@
     EXPECT_GT(next.bootTime("slow", 20s, 0.99), 60s) << "each type has a record of its own";
     EXPECT_NEAR(toSeconds(next.bootTime("box", 20s, 0.9)),
                 toSeconds(former.bootTime("box", 20s, 0.9)), 1.0);
-    EXPECT_LT(next.bootTime("other", 20s, 0.9), 40s) << "nothing was observed of that type";
-    for (const char* odd :
+    EXPECT_LT(next.bootTime("other", 20s, 0.9), 40s) << "no machine of that type has been observed";
+    for (const char* malformed :
          {"", "{}", R"({"format":2,"boots":{}})", R"({"format":1,"boots":{"box":[999,1]}})",
           R"({"format":1,"boots":{"box":"x"}})"})
-        EXPECT_FALSE(next.decode(odd)) << odd;
-    EXPECT_GT(next.bootTime("box", 20s, 0.5), 50s) << "an unreadable record changes nothing";
+        EXPECT_FALSE(next.decode(malformed)) << malformed;
+    EXPECT_GT(next.bootTime("box", 20s, 0.5), 50s) << "a malformed record changes nothing";
 }
 
 TEST(RuntimeStatistics, RecordFitsIntoTheValueSizeLimit) {
-    // Three types took 2.6 KiB in one record, and the service's limit for a value fell to 2 KiB.
+    // The size limit of a value can fall while the service runs. One record for three types took
+    // 2.6 KiB, which no longer fitted after the limit had fallen to 2 KiB.
     RuntimeStatistics statistics;
     std::mt19937 random(3);
     std::lognormal_distribution<double> ratios(0, 0.9);
--- a/src/settings/operator_settings.cpp
+++ b/src/settings/operator_settings.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-cells::Level levelOf(const std::string& s) {
-    if (s == "machine") return cells::Level::machine;
-    return s == "zone" ? cells::Level::zone : cells::Level::slot;
+cells::Level parseLevel(const std::string& name) {
+    if (name == "machine") return cells::Level::machine;
+    return name == "zone" ? cells::Level::zone : cells::Level::slot;
 }
 
 }  // namespace
@@ -38,36 +38,36 @@
     out.leaseDelegationEnabled = json::boolean(*doc, "zoneLoans").value_or(true);
     if (const auto n = json::count(*doc, "storedFormat"))
         out.maxStoredFormat = static_cast<unsigned>(*n);
-    struct Room {
-        std::uint64_t machines = 0, slotsPerMachine = 1, slotsWanted = 0;
+    struct Pool {
+        std::uint64_t machines = 0, slotsPerMachine = 1, reservedSlots = 0;
     };
-    std::map<std::string, Room> rooms;
+    std::map<std::string, Pool> poolsByType;
     if (const auto* pools = json::array(*doc, "pools"))
         for (const auto& p : pools->GetArray()) {
             out.pooledMachines[*json::string(p, "type")] =
                 static_cast<std::uint32_t>(*json::count(p, "machines"));
-            rooms[*json::string(p, "type")] = {*json::count(p, "machines"),
-                                               *json::count(p, "slotsPerMachine"), 0};
+            poolsByType[*json::string(p, "type")] = {*json::count(p, "machines"),
+                                                     *json::count(p, "slotsPerMachine"), 0};
         }
-    unsigned i = 0;
+    unsigned index = 0;
     if (const auto* reservations = json::array(*doc, "reservations")) {
         for (const auto& r : reservations->GetArray()) {
-            const std::string at = "#/reservations/" + std::to_string(i++);
-            Reservation res{*json::string(r, "team"), *json::string(r, "type"),
-                            levelOf(*json::string(r, "level")),
-                            static_cast<std::uint32_t>(*json::count(r, "cells"))};
-            if (!knownTeam(res.team)) return at + "/team: expected a known team";
-            const auto room = rooms.find(res.type);
-            if (room == rooms.end()) return at + "/type: expected a type named in pools";
-            const std::uint64_t perCell =
-                res.level == cells::Level::slot ? 1
-                : res.level == cells::Level::machine
-                    ? room->second.slotsPerMachine
-                    : room->second.slotsPerMachine * out.machinesPerZoneCell;
-            room->second.slotsWanted += perCell * res.cells;
-            if (room->second.slotsWanted > room->second.machines * room->second.slotsPerMachine)
+            const std::string at = "#/reservations/" + std::to_string(index++);
+            Reservation reservation{*json::string(r, "team"), *json::string(r, "type"),
+                                    parseLevel(*json::string(r, "level")),
+                                    static_cast<std::uint32_t>(*json::count(r, "cells"))};
+            if (!knownTeam(reservation.team)) return at + "/team: expected a known team";
+            const auto pool = poolsByType.find(reservation.type);
+            if (pool == poolsByType.end()) return at + "/type: expected a type named in pools";
+            const std::uint64_t slotsPerCell =
+                reservation.level == cells::Level::slot ? 1
+                : reservation.level == cells::Level::machine
+                    ? pool->second.slotsPerMachine
+                    : pool->second.slotsPerMachine * out.machinesPerZoneCell;
+            pool->second.reservedSlots += slotsPerCell * reservation.cells;
+            if (pool->second.reservedSlots > pool->second.machines * pool->second.slotsPerMachine)
                 return at + "/cells: expected reservations that the pool's machines can hold";
-            out.reservations.push_back(std::move(res));
+            out.reservations.push_back(std::move(reservation));
         }
     }
     return out;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -11,14 +11,16 @@
 
 namespace {
 
-/// Reads members of one object and remembers the first that is wrong, with its path.
+/// Reads the fields of one JSON object and remembers the first invalid one, with its path.
 class Reader {
   public:
-    Reader(const json::Value* v, std::string path, Error& error)
-        : v_(v), path_(std::move(path)), error_(error) {}
+    /// `object`: nullptr if it is missing; then every field is. `error` is set once, and is shared
+    /// by the readers of all objects of a document.
+    Reader(const json::Value* object, std::string path, Error& error)
+        : object_(object), path_(std::move(path)), error_(error) {}
 
     std::string text(const char* name) {
-        const auto s = v_ != nullptr ? json::string(*v_, name) : std::nullopt;
+        const auto s = object_ != nullptr ? json::string(*object_, name) : std::nullopt;
         if (!s || s->empty()) fail(name, "a non-empty string");
         return s.value_or("");
     }
@@ -27,8 +29,9 @@
         if (!parseAddress(s)) fail(name, "an IPv4 address with a port");
         return s;
     }
+    /// A number that is greater than `above`.
     double number(const char* name, double above) {
-        const auto n = v_ != nullptr ? json::number(*v_, name) : std::nullopt;
+        const auto n = object_ != nullptr ? json::number(*object_, name) : std::nullopt;
         if (!n || *n <= above)
             fail(name, above < 0 ? "a number of at least 0" : "a number above 0");
         return n.value_or(0);
@@ -36,13 +39,13 @@
     double positive(const char* name) { return number(name, 0); }
     double amount(const char* name) { return number(name, -1e-9); }
     [[nodiscard]] bool has(const char* name) const {
-        return v_ != nullptr && json::find(*v_, name) != nullptr;
+        return object_ != nullptr && json::find(*object_, name) != nullptr;
     }
     double amountOr(const char* name, double fallback) {
         return has(name) ? amount(name) : fallback;
     }
     Reader object(const char* name) {
-        const json::Value* o = v_ != nullptr ? json::find(*v_, name) : nullptr;
+        const json::Value* o = object_ != nullptr ? json::find(*object_, name) : nullptr;
         if (o == nullptr || !o->IsObject()) {
             fail(name, "an object");
             o = nullptr;
@@ -51,7 +54,7 @@
     }
     template <typename F>
     void each(const char* name, F f) {
-        const json::Value* a = v_ != nullptr ? json::array(*v_, name) : nullptr;
+        const json::Value* a = object_ != nullptr ? json::array(*object_, name) : nullptr;
         if (a == nullptr) return fail(name, "an array");
         unsigned i = 0;
         for (const auto& item : a->GetArray())
@@ -62,26 +65,29 @@
     }
 
   private:
-    const json::Value* v_;
+    const json::Value* object_;
     std::string path_;
     Error& error_;
 };
 
-constexpr std::size_t leastValue = 1024, leastOps = 2;
+constexpr std::size_t minValueBytes = 1024, minTransactionOps = 2;
 
-/// One of the limits, as it is now or `next`.
-std::size_t limit(Reader& r, const char* name, double unit, std::size_t least,
+/// Reads a limit of the state service in multiples of `unit`.
+std::size_t limit(Reader& reader, const char* name, double unit, std::size_t minimum,
                   const char* expected) {
-    const double n = r.positive(name) * unit;
-    if (n > 0 && n < static_cast<double>(least)) r.fail(name, expected);
-    return static_cast<std::size_t>(n);
+    const double value = reader.positive(name) * unit;
+    if (value > 0 && value < static_cast<double>(minimum)) reader.fail(name, expected);
+    return static_cast<std::size_t>(value);
 }
 
+/// Reads the present limits of the state service and the announced ones (`next`), if there are any.
 void readLimits(Reader& state, Settings& s) {
     const auto value = [](Reader& r) {
-        return limit(r, "value_kb", 1024, leastValue, "at least 1");
+        return limit(r, "value_kb", 1024, minValueBytes, "at least 1");
+    };
+    const auto ops = [](Reader& r) {
+        return limit(r, "txn_ops", 1, minTransactionOps, "at least 2");
     };
-    const auto ops = [](Reader& r) { return limit(r, "txn_ops", 1, leastOps, "at least 2"); };
     s.valueBytes = s.valueBytesNow = value(state);
     s.txnOps = ops(state);
     if (!state.has("next")) return;
--- a/src/settings/settings_test.cpp
+++ b/src/settings/settings_test.cpp
@@ -8,7 +8,8 @@
 namespace basaltchute::settings {
 namespace {
 
-const std::string good = R"({"node_name":"rig-0","area":"a","client_listen":"10.0.0.1:8080",
+const std::string validSettings =
+    R"({"node_name":"rig-0","area":"a","client_listen":"10.0.0.1:8080",
  "mesh_addr":"10.0.0.1:8081","seeds":[{"node_name":"rig-1","area":"b","address":"10.0.0.2:8081"}],
  "endpoints":{"cloud":"10.2.0.2:8443","state":"10.2.0.1:2379"},"added_later":{"x":1},
  "params":{"nodes":2,"zones":["a","b"],"teams":[{"name":"red","cpus":0.0,"cpus_max":8.0}],
@@ -17,20 +18,21 @@
   "state":{"rps":100.0,"write_rps":25.0,"value_kb":16.0,"txn_ops":20},
   "cloud":{"rps":8.0,"list_lag_s":8.0},"machine_limits":{"fd_limit":1800}}})";
 
+/// The valid settings with one part replaced.
 std::string with(const std::string& from, const std::string& to) {
-    std::string s = good;
+    std::string s = validSettings;
     s.replace(s.find(from), from.size(), to);
     return s;
 }
 
-TEST(Settings, ReadsThePlatformsFileAndSkipsWhatItDoesNotKnow) {
-    const auto s = parse(good);
+TEST(Settings, UnknownFieldsAreIgnored) {
+    const auto s = parse(validSettings);
     ASSERT_TRUE(std::holds_alternative<Settings>(s)) << std::get<Error>(s);
     EXPECT_EQ(std::get<Settings>(s).teams[0].coresMax, 8);
     EXPECT_EQ(std::get<Settings>(s).lease, std::chrono::seconds(16));
 }
 
-TEST(Settings, NamesTheFieldThatIsWrongAndWhatWasExpected) {
+TEST(Settings, ErrorNamesTheInvalidFieldAndWhatWasExpected) {
     const auto error = [](const std::string& text) {
         const auto s = parse(text);
         return std::holds_alternative<Error>(s) ? std::get<Error>(s) : "";
@@ -46,7 +48,7 @@
     EXPECT_EQ(error(with(R"("area":"a",)", "")), "area: expected a non-empty string");
 }
 
-TEST(Settings, LimitsToComeCountFromTheStart) {
+TEST(Settings, AnnouncedLimitsApplyFromTheStart) {
     const auto next = [](const std::string& text) {
         return parse(with(R"("txn_ops":20)", R"("txn_ops":20,"next":)" + text));
     };
@@ -56,14 +58,15 @@
     EXPECT_EQ(s.valueBytes, 2048U);
     EXPECT_EQ(s.valueBytesNow, 16384U);
     EXPECT_EQ(s.txnOps, 5U);
-    EXPECT_EQ(s.stateWriteRps, 25) << "it follows what is observed";
+    EXPECT_EQ(s.stateWriteRps, 25) << "the client lowers its rate once the service rejects writes";
     EXPECT_EQ(s.stateWriteRpsNext, 18);
     const auto larger = next(R"({"value_kb":64.0})");
-    EXPECT_EQ(std::get<Settings>(larger).valueBytes, 16384U) << "the smaller of both";
-    EXPECT_EQ(std::get<Settings>(larger).txnOps, 20U) << "each is optional";
+    EXPECT_EQ(std::get<Settings>(larger).valueBytes, 16384U)
+        << "the smaller of both limits applies";
+    EXPECT_EQ(std::get<Settings>(larger).txnOps, 20U) << "each announced limit is optional";
     const auto error = [&](const std::string& text) {
-        const auto wrong = next(text);
-        return std::holds_alternative<Error>(wrong) ? std::get<Error>(wrong) : "";
+        const auto parsed = next(text);
+        return std::holds_alternative<Error>(parsed) ? std::get<Error>(parsed) : "";
     };
     EXPECT_EQ(error("null"), "");
     EXPECT_EQ(error("3"), "params.state.next: expected an object");
@@ -75,7 +78,7 @@
               "params.state.next.write_rps: expected a number above 0");
 }
 
-TEST(OperatorSettings, UnknownMembersAndImpossibleValuesAreErrorsThatNameTheField) {
+TEST(OperatorSettings, ErrorNamesTheUnknownOrInvalidField) {
     const auto platform = testing::someSettings();
     const auto error = [&](const std::string& text) {
         const auto s = parseOperatorSettings(text, platform);
--- a/src/settings/wire_format_test.cpp
+++ b/src/settings/wire_format_test.cpp
@@ -1,4 +1,4 @@
-// The field names of the platform's settings file and of the operators' file.
+// The JSON field names of the platform's settings file and of the operators' settings file.
 #include <gtest/gtest.h>
 
 #include "settings/operator_settings.h"
