--- a/src/http/client.h
+++ b/src/http/client.h
@@ -1,4 +1,5 @@
 #pragma once
+// An HTTP/1.1 client. Used for the state service, the cloud, workers and other controllers.
 #include <memory>
 #include <vector>
 
@@ -7,18 +8,21 @@
 
 namespace basaltchute::http {
 
-/// What became of a request. Without an answer, `sent` tells whether the other side may
-/// still have executed it, or may yet.
+/// The outcome of a request. If it was not answered, `sent` tells whether the server may have
+/// executed it or may still do so.
 struct RequestOutcome {
     bool answered = false;
     bool sent = false;
     Response response;
 };
 
-/// Requests to one address over a small pool of kept-alive connections.
+/// Sends requests to one address. Keeps up to `maxIdle` idle connections alive for later requests.
 class Client {
   public:
+    /// `address`: IPv4 address and port. Requests to a malformed address fail.
     Client(EventLoop& loop, std::string address, std::size_t maxIdle = 4);
+    /// Sends a request and waits for its response, `timeout` at most or until the scope is
+    /// cancelled.
     Task<RequestOutcome> request(Request request, Duration timeout, Scope& scope);
     [[nodiscard]] const std::string& address() const { return address_; }
 
--- a/src/http/connection_budget.cpp
+++ b/src/http/connection_budget.cpp
@@ -19,30 +19,31 @@
     return shares;
 }
 
-void ConnectionBudget::classified(ConnectionClass as) {
+void ConnectionBudget::classified(ConnectionClass kind) {
     closed(ConnectionClass::unclassified);
-    opened(as);
+    opened(kind);
 }
 
 bool ConnectionBudget::awaitsRequests() const {
     return count(ConnectionClass::unclassified) >= shares_.unclassified;
 }
 
-bool ConnectionBudget::keepsAgent(bool kept) const {
-    const std::size_t passing = shares_.agents - shares_.keptAgents;
-    const std::size_t others =
-        count(ConnectionClass::client) + shares_.unclassified + std::max<std::size_t>(1, passing);
-    const std::size_t available = shares_.total > others ? shares_.total - others : 0;
-    const std::size_t most = std::min(shares_.keptAgents, available);
-    return kept ? keptAgents_ <= most : keptAgents_ < most;
+bool ConnectionBudget::keepsAgent(bool alreadyKept) const {
+    const std::size_t notKept = shares_.agents - shares_.keptAgents;
+    const std::size_t reservedForOthers =
+        count(ConnectionClass::client) + shares_.unclassified + std::max<std::size_t>(1, notKept);
+    const std::size_t available =
+        shares_.total > reservedForOthers ? shares_.total - reservedForOthers : 0;
+    const std::size_t maxKept = std::min(shares_.keptAgents, available);
+    return alreadyKept ? keptAgents_ <= maxKept : keptAgents_ < maxKept;
 }
 
 std::size_t ConnectionBudget::total() const {
     return std::accumulate(counts_.begin(), counts_.end(), std::size_t{0});
 }
 
-std::size_t ConnectionBudget::share(ConnectionClass of) const {
-    switch (of) {
+std::size_t ConnectionBudget::share(ConnectionClass kind) const {
+    switch (kind) {
         case ConnectionClass::client:
             return shares_.clients;
         case ConnectionClass::agent:
--- a/src/http/connection_budget_test.cpp
+++ b/src/http/connection_budget_test.cpp
@@ -5,13 +5,13 @@
 namespace basaltchute::http {
 namespace {
 
-/// Opens connections of a class until there is no room for more; how many there are then.
-std::size_t fill(ConnectionBudget& budget, ConnectionClass with) {
-    while (budget.admits() && budget.hasCapacity(with)) {
+/// Opens connections of a class until the budget admits no more. Returns how many there are then.
+std::size_t fill(ConnectionBudget& budget, ConnectionClass kind) {
+    while (budget.admits() && budget.hasCapacity(kind)) {
         budget.opened(ConnectionClass::unclassified);
-        budget.classified(with);
+        budget.classified(kind);
     }
-    return budget.count(with);
+    return budget.count(kind);
 }
 
 TEST(ConnectionBudget, NoClassTakesWhatIsReservedForAnother) {
@@ -28,7 +28,7 @@
     }
 }
 
-TEST(ConnectionBudget, ConnectionsWithoutARequestAreBounded) {
+TEST(ConnectionBudget, UnclassifiedConnectionsAreLimited) {
     ConnectionBudget budget(ConnectionShares::divided(800));
     std::size_t opened = 0;
     for (; budget.admits(); ++opened) budget.opened(ConnectionClass::unclassified);
@@ -38,7 +38,7 @@
     EXPECT_TRUE(budget.admits());
 }
 
-TEST(ConnectionBudget, OfTheAgentsSomeStayOpenAndFewerTheMoreClientsThereAre) {
+TEST(ConnectionBudget, KeepsFewerAgentConnectionsTheMoreClientsThereAre) {
     const auto shares = ConnectionShares::divided(800);
     ConnectionBudget budget(shares);
     const auto keepAll = [&] {
@@ -51,15 +51,16 @@
         return kept;
     };
     EXPECT_EQ(keepAll(), shares.keptAgents);
-    EXPECT_LT(shares.keptAgents, shares.agents) << "the others pass through what is left";
+    EXPECT_LT(shares.keptAgents, shares.agents)
+        << "the other agents use the rest of the share in turn";
     EXPECT_TRUE(budget.keepsAgent(true));
     for (int i = 0; i < 400; ++i) budget.opened(ConnectionClass::client);
-    EXPECT_FALSE(budget.keepsAgent(true)) << "it is closed with its response";
+    EXPECT_FALSE(budget.keepsAgent(true)) << "it is closed after its response";
     for (int i = 0; i < 400; ++i) budget.closed(ConnectionClass::client);
     EXPECT_TRUE(budget.keepsAgent(true));
 }
 
-TEST(ConnectionBudget, WithoutClassesAllConnectionsAreClients) {
+TEST(ConnectionBudget, UndividedBudgetIsForClientsOnly) {
     ConnectionBudget budget(ConnectionShares::undivided(3));
     for (int i = 0; i < 3; ++i) {
         EXPECT_TRUE(budget.admits());
@@ -68,7 +69,7 @@
     EXPECT_FALSE(budget.admits());
 }
 
-TEST(ConnectionBudget, TheSmallestServersHaveRoomForEachClass) {
+TEST(ConnectionBudget, SmallestServersAdmitEachClass) {
     for (const std::size_t total : {1U, 2U, 3U, 4U}) {
         for (const auto kind : {ConnectionClass::client, ConnectionClass::agent}) {
             ConnectionBudget budget(ConnectionShares::divided(total));
--- a/src/http/parser.cpp
+++ b/src/http/parser.cpp
@@ -8,11 +8,11 @@
 namespace basaltchute::http {
 
 namespace {
-constexpr std::size_t maxUrl = 4096;
-constexpr std::size_t maxHeader = 8192;
+constexpr std::size_t maxUrlBytes = 4096;
+constexpr std::size_t maxHeaderBytes = 8192;  // of a name, and of a value
 }  // namespace
 
-Parser::Parser(Kind kind, std::size_t maxBody) : kind_(kind), maxBody_(maxBody) {
+Parser::Parser(Kind kind, std::size_t maxBodyBytes) : kind_(kind), maxBodyBytes_(maxBodyBytes) {
     http_parser_init(&parser_, kind == Kind::requests ? HTTP_REQUEST : HTTP_RESPONSE);
     parser_.data = this;
 }
@@ -49,22 +49,22 @@
 int Parser::onUrl(http_parser* p, const char* at, std::size_t n) {
     auto& s = self(p);
     s.url_.append(at, n);
-    return s.url_.size() > maxUrl ? 1 : 0;
+    return s.url_.size() > maxUrlBytes ? 1 : 0;
 }
 int Parser::onField(http_parser* p, const char* at, std::size_t n) {
     auto& s = self(p);
-    if (s.lastWasValue_) s.header();
+    if (s.lastWasValue_) s.endHeader();
     s.lastWasValue_ = false;
     s.field_.append(at, n);
-    return s.field_.size() > maxHeader ? 1 : 0;
+    return s.field_.size() > maxHeaderBytes ? 1 : 0;
 }
 int Parser::onValue(http_parser* p, const char* at, std::size_t n) {
     auto& s = self(p);
     s.lastWasValue_ = true;
     s.value_.append(at, n);
-    return s.value_.size() > maxHeader ? 1 : 0;
+    return s.value_.size() > maxHeaderBytes ? 1 : 0;
 }
-void Parser::header() {
+void Parser::endHeader() {
     if (strcasecmp(field_.c_str(), "retry-after") == 0)
         std::from_chars(value_.data(), value_.data() + value_.size(), retryAfterS_);
     field_.clear();
@@ -72,9 +72,9 @@
 }
 int Parser::onHeaders(http_parser* p) {
     auto& s = self(p);
-    if (s.lastWasValue_) s.header();
-    // Refuse by the announced length, before any of the body is read.
-    if (p->content_length != ULLONG_MAX && p->content_length > s.maxBody_) {
+    if (s.lastWasValue_) s.endHeader();
+    // Reject the message by its announced length before any of the body is read.
+    if (p->content_length != ULLONG_MAX && p->content_length > s.maxBodyBytes_) {
         s.tooLarge_ = true;
         return -1;
     }
@@ -82,7 +82,7 @@
 }
 int Parser::onBody(http_parser* p, const char* at, std::size_t n) {
     auto& s = self(p);
-    if (s.body_.size() + n > s.maxBody_) {
+    if (s.body_.size() + n > s.maxBodyBytes_) {
         s.tooLarge_ = true;
         return 1;
     }
@@ -107,13 +107,13 @@
         data.erase(0, used);
         return State::complete;
     }
-    if (err != HPE_OK || parser_.upgrade) return State::broken;
+    if (err != HPE_OK || parser_.upgrade) return State::malformed;
     data.clear();
     return State::needMore;
 }
 Parser::State Parser::finish() {
     http_parser_execute(&parser_, &callbacks(), nullptr, 0);
-    return complete_ ? State::complete : State::broken;
+    return complete_ ? State::complete : State::malformed;
 }
 Request Parser::takeRequest() {
     Request r{http_method_str(static_cast<http_method>(parser_.method)), std::move(url_),
--- a/src/http/parser.h
+++ b/src/http/parser.h
@@ -10,18 +10,27 @@
 
 namespace basaltchute::http {
 
-/// Feeds bytes to http-parser and hands out whole messages, within fixed limits.
+/// Parses the HTTP messages of one connection with the http-parser library. Limits the length of
+/// URL, headers and body.
 class Parser {
   public:
     enum class Kind { requests, responses };
-    enum class State { needMore, complete, bodyTooLarge, broken };
-    Parser(Kind kind, std::size_t maxBody);
-
-    /// Consumes from `data` up to the end of one message; the rest stays in `data`.
+    enum class State {
+        needMore,  // the message is not complete yet
+        complete,
+        bodyTooLarge,
+        malformed,  // not HTTP, or a URL or header is too long
+    };
+    /// `maxBodyBytes`: a message with a larger body ends in State::bodyTooLarge.
+    Parser(Kind kind, std::size_t maxBodyBytes);
+
+    /// Removes the bytes of at most one message from `data`; what follows stays there.
     State feed(std::string& data);
-    /// The stream ended: a response without a length is complete only now.
+    /// To be called at the end of the stream: a response without a length is complete only then.
     State finish();
+    /// Whether no part of the next message has arrived.
     [[nodiscard]] bool idle() const { return !begun_; }
+    /// The message that is complete. The parser is ready for the next one afterwards.
     Request takeRequest();
     Response takeResponse();
 
@@ -38,15 +47,16 @@
     void reset();
 
     Kind kind_;
-    std::size_t maxBody_;
+    std::size_t maxBodyBytes_;
     http_parser parser_{};
     bool begun_ = false, complete_ = false, tooLarge_ = false, keepAlive_ = true;
     bool lastWasValue_ = false;
     std::string url_, field_, value_, body_;
     int retryAfterS_ = 0;
-    void header();
+    void endHeader();
 };
 
+/// The bytes of a message on the wire.
 std::string serialize(const Response& response);
 std::string serialize(const Request& request, const std::string& host);
 
--- a/src/http/server.cpp
+++ b/src/http/server.cpp
@@ -7,16 +7,18 @@
 using namespace std::chrono_literals;
 
 namespace {
-/// A new connection waits so long for room before it is refused; load balancers wait for 500 ms.
+/// How long a new connection waits for another one to be closed before it is refused. Load
+/// balancers wait for 500 ms.
 constexpr Duration admissionTimeout = 250ms;
-/// Requests that have arrived are read within that: a connection without one is shed after it.
+/// The server reads requests that have arrived within this time. A connection that has sent none by
+/// then may be closed to make room for another one.
 constexpr Duration firstRequestTimeout = 50ms;
-/// A first request waits so long for others of its class to be answered. Longer than a heartbeat
-/// takes, or a crowd of agents would be refused and come again all at once; no longer, since new
-/// connections are not taken while many wait.
+/// How long a first request waits for others of its class to be answered when the share of its
+/// class is used up. Longer than a heartbeat takes: otherwise many agents would be refused and
+/// retry all at once. Not much longer: no new connections are accepted while many wait.
 constexpr Duration shareTimeout = 10ms;
 
-Response overShare() {
+Response shareExhausted() {
     Response response{503, R"({"error":"no connection to spare"})"};
     response.retryAfterS = 1;
     response.keepAlive = false;
@@ -29,7 +31,7 @@
       listener_(loop, address),
       limits_(limits),
       handler_(std::move(handler)),
-      budget_(ConnectionShares::undivided(limits.connections)),
+      budget_(ConnectionShares::undivided(limits.maxConnections)),
       changed_(loop) {}
 
 Server::Server(EventLoop& loop, const std::string& address, ServerLimits limits, Handler handler,
@@ -39,7 +41,7 @@
       limits_(limits),
       handler_(std::move(handler)),
       classifier_(std::move(classifier)),
-      budget_(ConnectionShares::divided(limits.connections)),
+      budget_(ConnectionShares::divided(limits.maxConnections)),
       changed_(loop) {}
 
 void Server::start(Scope& scope) {
@@ -54,7 +56,7 @@
         if (available) open(std::move(socket), scope);
     }
     for (auto& connections : open_)
-        for (auto& c : connections) c->scope.cancel();
+        for (auto& connection : connections) connection->scope.cancel();
 }
 
 Task<bool> Server::reserveConnection(Scope& scope) {
@@ -62,33 +64,34 @@
     while (!budget_.admits()) {
         const Duration waited = loop_.now() - since;
         if (scope.cancelled() || waited >= admissionTimeout) co_return false;
-        // A shed connection holds its socket until its routine has ended: one at a time, or a burst
-        // of new ones would be taken beyond the limit.
-        if (shedding_ == 0) closeOneIdle(waited >= firstRequestTimeout);
-        const bool early = waited < firstRequestTimeout;
-        const TimePoint until = since + (early ? firstRequestTimeout : admissionTimeout);
+        // A connection that is being closed holds its socket until its coroutine has ended. Only
+        // one is closed at a time: otherwise a burst of new ones would exceed the limit.
+        if (closing_ == 0) closeOneIdle(waited >= firstRequestTimeout);
+        const bool unclassifiedSpared = waited < firstRequestTimeout;
+        const TimePoint until =
+            since + (unclassifiedSpared ? firstRequestTimeout : admissionTimeout);
         co_await loop_.wait(changed_, until, scope);
     }
     co_return !scope.cancelled();
 }
 
-void Server::closeOneIdle(bool mayShedUnclassified) {
+void Server::closeOneIdle(bool mayCloseUnclassified) {
     using enum ConnectionClass;
     if (budget_.awaitsRequests()) {
-        if (mayShedUnclassified) closeLongestIdle(unclassified);
+        if (mayCloseUnclassified) closeLongestIdle(unclassified);
         return;
     }
     if (closeLongestIdle(agent) || closeLongestIdle(client)) return;
-    if (mayShedUnclassified) closeLongestIdle(unclassified);
+    if (mayCloseUnclassified) closeLongestIdle(unclassified);
 }
 
-bool Server::closeLongestIdle(ConnectionClass of) {
-    auto& connections = all(of);
+bool Server::closeLongestIdle(ConnectionClass kind) {
+    auto& connections = connectionsOf(kind);
     const auto found = std::find_if(connections.begin(), connections.end(),
-                                    [](const auto& c) { return c->idle && !c->shed; });
+                                    [](const auto& c) { return c->idle && !c->closing; });
     if (found == connections.end()) return false;
-    ++shedding_;
-    (*found)->shed = true;
+    ++closing_;
+    (*found)->closing = true;
     (*found)->scope.cancel();
     return true;
 }
@@ -98,16 +101,16 @@
     connection->socket = std::move(socket);
     if (!classifier_) connection->kind = ConnectionClass::client;
     budget_.opened(connection->kind);
-    auto& connections = all(connection->kind);
+    auto& connections = connectionsOf(connection->kind);
     connections.push_back(std::move(connection));
     scope.spawn(serve(std::prev(connections.end())));
 }
 
 Task<void> Server::serve(Slot slot) {
     Connection& c = **slot;
-    Parser parser(Parser::Kind::requests, limits_.bodyBytes);
+    Parser parser(Parser::Kind::requests, limits_.maxBodyBytes);
     std::string data;
-    TimePoint until = loop_.now() + limits_.message;
+    TimePoint until = loop_.now() + limits_.messageTimeout;
     while (!c.scope.cancelled()) {
         auto state = Parser::State::needMore;
         if (!data.empty()) state = parser.feed(data);
@@ -115,7 +118,7 @@
             c.idle = parser.idle();
             const long n = co_await c.socket->read(data, until, c.scope);
             if (n <= 0) break;
-            if (c.idle) until = loop_.now() + limits_.message;
+            if (c.idle) until = loop_.now() + limits_.messageTimeout;
             continue;
         }
         Response response;
@@ -129,11 +132,12 @@
             response.keepAlive = false;
         }
         const std::string text = serialize(response);
-        const bool sent = co_await c.socket->write(text, loop_.now() + limits_.message, c.scope);
+        const bool sent =
+            co_await c.socket->write(text, loop_.now() + limits_.messageTimeout, c.scope);
         if (!sent || !response.keepAlive) break;
-        until = loop_.now() + limits_.idle;
-        auto& connections = all(c.kind);
-        connections.splice(connections.end(), connections, slot);  // the most recently used: last
+        until = loop_.now() + limits_.idleTimeout;
+        auto& connections = connectionsOf(c.kind);
+        connections.splice(connections.end(), connections, slot);  // ordered by last use
         c.idle = true;
         changed_.notify();
     }
@@ -144,17 +148,17 @@
     Connection& c = **slot;
     if (c.kind == ConnectionClass::unclassified) {
         const ConnectionClass kind = classifier_(request);
-        const bool available = co_await shareAllows(kind, c.scope);
-        if (!available) co_return overShare();
+        const bool available = co_await reserveInShare(kind, c.scope);
+        if (!available) co_return shareExhausted();
         classify(slot, kind);
     }
-    const bool keep = request.keepAlive;
+    const bool clientKeepsAlive = request.keepAlive;
     Response response = co_await handler_(std::move(request));
-    response.keepAlive = response.keepAlive && keep && keeps(c);
+    response.keepAlive = response.keepAlive && clientKeepsAlive && keeps(c);
     co_return response;
 }
 
-Task<bool> Server::shareAllows(ConnectionClass kind, Scope& scope) {
+Task<bool> Server::reserveInShare(ConnectionClass kind, Scope& scope) {
     const TimePoint until = loop_.now() + shareTimeout;
     while (!budget_.hasCapacity(kind) && !closeLongestIdle(kind)) {
         if (loop_.now() >= until || scope.cancelled()) co_return false;
@@ -164,8 +168,8 @@
 }
 
 void Server::classify(Slot slot, ConnectionClass kind) {
-    auto& from = all(ConnectionClass::unclassified);
-    auto& to = all(kind);
+    auto& from = connectionsOf(ConnectionClass::unclassified);
+    auto& to = connectionsOf(kind);
     to.splice(to.end(), from, slot);
     (*slot)->kind = kind;
     budget_.classified(kind);
@@ -182,9 +186,9 @@
 void Server::close(Slot slot) {
     Connection& c = **slot;
     const ConnectionClass kind = c.kind;
-    if (c.shed) --shedding_;
+    if (c.closing) --closing_;
     if (c.keptAgent) budget_.droppedKeptAgent();
-    all(kind).erase(slot);
+    connectionsOf(kind).erase(slot);
     budget_.closed(kind);
     changed_.notify();
 }
--- a/src/http/server_test.cpp
+++ b/src/http/server_test.cpp
@@ -5,8 +5,9 @@
 #include "http/client.h"
 #include "simulator/network.h"
 
-// A server with few sockets and many agents, on a simulated network: no descriptor of the system
-// is used, and the process gets no more of them than it is given.
+// A server with few sockets and many agents, on a simulated network: the tests use no descriptors
+// of the operating system, and the server's process gets no more of the simulated ones than its
+// limit.
 
 namespace basaltchute::http {
 namespace {
@@ -22,7 +23,7 @@
 constexpr std::size_t servedConnections = 584;
 constexpr Duration heartbeatInterval = 6s, lease = 31s, agentTimeout = 4s, userTimeout = 5s;
 
-/// What agents and users met.
+/// What agents and users observed.
 struct Outcomes {
     std::size_t heartbeats = 0, missedHeartbeats = 0, lostLeases = 0;
     std::size_t answered = 0, failed = 0, late = 0;
@@ -52,6 +53,7 @@
     CrowdedServer(const CrowdedServer&) = delete;
     CrowdedServer& operator=(const CrowdedServer&) = delete;
 
+    /// Runs the simulation for a time.
     void pass(Duration span) {
         const TimePoint until = time_.now() + span;
         while (time_.now() < until) {
@@ -59,10 +61,11 @@
             mostConnections = std::max(mostConnections, server_->connections());
         }
     }
+    /// Stops the server's process for a time, as if it got no CPU.
     void freeze(Duration span) { serverHost_.freeze(span); }
 
-    Outcomes seen;
-    Duration heartbeatTakes = 2ms;  // until the handler answers one
+    Outcomes outcomes;
+    Duration heartbeatTakes = 2ms;  // time that the handler needs to answer a heartbeat
     std::size_t mostConnections = 0;
 
   private:
@@ -95,9 +98,9 @@
             const auto outcome = co_await client.request(std::move(request), agentTimeout, scope);
             if (scope.cancelled()) co_return;
             const bool renewed = outcome.answered && outcome.response.status == 200;
-            ++(renewed ? seen.heartbeats : seen.missedHeartbeats);
+            ++(renewed ? outcomes.heartbeats : outcomes.missedHeartbeats);
             if (loop.now() > leaseEnd) {
-                ++seen.lostLeases;
+                ++outcomes.lostLeases;
                 leaseEnd = loop.now() + lease;
             }
             if (renewed) leaseEnd = std::max(leaseEnd, sentAt + lease);
@@ -106,20 +109,20 @@
             co_await loop.sleep(renewed ? next - (loop.now() - sentAt) : Duration(1s), scope);
         }
     }
-    /// Asks each second, over a kept connection or a new one each time.
-    Task<void> user(std::size_t at, bool keeps) {
+    /// Sends a request each second, over a kept connection or a new one each time.
+    Task<void> user(std::size_t at, bool keepsConnection) {
         EventLoop& loop = clientHosts_[at]->loop();
         Scope& scope = *clientScopes_[at];
         co_await loop.sleep(fromSeconds(time_.between(0, 1)), scope);
-        Client client(loop, serverAddress, keeps ? 1 : 0);
+        Client client(loop, serverAddress, keepsConnection ? 1 : 0);
         while (!scope.cancelled()) {
             const TimePoint sentAt = loop.now();
             Request request{"GET", "/up", ""};
             const auto outcome = co_await client.request(std::move(request), userTimeout, scope);
             if (scope.cancelled()) co_return;
             const bool answered = outcome.answered && outcome.response.status == 200;
-            ++(answered ? seen.answered : seen.failed);
-            if (loop.now() - sentAt > 1s) ++seen.late;
+            ++(answered ? outcomes.answered : outcomes.failed);
+            if (loop.now() - sentAt > 1s) ++outcomes.late;
             co_await loop.sleep(1s, scope);
         }
     }
@@ -136,49 +139,49 @@
 class ServerWithAgents : public ::testing::TestWithParam<std::size_t> {};
 INSTANTIATE_TEST_SUITE_P(Agents, ServerWithAgents, ::testing::Values(4000, 10'000));
 
-TEST_P(ServerWithAgents, OnAThousandSocketsServesUsersAndCostsNoLease) {
-    // One controller was left with the heartbeats of 4,113 machines: their kept connections took
-    // all its 3,897 sockets, and neither users nor the load balancer's probes got one.
+TEST_P(ServerWithAgents, ServesUsersAndLosesNoLeaseOnAThousandSockets) {
+    // One controller received the heartbeats of 4,113 machines. Their kept connections took all of
+    // its 3,897 sockets, and neither users nor the load balancer's probes got one.
     CrowdedServer crowd(GetParam(), 60);
     crowd.pass(20s);
-    crowd.seen = {};
+    crowd.outcomes = {};
     crowd.pass(40s);
-    EXPECT_EQ(crowd.seen.failed, 0U);
-    EXPECT_EQ(crowd.seen.late, 0U);
-    EXPECT_GT(crowd.seen.answered, 2000U);
-    EXPECT_EQ(crowd.seen.lostLeases, 0U);
-    EXPECT_GT(crowd.seen.heartbeats, GetParam() * 6);
-    EXPECT_LT(crowd.seen.missedHeartbeats, crowd.seen.heartbeats / 1000);
+    EXPECT_EQ(crowd.outcomes.failed, 0U);
+    EXPECT_EQ(crowd.outcomes.late, 0U);
+    EXPECT_GT(crowd.outcomes.answered, 2000U);
+    EXPECT_EQ(crowd.outcomes.lostLeases, 0U);
+    EXPECT_GT(crowd.outcomes.heartbeats, GetParam() * 6);
+    EXPECT_LT(crowd.outcomes.missedHeartbeats, crowd.outcomes.heartbeats / 1000);
     EXPECT_LE(crowd.mostConnections, servedConnections);
 }
 
 TEST_P(ServerWithAgents, ServesUsersWhileEveryHeartbeatTakesSeconds) {
-    // As at a follower that passes them on to a leader that stands still.
+    // As on a follower that forwards heartbeats to a leader that does not respond.
     CrowdedServer crowd(GetParam(), 60);
     crowd.pass(10s);
-    crowd.seen = {};
+    crowd.outcomes = {};
     crowd.heartbeatTakes = 3s;
     crowd.pass(10s);
-    EXPECT_EQ(crowd.seen.failed, 0U);
-    EXPECT_EQ(crowd.seen.late, 0U);
-    EXPECT_GT(crowd.seen.answered, 400U);
+    EXPECT_EQ(crowd.outcomes.failed, 0U);
+    EXPECT_EQ(crowd.outcomes.late, 0U);
+    EXPECT_GT(crowd.outcomes.answered, 400U);
     crowd.heartbeatTakes = 2ms;
     crowd.pass(31s);
-    EXPECT_EQ(crowd.seen.lostLeases, 0U);
+    EXPECT_EQ(crowd.outcomes.lostLeases, 0U);
     EXPECT_LE(crowd.mostConnections, servedConnections);
 }
 
-TEST_P(ServerWithAgents, TakesInTheirCrowdOnceItRunsAgain) {
+TEST_P(ServerWithAgents, RecoversFromTheBacklogOfRequestsAfterAFreeze) {
     CrowdedServer crowd(GetParam(), 60);
     crowd.pass(10s);
     crowd.freeze(15s);
     crowd.pass(18s);
-    crowd.seen = {};
+    crowd.outcomes = {};
     crowd.pass(20s);
-    EXPECT_EQ(crowd.seen.failed, 0U);
-    EXPECT_EQ(crowd.seen.late, 0U);
-    EXPECT_EQ(crowd.seen.lostLeases, 0U);
-    EXPECT_GT(crowd.seen.heartbeats, GetParam() * 3);
+    EXPECT_EQ(crowd.outcomes.failed, 0U);
+    EXPECT_EQ(crowd.outcomes.late, 0U);
+    EXPECT_EQ(crowd.outcomes.lostLeases, 0U);
+    EXPECT_GT(crowd.outcomes.heartbeats, GetParam() * 3);
     EXPECT_LE(crowd.mostConnections, servedConnections);
 }
 
--- a/src/http/wire_format_test.cpp
+++ b/src/http/wire_format_test.cpp
@@ -1,4 +1,4 @@
-// The exact bytes of HTTP messages as they leave.
+// The exact bytes of the HTTP messages that are sent.
 #include <gtest/gtest.h>
 
 #include "http/parser.h"
--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -7,6 +7,8 @@
 namespace {
 constexpr int maxDepth = 64;
 
+/// Whether the text nests deeper than `maxDepth`. The parser is iterative, but the destructor of a
+/// document is not.
 bool tooDeep(std::string_view text) {
     int depth = 0;
     bool inString = false;
@@ -20,7 +22,6 @@
         } else if (c == '"') {
             inString = true;
         } else if (c == '{' || c == '[') {
-            // The parser is iterative, but a document's destructor is not.
             if (++depth > maxDepth) return true;
         } else if (c == '}' || c == ']') {
             --depth;
--- a/src/json/json.h
+++ b/src/json/json.h
@@ -1,4 +1,5 @@
 #pragma once
+// Reading and writing JSON, on top of RapidJSON. Used by all modules that handle JSON.
 #include <rapidjson/document.h>
 #include <rapidjson/stringbuffer.h>
 #include <rapidjson/writer.h>
@@ -13,81 +14,87 @@
 using Value = rapidjson::Value;
 using Document = rapidjson::Document;
 
-/// Parses without recursion, so hostile nesting cannot exhaust the stack; nullopt if it is
-/// not JSON or nests deeper than anything this service reads.
+/// Parses without recursion, so that deeply nested input cannot exhaust the stack. Returns nothing
+/// if the text is not JSON, or is nested deeper than any document that is expected.
 std::optional<Document> parse(std::string_view text);
 
-/// The value as JSON text.
+/// Serializes the value.
 std::string text(const Value& value);
 
-/// The member, or nullptr if it is absent or null (the protocols treat both alike).
+/// The member of an object; nullptr if it is absent or null, which the protocols treat alike, or if
+/// `object` is not an object. The functions below return nothing if the member is not of their
+/// type.
 const Value* find(const Value& object, const char* name);
 std::optional<std::string> string(const Value& object, const char* name);
+/// A finite number.
 std::optional<double> number(const Value& object, const char* name);
+/// A non-negative integer.
 std::optional<std::uint64_t> count(const Value& object, const char* name);
 std::optional<bool> boolean(const Value& object, const char* name);
 const Value* array(const Value& object, const char* name);
 
-/// Builds JSON text piece by piece.
+/// Writes JSON text. Calls must be in the order of the text; separators are added.
 class Writer {
   public:
     Writer& open() {
-        w_.StartObject();
+        writer_.StartObject();
         return *this;
     }
     Writer& close() {
-        w_.EndObject();
+        writer_.EndObject();
         return *this;
     }
     Writer& openArray() {
-        w_.StartArray();
+        writer_.StartArray();
         return *this;
     }
     Writer& closeArray() {
-        w_.EndArray();
+        writer_.EndArray();
         return *this;
     }
     Writer& key(std::string_view k) {
-        w_.Key(k.data(), static_cast<unsigned>(k.size()));
+        writer_.Key(k.data(), static_cast<unsigned>(k.size()));
         return *this;
     }
     Writer& value(std::string_view v) {
-        w_.String(v.data(), static_cast<unsigned>(v.size()));
+        writer_.String(v.data(), static_cast<unsigned>(v.size()));
         return *this;
     }
     Writer& value(const char* v) { return value(std::string_view(v)); }
     Writer& value(std::uint64_t v) {
-        w_.Uint64(v);
+        writer_.Uint64(v);
         return *this;
     }
     Writer& value(std::int64_t v) {
-        w_.Int64(v);
+        writer_.Int64(v);
         return *this;
     }
     Writer& value(std::uint32_t v) {
-        w_.Uint(v);
+        writer_.Uint(v);
         return *this;
     }
     Writer& value(int v) {
-        w_.Int(v);
+        writer_.Int(v);
         return *this;
     }
     Writer& value(double v) {
-        w_.Double(v);
+        writer_.Double(v);
         return *this;
     }
     Writer& value(bool v) {
-        w_.Bool(v);
+        writer_.Bool(v);
         return *this;
     }
     Writer& null() {
-        w_.Null();
+        writer_.Null();
         return *this;
     }
+    /// Inserts JSON text as it is.
     Writer& raw(std::string_view v) {
-        w_.RawValue(v.data(), v.size(), rapidjson::kObjectType);
+        writer_.RawValue(v.data(), v.size(), rapidjson::kObjectType);
         return *this;
     }
+    /// Writes a member of an object: its name and its value.
     template <typename T>
     Writer& field(std::string_view k, const T& v) {
         key(k);
@@ -97,7 +104,7 @@
 
   private:
     rapidjson::StringBuffer buffer_;
-    rapidjson::Writer<rapidjson::StringBuffer> w_{buffer_};
+    rapidjson::Writer<rapidjson::StringBuffer> writer_{buffer_};
 };
 
 }  // namespace basaltchute::json
--- a/src/json/schema.cpp
+++ b/src/json/schema.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-std::string textOf(const rapidjson::Pointer& p) {
-    rapidjson::StringBuffer b;
-    p.StringifyUriFragment(b);
-    return {b.GetString(), b.GetSize()};
+std::string pointerText(const rapidjson::Pointer& pointer) {
+    rapidjson::StringBuffer buffer;
+    pointer.StringifyUriFragment(buffer);
+    return {buffer.GetString(), buffer.GetSize()};
 }
 
-/// The first member that the schema requires and `object` misses.
-std::string missing(const Value& object, const Value& schema) {
+/// The first member that the schema requires and `object` does not have.
+std::string missingMember(const Value& object, const Value& schema) {
     for (const auto& name : schema["required"].GetArray())
         if (!object.HasMember(name)) return name.GetString();
     return "";
@@ -30,15 +30,16 @@
     if (document.Accept(validator)) return std::nullopt;
     const auto where = validator.GetInvalidDocumentPointer();
     const std::string rule = validator.GetInvalidSchemaKeyword();
-    const auto* asked = validator.GetInvalidSchemaPointer().Get(rules);
-    const auto* given = where.Get(document);
-    const std::string at = textOf(where);
+    const auto* violatedSchema = validator.GetInvalidSchemaPointer().Get(rules);
+    const auto* invalid = where.Get(document);
+    const std::string at = pointerText(where);
     if (rule == "additionalProperties") return at + ": expected no such field";
-    if (rule == "required" && asked != nullptr && given != nullptr)
-        return at + ": expected \"" + missing(*given, *asked) + '"';
+    if (rule == "required" && violatedSchema != nullptr && invalid != nullptr)
+        return at + ": expected \"" + missingMember(*invalid, *violatedSchema) + '"';
     std::string expected = rule;
-    if (asked != nullptr && asked->IsObject() && asked->HasMember(rule.c_str()))
-        expected += ' ' + text((*asked)[rule.c_str()]);
+    if (violatedSchema != nullptr && violatedSchema->IsObject() &&
+        violatedSchema->HasMember(rule.c_str()))
+        expected += ' ' + text((*violatedSchema)[rule.c_str()]);
     return at + ": expected " + expected;
 }
 
--- a/src/json/schema.h
+++ b/src/json/schema.h
@@ -6,8 +6,9 @@
 
 namespace basaltchute::json {
 
-/// Holds a file that people write against its schema (JSON Schema, draft 4). One line that names
-/// the field and what was expected there, or nothing if all is well.
+/// Validates a document against a JSON Schema (draft 4). Returns nothing if it is valid, otherwise
+/// one line that names the first invalid field and says what was expected there. Meant for settings
+/// files that people write.
 std::optional<std::string> schemaError(const Document& document, const char* schemaText);
 
 }  // namespace basaltchute::json
