--- a/src/runtime/loop.cpp
+++ b/src/runtime/loop.cpp
@@ -8,7 +8,7 @@
 namespace basaltchute {
 
 namespace {
-/// The frame that owns a spawned routine; it runs at once and frees itself at the end.
+/// The coroutine that owns a spawned one. It runs at once and frees itself at the end.
 struct Detached {
     struct promise_type {
         Detached get_return_object() { return {}; }
@@ -23,8 +23,8 @@
     try {
         co_await task;
     } catch (const std::exception& e) {
-        // A routine that throws has a bug of its own; the others go on serving.
-        spdlog::error("routine ended by exception: {}", e.what());
+        // The exception is a bug of this coroutine; the others go on.
+        spdlog::error("coroutine ended by an exception: what={}", e.what());
     }
 }
 }  // namespace
@@ -44,35 +44,35 @@
 }
 
 void Scope::spawn(Task<void> task) {
-    loop_.spawn(counted(std::move(task)));
+    loop_.spawn(runCounted(std::move(task)));
 }
-Task<void> Scope::counted(Task<void> task) {
-    ++live_;
+Task<void> Scope::runCounted(Task<void> task) {
+    ++runningCount_;
     try {
         co_await task;
     } catch (const std::exception& e) {
-        // A routine that throws has a bug of its own; the others go on serving.
-        spdlog::error("routine ended by exception: {}", e.what());
+        // The exception is a bug of this coroutine; the others go on.
+        spdlog::error("coroutine ended by an exception: what={}", e.what());
     }
-    if (--live_ > 0) co_return;
-    for (const auto h : std::exchange(ending_, {})) loop_.post(h);
+    if (--runningCount_ > 0) co_return;
+    for (const auto h : std::exchange(waitingForEnd_, {})) loop_.post(h);
 }
 Task<void> Scope::cancelAndWait() {
     cancel();
     struct AllEnded {
         Scope& scope;
-        bool await_ready() const { return scope.live_ == 0; }
-        void await_suspend(std::coroutine_handle<> h) const { scope.ending_.push_back(h); }
+        bool await_ready() const { return scope.runningCount_ == 0; }
+        void await_suspend(std::coroutine_handle<> h) const { scope.waitingForEnd_.push_back(h); }
         void await_resume() const {}
     };
-    AllEnded ended{*this};
-    co_await ended;
+    AllEnded allEnded{*this};
+    co_await allEnded;
 }
 
 EventLoop::EventLoop(const Clock& clock)
     : EventLoop(clock, std::make_unique<EpollSocketBackend>()) {}
-EventLoop::EventLoop(const Clock& clock, std::unique_ptr<SocketBackend> host)
-    : clock_(clock), socketBackend_(std::move(host)) {}
+EventLoop::EventLoop(const Clock& clock, std::unique_ptr<SocketBackend> socketBackend)
+    : clock_(clock), socketBackend_(std::move(socketBackend)) {}
 EventLoop::~EventLoop() = default;
 
 void EventLoop::spawn(Task<void> task) {
@@ -121,27 +121,28 @@
         wake(*timers_.begin()->second, WakeReason::timeout);
 }
 void EventLoop::runReady() {
-    // Only what is ready now: routines that wake each other must not starve the sockets.
+    // Only the coroutines that are ready now: those that wake each other must not starve the
+    // sockets.
     for (std::size_t n = ready_.size(); n > 0; --n) {
         auto h = ready_.front();
         ready_.pop_front();
         h.resume();
     }
 }
-bool EventLoop::runOnce(Duration most) {
-    // The host fills it; only what it wrote is read.
+bool EventLoop::runOnce(Duration maxWait) {
+    // The backend fills it; only the entries that it has written are read.
     // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init)
     std::array<SocketBackend::Ready, 64> events;
     fireTimers();
     bool busy = !ready_.empty();
     runReady();
     if (!ready_.empty())
-        most = Duration::zero();
+        maxWait = Duration::zero();
     else if (!timers_.empty())
-        most = std::clamp(timers_.begin()->first - now(), Duration::zero(), most);
-    const std::size_t n = socketBackend_->wait(events, most);
+        maxWait = std::clamp(timers_.begin()->first - now(), Duration::zero(), maxWait);
+    const std::size_t n = socketBackend_->wait(events, maxWait);
     for (std::size_t i = 0; i < n; ++i) {
-        // A handler may have been removed by one that ran before it in this batch.
+        // A handler that ran earlier in this batch may have removed this one.
         const auto it = handlers_.find(events[i].fd);
         if (it == handlers_.end()) continue;
         busy = true;
--- a/src/runtime/rate_limiter.h
+++ b/src/runtime/rate_limiter.h
@@ -5,39 +5,41 @@
 
 namespace basaltchute {
 
-/// A token bucket that holds one burst; rates are per second.
+/// A token bucket. It starts full with `burst` tokens and gains `rate` tokens a second.
 class RateLimiter {
   public:
     RateLimiter(double rate, double burst, TimePoint now)
-        : rate_(rate), burst_(burst), have_(burst), at_(now) {}
+        : rate_(rate), burst_(burst), tokens_(burst), updatedAt_(now) {}
+    /// The number of tokens in the bucket. Never more than the burst.
     double available(TimePoint now) {
-        have_ = std::min(burst_, have_ + rate_ * toSeconds(now - at_));
-        at_ = now;
-        return have_;
+        tokens_ = std::min(burst_, tokens_ + rate_ * toSeconds(now - updatedAt_));
+        updatedAt_ = now;
+        return tokens_;
     }
     [[nodiscard]] double burst() const { return burst_; }
     [[nodiscard]] double rate() const { return rate_; }
-    /// Another rate from now on, and a burst in proportion.
+    /// Changes the rate, and the burst in proportion to it.
     void setRate(double rate, TimePoint now) {
         available(now);
         burst_ *= rate / rate_;
         rate_ = rate;
-        have_ = std::min(have_, burst_);
+        tokens_ = std::min(tokens_, burst_);
     }
+    /// Takes `n` tokens if the bucket has that many. Returns whether it did.
     bool tryTake(TimePoint now, double n = 1) {
         if (available(now) < n) return false;
-        have_ -= n;
+        tokens_ -= n;
         return true;
     }
-    /// How long until `n` are available.
+    /// How long until `n` tokens are available.
     Duration timeUntil(TimePoint now, double n = 1) {
-        const double lack = n - available(now);
-        return lack <= 0 ? Duration::zero() : fromSeconds(lack / rate_);
+        const double missing = n - available(now);
+        return missing <= 0 ? Duration::zero() : fromSeconds(missing / rate_);
     }
 
   private:
-    double rate_, burst_, have_;
-    TimePoint at_;
+    double rate_, burst_, tokens_;
+    TimePoint updatedAt_;
 };
 
 }  // namespace basaltchute
--- a/src/runtime/semaphore.cpp
+++ b/src/runtime/semaphore.cpp
@@ -10,23 +10,24 @@
 
 Task<Semaphore::Permit> Semaphore::acquire(TimePoint until, Scope& scope) {
     if (free_ > 0) co_return tryAcquire();
-    Waiting me(loop_);
-    const auto place = waiting_.insert(waiting_.end(), &me);
-    co_await loop_.wait(me.granted, until, scope);
-    // Granted in the same round in which the wait timed out: it is this routine's all the same.
-    if (me.has) co_return Permit(*this);
-    waiting_.erase(place);
+    Waiter waiter(loop_);
+    const auto position = waiters_.insert(waiters_.end(), &waiter);
+    co_await loop_.wait(waiter.granted, until, scope);
+    // The permit may have been granted in the round in which the wait timed out. It has left the
+    // free ones then and belongs to this coroutine all the same.
+    if (waiter.hasPermit) co_return Permit(*this);
+    waiters_.erase(position);
     co_return Permit();
 }
 
 void Semaphore::release() {
-    if (waiting_.empty()) {
+    if (waiters_.empty()) {
         ++free_;
         return;
     }
-    Waiting& next = *waiting_.front();
-    waiting_.pop_front();
-    next.has = true;
+    Waiter& next = *waiters_.front();
+    waiters_.pop_front();
+    next.hasPermit = true;
     next.granted.notify();
 }
 
--- a/src/runtime/semaphore.h
+++ b/src/runtime/semaphore.h
@@ -7,47 +7,50 @@
 
 namespace basaltchute {
 
-/// Bounds how many routines do something at once; those beyond wait in the order they came.
+/// A counting semaphore for coroutines. Those that find no free permit wait for one, first come,
+/// first served.
 class Semaphore {
   public:
     Semaphore(EventLoop& loop, std::size_t permits) : loop_(loop), free_(permits) {}
     Semaphore(const Semaphore&) = delete;
     Semaphore& operator=(const Semaphore&) = delete;
 
-    /// The right to go on, given back when it is destroyed. Empty if none was had.
+    /// A permit that is released when it is destroyed. Converts to false if it is empty, which
+    /// means that none could be acquired.
     class Permit {
       public:
         Permit() = default;
-        explicit Permit(Semaphore& of) : of_(&of) {}
-        Permit(Permit&& other) noexcept : of_(std::exchange(other.of_, nullptr)) {}
+        explicit Permit(Semaphore& semaphore) : semaphore_(&semaphore) {}
+        Permit(Permit&& other) noexcept : semaphore_(std::exchange(other.semaphore_, nullptr)) {}
         Permit& operator=(Permit&& other) noexcept {
-            std::swap(of_, other.of_);
+            std::swap(semaphore_, other.semaphore_);
             return *this;
         }
         ~Permit() {
-            if (of_ != nullptr) of_->release();
+            if (semaphore_ != nullptr) semaphore_->release();
         }
-        explicit operator bool() const { return of_ != nullptr; }
+        explicit operator bool() const { return semaphore_ != nullptr; }
 
       private:
-        Semaphore* of_ = nullptr;
+        Semaphore* semaphore_ = nullptr;
     };
-    /// Without waiting.
+    /// Returns a permit if one is free, or an empty one. Does not wait.
     Permit tryAcquire();
-    /// Empty if none becomes free until then, or the scope is cancelled.
+    /// Waits for a permit. Returns an empty one if none becomes free before `until`, or the scope
+    /// is cancelled.
     Task<Permit> acquire(TimePoint until, Scope& scope);
 
   private:
-    struct Waiting {
-        explicit Waiting(EventLoop& loop) : granted(loop) {}
+    struct Waiter {
+        explicit Waiter(EventLoop& loop) : granted(loop) {}
         Event granted;
-        bool has = false;
+        bool hasPermit = false;
     };
     void release();
 
     EventLoop& loop_;
     std::size_t free_;
-    std::list<Waiting*> waiting_;
+    std::list<Waiter*> waiters_;
 };
 
 }  // namespace basaltchute
--- a/src/runtime/semaphore_test.cpp
+++ b/src/runtime/semaphore_test.cpp
@@ -11,6 +11,8 @@
 
 using namespace std::chrono_literals;
 
+/// A coroutine that holds a permit for `takes`. Afterwards it appends its number to `done`,
+/// negative if it got no permit.
 struct Worker {
     testing::World& world;
     Semaphore& semaphore;
@@ -22,7 +24,7 @@
     }
 };
 
-TEST(Semaphore, LetsSoManyInAndTheOthersInTheirOrder) {
+TEST(Semaphore, GrantsItsPermitsAndThenInTheOrderOfWaiting) {
     testing::World world;
     Semaphore semaphore(world.loop, 2);
     std::vector<int> done;
@@ -33,11 +35,11 @@
     EXPECT_EQ(done, (std::vector<int>{1, 2}));
     world.run(5s);
     EXPECT_EQ(done, (std::vector<int>{1, 2, 3, 4, 5, 6}));
-    EXPECT_TRUE(semaphore.tryAcquire()) << "all are given back";
+    EXPECT_TRUE(semaphore.tryAcquire()) << "all permits are released";
     world.end(world.scope);
 }
 
-TEST(Semaphore, WhoeverHasWaitedInVainTakesNoPermit) {
+TEST(Semaphore, AWaiterThatTimedOutTakesNoPermit) {
     testing::World world;
     Semaphore semaphore(world.loop, 1);
     std::vector<int> done;
@@ -51,7 +53,7 @@
     world.end(world.scope);
 }
 
-TEST(Semaphore, ThoseThatWaitEndWithTheirScope) {
+TEST(Semaphore, CancellingTheScopeEndsTheWait) {
     testing::World world;
     Semaphore semaphore(world.loop, 1);
     const auto held = semaphore.tryAcquire();
--- a/src/runtime/socket.cpp
+++ b/src/runtime/socket.cpp
@@ -9,6 +9,10 @@
 
 namespace basaltchute {
 
+namespace {
+constexpr Duration acceptRetryInterval = std::chrono::milliseconds(50);
+}
+
 std::optional<sockaddr_in> parseAddress(const std::string& text) {
     const auto colon = text.rfind(':');
     if (colon == std::string::npos) return std::nullopt;
@@ -16,8 +20,8 @@
     out.sin_family = AF_INET;
     unsigned port = 0;
     const char* end = text.data() + text.size();
-    const auto [p, ec] = std::from_chars(text.data() + colon + 1, end, port);
-    if (ec != std::errc{} || p != end || port > 65535) return std::nullopt;
+    const auto [parsedTo, error] = std::from_chars(text.data() + colon + 1, end, port);
+    if (error != std::errc{} || parsedTo != end || port > 65535) return std::nullopt;
     out.sin_port = htons(static_cast<std::uint16_t>(port));
     if (inet_pton(AF_INET, text.substr(0, colon).c_str(), &out.sin_addr) != 1) return std::nullopt;
     return out;
@@ -46,9 +50,9 @@
     errno = 0;
     const int fd = loop.socketBackend().connect(to);
     if (fd < 0) co_return nullptr;
-    const bool underWay = errno == EINPROGRESS;
+    const bool inProgress = errno == EINPROGRESS;
     auto out = std::make_unique<Socket>(loop, fd);
-    if (underWay) {
+    if (inProgress) {
         const WakeReason woke = co_await loop.wait(out->writable_, until, scope);
         if (woke != WakeReason::signalled || loop.socketBackend().error(fd) != 0) co_return nullptr;
     }
@@ -56,7 +60,7 @@
 }
 
 Task<long> Socket::read(std::string& into, TimePoint until, Scope& scope) {
-    // The kernel fills it; only what it wrote is read.
+    // The kernel fills it; only the bytes that it has written are read.
     // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init)
     std::array<char, 16384> buffer;
     while (true) {
@@ -125,10 +129,10 @@
         const int fd = loop_.socketBackend().accept(fd_);
         if (fd >= 0) co_return std::make_unique<Socket>(loop_, fd);
         if (errno == EINTR || errno == ECONNABORTED) continue;
-        // Out of sockets: edge-triggered readiness will not come again, so look again shortly.
-        const bool dry = errno == EAGAIN || errno == EWOULDBLOCK;
-        const TimePoint until =
-            dry ? TimePoint::max() : loop_.now() + std::chrono::milliseconds(50);
+        // Any other error, such as running out of descriptors, leaves connections in the backlog.
+        // Readiness is edge-triggered and not reported again for them, so try again after a while.
+        const bool backlogEmpty = errno == EAGAIN || errno == EWOULDBLOCK;
+        const TimePoint until = backlogEmpty ? TimePoint::max() : loop_.now() + acceptRetryInterval;
         const WakeReason woke = co_await loop_.wait(acceptable_, until, scope);
         if (woke == WakeReason::cancelled) co_return nullptr;
     }
--- a/src/runtime/socket_backend.cpp
+++ b/src/runtime/socket_backend.cpp
@@ -13,10 +13,11 @@
 namespace basaltchute {
 
 namespace {
-/// Connections that wait to be accepted: as many as thousands of workers open within a round trip.
+/// The most connections that wait to be accepted: thousands of workers may connect within one round
+/// trip.
 constexpr int acceptBacklog = 4096;
 
-void sendAtOnce(int fd) {
+void disableNagle(int fd) {
     const int one = 1;
     setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
 }
@@ -34,13 +35,13 @@
     if (fd < 0) return -1;
     const int rc = ::connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to);
     if (rc != 0 && errno != EINPROGRESS) {
-        const int why = errno;
+        const int savedErrno = errno;
         ::close(fd);
-        errno = why;
+        errno = savedErrno;
         return -1;
     }
     const int state = rc == 0 ? 0 : EINPROGRESS;
-    sendAtOnce(fd);
+    disableNagle(fd);
     errno = state;
     return fd;
 }
@@ -50,16 +51,16 @@
     setsockopt(fd, SOL_SOCKET, SO_REUSEADDR, &one, sizeof one);
     if (fd < 0 || ::bind(fd, reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0 ||
         ::listen(fd, acceptBacklog) != 0) {
-        const int why = errno;
+        const int savedErrno = errno;
         if (fd >= 0) ::close(fd);
-        throw std::system_error(why, std::generic_category(), "listen");
+        throw std::system_error(savedErrno, std::generic_category(), "listen");
     }
     return fd;
 }
 int EpollSocketBackend::accept(int fd) {
-    const int got = ::accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
-    if (got >= 0) sendAtOnce(got);
-    return got;
+    const int accepted = ::accept4(fd, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+    if (accepted >= 0) disableNagle(accepted);
+    return accepted;
 }
 ssize_t EpollSocketBackend::receive(int fd, std::span<char> into) {
     return ::recv(fd, into.data(), into.size(), 0);
@@ -106,12 +107,12 @@
 void EpollSocketBackend::unwatch(int fd) {
     epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr);
 }
-std::size_t EpollSocketBackend::wait(std::span<Ready> into, Duration most) {
+std::size_t EpollSocketBackend::wait(std::span<Ready> into, Duration timeout) {
     std::array<epoll_event, 64> events{};
-    const auto timeout = std::chrono::ceil<std::chrono::milliseconds>(most).count();
+    const auto timeoutMs = std::chrono::ceil<std::chrono::milliseconds>(timeout).count();
     const int n =
         epoll_wait(epoll_, events.data(), static_cast<int>(std::min(into.size(), events.size())),
-                   static_cast<int>(timeout));
+                   static_cast<int>(timeoutMs));
     for (int i = 0; i < n; ++i) {
         const auto& ev = events[static_cast<std::size_t>(i)];
         const bool broken = (ev.events & (EPOLLERR | EPOLLHUP)) != 0;
--- a/src/runtime/task.h
+++ b/src/runtime/task.h
@@ -6,8 +6,10 @@
 
 namespace basaltchute {
 
-/// A routine that starts when awaited and resumes its awaiter when it ends.
-/// GCC 12 destroys temporaries of an awaited expression early in some cases: callers bind
+/// A coroutine that starts when it is awaited and resumes its awaiter when it ends. It owns the
+/// coroutine frame. An exception that leaves the coroutine is thrown where it is awaited.
+///
+/// GCC 12 destroys temporaries of an awaited expression early in some cases, so callers bind
 /// awaited objects to named locals.
 template <typename T>
 class [[nodiscard]] Task;
