--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -23,6 +23,9 @@
 constexpr Duration userRequestTimeout = 4s;  // users wait for 5 s
 /// A relayed response about a job that may change is asked for again if it may be older than this.
 constexpr Duration maxResponseAge = 1s;
+/// From when no leader can be reached until this node reports that it cannot serve users.
+constexpr Duration leaderLossTolerance = 4s;
+constexpr Duration resignationDelay = 100ms;  // for the resignation to reach the state service
 constexpr Duration delegationInterval = 500ms, delegationTimeout = 1s;
 constexpr Duration heartbeatForwardTimeout = 3s;  // agents ignore a response after 4 s
 constexpr std::size_t maxShownJobs = 100, maxShownDependencies = 5;  // in the status response
@@ -237,8 +240,8 @@
     election_.resignPermanently();
     // The resignation gets a moment to reach the state service, so that the next leader need not
     // wait for this one's lease to run out.
-    Scope delay(loop_);
-    co_await loop_.sleep(100ms, delay);
+    Scope resignationScope(loop_);
+    co_await loop_.sleep(resignationDelay, resignationScope);
     co_await abandon();
     loop_.stop();
 }
@@ -511,7 +514,8 @@
                           !settings_.peers.empty() &&
                           std::none_of(settings_.peers.begin(), settings_.peers.end(),
                                        [&](const auto& p) { return peers_.connected(p.name); });
-    if ((onlyThisNodeCutOff || isolated) && loop_.now() - leaderLastReachableAt_ > 4s)
+    if ((onlyThisNodeCutOff || isolated) &&
+        loop_.now() - leaderLastReachableAt_ > leaderLossTolerance)
         return jsonResponse(503, "{}");
     return jsonResponse(200, "{}");
 }
--- a/src/controller/controller_test.cpp
+++ b/src/controller/controller_test.cpp
@@ -114,6 +114,13 @@
         out = co_await client.request(std::move(request), 5s, users);
         done = true;
     }
+    /// A heartbeat of an agent without tasks that has seen the fencing token.
+    static std::string heartbeat(unsigned sequence, unsigned token = 1) {
+        return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,)"
+               R"("stint":1,"tick":)" +
+               std::to_string(sequence) + R"(,"baton":)" + std::to_string(token) +
+               R"(,"recallS":null,"splits":[]})";
+    }
     void TearDown() override {
         for (auto& n : nodes) {
             if (!n->controller) continue;
@@ -293,7 +300,7 @@
     kill(first);
     world.run(6s);
     EXPECT_NE(leader(), first);
-    EXPECT_GT(token(), before) << "the counter goes on in its new field";
+    EXPECT_GT(token(), before) << "the counter continues in its new field";
 }
 
 TEST_F(ControllerTest, NodeDoesNotLeadIfItCannotReadTheStoredFormat) {
@@ -343,11 +350,6 @@
 
 TEST_F(ControllerTest, HeartbeatsReachTheLeaderThroughAnyNodeAndAHigherTokenEndsItsTerm) {
     start(2);
-    const auto heartbeat = [](unsigned sequence, unsigned token) {
-        return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
-               std::to_string(sequence) + R"(,"baton":)" + std::to_string(token) +
-               R"(,"recallS":null,"splits":[]})";
-    };
     for (std::size_t i = 0; i < 2; ++i) {
         const auto o = ask(i, "POST", "/agent/beat", heartbeat(static_cast<unsigned>(i) + 1, 0));
         EXPECT_EQ(o.response.status, 200);
@@ -361,10 +363,6 @@
     // An outage of 19 s once outlasted the agents' leases of 16 s, and every replica was killed.
     start(3);
     state.down = true;
-    const auto heartbeat = [](unsigned sequence) {
-        return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
-               std::to_string(sequence) + R"(,"baton":1,"recallS":null,"splits":[]})";
-    };
     for (unsigned s = 1; s <= 25; ++s) {
         world.run(1s);
         EXPECT_EQ(ask(s % 3, "POST", "/agent/beat", heartbeat(s)).response.status, 200)
@@ -381,11 +379,6 @@
     // A zone that was cut off for longer than a lease lost all its tasks: no node there could
     // answer heartbeats.
     start(2);
-    const auto heartbeat = [](unsigned sequence, unsigned token) {
-        return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
-               std::to_string(sequence) + R"(,"baton":)" + std::to_string(token) +
-               R"(,"recallS":null,"splits":[]})";
-    };
     ASSERT_EQ(ask(0, "POST", "/agent/beat", heartbeat(1, 0)).response.status, 200);
     const bool firstLeads = state.keys.at("lead/holder").data.find("rig-0") != std::string::npos;
     const std::size_t leader = firstLeads ? 0 : 1, delegate = firstLeads ? 1 : 0;
@@ -420,10 +413,6 @@
     state.down = true;
     world.run(2s);
     kill((leaderNode + 2) % 3);
-    const auto heartbeat = [](unsigned sequence) {
-        return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
-               std::to_string(sequence) + R"(,"baton":1,"recallS":null,"splits":[]})";
-    };
     const auto limits = lease_delegation::DelegationLimits::from(nodes[0]->settings);
     world.run(4s + limits.leaderSilenceTimeout);
     EXPECT_EQ(ask(leaderNode, "GET", "/v1/jobs/run-9").response.status, 503)
@@ -589,7 +578,7 @@
     ASSERT_TRUE(state.keys.contains("lead/holder")) << "its lease is still valid";
     launch(*nodes[0]);
     world.run(100ms);
-    EXPECT_EQ(token(), 2U) << "neither only after the lease has ended nor with the former key";
+    EXPECT_EQ(token(), 2U) << "at once, and with a leader key of its own";
     EXPECT_EQ(ask(0, "GET", "/v1/jobs/run-1").response.status, 200);
 }
 
@@ -720,10 +709,6 @@
     // A node that has just started has no delegation. When the nodes of a zone that was cut off
     // were restarted one after the other, the zone was left without any.
     start(3);
-    const auto heartbeat = [](unsigned sequence) {
-        return R"({"host":"n-1","addr":"127.0.0.1:1","rigKind":"box","hall":"a","loaners":false,"stint":1,"tick":)" +
-               std::to_string(sequence) + R"(,"baton":1,"recallS":null,"splits":[]})";
-    };
     const std::size_t leaderNode = leader();
     ASSERT_LT(leaderNode, 3U);
     const std::size_t first = (leaderNode + 1) % 3, second = (leaderNode + 2) % 3;
--- a/src/controller/leader_term.cpp
+++ b/src/controller/leader_term.cpp
@@ -13,6 +13,8 @@
 namespace {
 /// Until a user whose request is not durable yet is told to try again.
 constexpr Duration durabilityTimeout = 3s;
+constexpr Duration loadRetryDelay = 200ms;
+constexpr Duration commandTimeout = 2s;
 constexpr Duration probeTimeout = 900ms;
 constexpr std::size_t maxProbes = 3;  // in a row; then a silent machine counts as dead
 constexpr Duration autoscalerInterval = 1s;
@@ -27,8 +29,12 @@
 /// Runtime statistics: one record for each machine type, under the prefix.
 const std::string statisticsKey = "fleet/experience", statisticsPrefix = statisticsKey + '/';
 constexpr Duration statisticsInterval = 60s;
+constexpr Duration cloudPollInterval = 500ms;
+constexpr Duration machineListInterval = 2s;
+constexpr Duration catalogueInterval = 30s, catalogueRetryDelay = 500ms;
 /// First format of the stored state that has job dependencies and record pages.
 constexpr unsigned pagedFormat = 2;
+constexpr Duration formatRetryDelay = 1s;
 
 std::vector<lease_delegation::Delegator::Node> otherNodes(const settings::Settings& s) {
     std::vector<lease_delegation::Delegator::Node> out;
@@ -99,7 +105,7 @@
         if (jobRecords.status == kv_store::Status::ok)
             pageRecords = co_await store_.list(jobs::partKeyPrefix, scope_);
         if (pageRecords.status != kv_store::Status::ok) {
-            co_await loop_.sleep(200ms, scope_);
+            co_await loop_.sleep(loadRetryDelay, scope_);
             continue;
         }
         for (const auto* items : {&jobRecords.entries, &pageRecords.entries})
@@ -154,7 +160,7 @@
     raisingFormat_ = true;
     const bool enabled = co_await ensurePagedFormat();
     // Most likely some node runs an older version: a later write tries again.
-    if (!enabled) co_await loop_.sleep(1s, scope_);
+    if (!enabled) co_await loop_.sleep(formatRetryDelay, scope_);
     raisingFormat_ = false;
     if (!scope_.cancelled()) applyEffects();
 }
@@ -197,8 +203,9 @@
                 "POST", "/commands",
                 worker_api::encodeCommands(cluster_.token(), m.incarnation, commands)};
             worker_api::CommandSender::Target target = commandTarget(machine);
-            result = co_await commandSender_.send(std::move(target), std::move(request), 2s,
-                                                  /*insist=*/false, scope_);
+            result =
+                co_await commandSender_.send(std::move(target), std::move(request), commandTimeout,
+                                             /*insist=*/false, scope_);
         }
         if (scope_.cancelled()) co_return;
         const http::RequestOutcome& outcome = result.outcome;
@@ -267,15 +274,15 @@
         if (loop_.now() >= nextCatalogueAt) {
             auto catalogue = co_await cloud_.catalogue(scope_);
             if (catalogue) cluster_.setCatalogue(std::move(*catalogue));
-            nextCatalogueAt = loop_.now() + (catalogue ? Duration(30s) : Duration(500ms));
+            nextCatalogueAt = loop_.now() + (catalogue ? catalogueInterval : catalogueRetryDelay);
             wakeScheduler();
         }
         if (loop_.now() >= nextListAt) {
             const auto machines = co_await cloud_.list(scope_);
             if (machines) autoscaler_.onMachineList(*machines, loop_.now());
-            nextListAt = loop_.now() + 2s;
+            nextListAt = loop_.now() + machineListInterval;
         }
-        co_await loop_.sleep(500ms, scope_);
+        co_await loop_.sleep(cloudPollInterval, scope_);
     }
 }
 
--- a/src/peer_rpc/peer_rpc.capnp
+++ b/src/peer_rpc/peer_rpc.capnp
@@ -30,9 +30,9 @@
   format @8 :UInt16 = 1;  # the newest format of the stored state that the sender can read
 }
 
-# Asks the receiver not to campaign for `holdMs`. While the leader cannot reach the state service,
-# its lease may be extended only if every other node agrees. Answered by a Reply: status 200 if the
-# receiver agrees, else 409.
+# Asks the receiver not to campaign for `holdMs`. While no node reaches the state service, the
+# leader's lease may be extended only if every other node agrees. Answered by a Reply: status 200 if
+# the receiver agrees, else 409.
 struct Pledge {
   id @0 :UInt64;
   token @1 :UInt64;
--- a/src/peer_rpc/peer_rpc.cpp
+++ b/src/peer_rpc/peer_rpc.cpp
@@ -17,6 +17,7 @@
 namespace {
 
 constexpr std::size_t maxFrameBytes = 1024 * 1024;
+constexpr Duration connectTimeout = 1s, reconnectDelay = 300ms;
 constexpr Duration helloInterval = 500ms;
 /// Silence after which a peer counts as not connected: four Hellos are missing.
 constexpr Duration helloTimeout = 2s;
@@ -163,12 +164,12 @@
 
 PeerRpc::PeerRpc(EventLoop& loop, const settings::Settings& settings, Hooks hooks)
     : loop_(loop),
-      listen_(settings.peerListenAddress),
+      listenAddress_(settings.peerListenAddress),
       peers_(settings.peers),
       hooks_(std::move(hooks)) {}
 
 void PeerRpc::start(Scope& scope) {
-    listener_ = std::make_unique<Listener>(loop_, listen_);
+    listener_ = std::make_unique<Listener>(loop_, listenAddress_);
     scope.spawn(acceptConnections(scope));
     for (const auto& p : peers_) {
         lastHeardAt_[p.name] = loop_.now();
@@ -232,9 +233,9 @@
 Task<void> PeerRpc::keepConnected(settings::Peer peer, Scope& scope) {
     const auto to = parseAddress(peer.address);
     while (!scope.cancelled()) {
-        auto socket = co_await Socket::connect(loop_, *to, loop_.now() + 1s, scope);
+        auto socket = co_await Socket::connect(loop_, *to, loop_.now() + connectTimeout, scope);
         if (!socket) {
-            co_await loop_.wait(redialNow_.at(peer.name), loop_.now() + 300ms, scope);
+            co_await loop_.wait(redialNow_.at(peer.name), loop_.now() + reconnectDelay, scope);
             continue;
         }
         auto link = std::make_shared<Link>(loop_);
--- a/src/peer_rpc/peer_rpc.h
+++ b/src/peer_rpc/peer_rpc.h
@@ -103,7 +103,8 @@
     /// A connected node that says it is connected to the leader with that token; empty if there is
     /// none.
     [[nodiscard]] std::string peerConnectedToLeader(FencingToken token) const;
-    /// Whether that node supports delegations, by its last Hello.
+    /// Whether that node supports delegations, by its last Hello on the present connection; false
+    /// if there is none.
     [[nodiscard]] bool supportsDelegations(const std::string& node) const;
     /// Whether every other node supports transfers of delegations, by the last Hello that each has
     /// sent since this process started: any of them may lead next.
@@ -179,7 +180,7 @@
     void sendHello(Link& link);
 
     EventLoop& loop_;
-    std::string listen_;
+    std::string listenAddress_;
     std::vector<settings::Peer> peers_;
     Hooks hooks_;
     std::unique_ptr<Listener> listener_;
