--- a/src/scheduler/capacity_index.cpp
+++ b/src/scheduler/capacity_index.cpp
@@ -55,9 +55,9 @@
         group.cached[image].insert(capacity.free, machine);
     for (const auto& image : capacity.fetchingImages)
         group.fetching[image].insert(capacity.free, machine);
-    for (std::size_t rank = 0; rank < FreeCapacity::preemptingRanks; ++rank)
-        if (exceedsInAnyResource(capacity.reclaimable[rank], capacity.free))
-            group.reclaimable[rank].insert(capacity.reclaimable[rank], machine);
+    for (std::size_t priority = 0; priority < FreeCapacity::preemptingPriorities; ++priority)
+        if (exceedsInAnyResource(capacity.reclaimable[priority], capacity.free))
+            group.reclaimable[priority].insert(capacity.reclaimable[priority], machine);
     for (auto& [name, warm] : warmClasses_) updateFreeReplicas(warm, capacity, true);
 }
 
@@ -73,8 +73,8 @@
     group.all.erase(capacity.free, machine);
     for (const auto& image : capacity.cachedImages) removeFromSet(group.cached, image);
     for (const auto& image : capacity.fetchingImages) removeFromSet(group.fetching, image);
-    for (std::size_t rank = 0; rank < FreeCapacity::preemptingRanks; ++rank)
-        group.reclaimable[rank].erase(capacity.reclaimable[rank], machine);
+    for (std::size_t priority = 0; priority < FreeCapacity::preemptingPriorities; ++priority)
+        group.reclaimable[priority].erase(capacity.reclaimable[priority], machine);
     for (auto& [name, warm] : warmClasses_) updateFreeReplicas(warm, capacity, false);
     if (group.all.empty()) machineGroups_.erase(at);
 }
@@ -87,9 +87,9 @@
     }
     bool hasMore = fresh || exceedsInAnyResource(capacity.free, it->second.free) ||
                    capacity.reservationDistance > it->second.reservationDistance;
-    for (std::size_t rank = 0; rank < FreeCapacity::preemptingRanks; ++rank)
-        hasMore = hasMore ||
-                  exceedsInAnyResource(capacity.reclaimable[rank], it->second.reclaimable[rank]);
+    for (std::size_t priority = 0; priority < FreeCapacity::preemptingPriorities; ++priority)
+        hasMore = hasMore || exceedsInAnyResource(capacity.reclaimable[priority],
+                                                  it->second.reclaimable[priority]);
     if (hasMore) ++increaseCount_;
     it->second = capacity;
     addToIndex(machine, capacity);
@@ -102,11 +102,12 @@
     capacities_.erase(it);
 }
 
-void CapacityIndex::addWarmDemand(const std::string& jobClass, Priority rank, const Resources& each,
-                                  const std::string& image, std::uint32_t tasks) {
+void CapacityIndex::addWarmDemand(const std::string& jobClass, Priority priority,
+                                  const Resources& each, const std::string& image,
+                                  std::uint32_t tasks) {
     WarmClass& warm = warmClasses_[jobClass];
     ++warm.jobs[image];
-    warm.rank = rank;
+    warm.priority = priority;
     warm.replicasPerImage = std::max(warm.replicasPerImage, tasks);
     // The maximum over the jobs, in each resource. It changes a few times at most, however much the
     // jobs differ, so that the replicas are seldom counted again.
@@ -128,13 +129,13 @@
 }
 
 bool CapacityIndex::leavesEnoughWarmCapacity(MachineIndex machine, const Resources& taken,
-                                             Priority rank) const {
+                                             Priority priority) const {
     const FreeCapacity* capacity = find(machine);
     if (capacity == nullptr || capacity->spot || capacity->outboundPartitioned) return true;
     Resources left = capacity->free;
     left -= taken;
     for (const auto& [name, warm] : warmClasses_) {
-        if (warm.rank >= rank) continue;
+        if (warm.priority >= priority) continue;
         const std::uint32_t before = maxReplicasThatFit(warm.perTask, capacity->free),
                             after = maxReplicasThatFit(warm.perTask, left);
         if (after == before) continue;
@@ -164,7 +165,7 @@
     for (const auto& [name, warm] : warmClasses_)
         for (const auto& [image, jobs] : warm.jobs)
             for (std::uint32_t i = 0; i < jobs; ++i)
-                recounted.addWarmDemand(name, warm.rank, warm.perTask, image,
+                recounted.addWarmDemand(name, warm.priority, warm.perTask, image,
                                         warm.replicasPerImage);
     for (const auto& [machine, capacity] : capacities_) recounted.update(machine, capacity);
     return recounted;
--- a/src/scheduler/capacity_index.h
+++ b/src/scheduler/capacity_index.h
@@ -41,10 +41,11 @@
     bool outboundPartitioned = false;  // nothing renews its lease, so tasks on it end with that
     int reservationDistance = 2;       // see `cells::CellPool::distanceToBoundCells`
     Resources free;                    // capacity less everything that is possibly on the machine
-    /// How many ranks may preempt: all but the lowest.
-    static constexpr std::size_t preemptingRanks = 3;
-    /// By rank: what would be free if everything that work of the rank may preempt were stopped.
-    std::array<Resources, preemptingRanks> reclaimable;
+    /// How many priorities may preempt others: all but the lowest.
+    static constexpr std::size_t preemptingPriorities = 3;
+    /// By priority: what would be free if everything that work of the priority may preempt were
+    /// stopped.
+    std::array<Resources, preemptingPriorities> reclaimable;
     std::vector<std::string> cachedImages;    // sorted
     std::vector<std::string> fetchingImages;  // being fetched for tasks on the machine; sorted
 
@@ -94,7 +95,7 @@
     struct MachineGroup {
         CapacitySet all;
         std::map<std::string, CapacitySet> cached, fetching;  // by image
-        std::array<CapacitySet, FreeCapacity::preemptingRanks> reclaimable;
+        std::array<CapacitySet, FreeCapacity::preemptingPriorities> reclaimable;
         bool operator==(const MachineGroup&) const = default;
     };
     /// The properties that the machines of a group share. Groups are iterated in the order of these
@@ -126,14 +127,14 @@
     // counts while a job that uses it is open.
 
     /// A job of the class has been opened, with `tasks` tasks that need `each`.
-    void addWarmDemand(const std::string& jobClass, Priority rank, const Resources& each,
+    void addWarmDemand(const std::string& jobClass, Priority priority, const Resources& each,
                        const std::string& image, std::uint32_t tasks);
     /// A job of the class has been closed.
     void removeWarmDemand(const std::string& jobClass, const std::string& image);
-    /// Whether work of this rank may take `taken` on the machine and still leave enough warm
-    /// capacity to the ranks above it.
+    /// Whether work of this priority may take `taken` on the machine and still leave enough warm
+    /// capacity to higher priorities.
     [[nodiscard]] bool leavesEnoughWarmCapacity(MachineIndex machine, const Resources& taken,
-                                                Priority rank) const;
+                                                Priority priority) const;
 
     /// The share of the images of all warm classes that the machine has, from 0 to 1.
     [[nodiscard]] double imageLocality(MachineIndex machine) const;
@@ -146,7 +147,7 @@
 
   private:
     struct WarmClass {
-        Priority rank = Priority::production;
+        Priority priority = Priority::production;
         Resources perTask;                   // the maximum over its jobs, in each resource
         std::uint32_t replicasPerImage = 3;  // to keep free, at least as many as any job has tasks
         std::map<std::string, std::uint32_t> jobs;          // open ones, by image
--- a/src/scheduler/cluster.h
+++ b/src/scheduler/cluster.h
@@ -56,9 +56,9 @@
     accepted,
     alreadyKnown,
     unknownTeam,
-    fitsNoMachine,
-    overTeamLimit,
-    contradictoryPlacement
+    fitsNoMachine,          // a task is too large for every allowed machine type
+    overTeamLimit,          // it can never run within the limit of its team
+    contradictoryPlacement  // all tasks in one zone, yet spread over zones
 };
 
 /// The state of the cluster as one leader knows it. See the top of this file.
@@ -469,9 +469,9 @@
     /// Waiting jobs of each team in reverse order: the next one is last.
     using TeamQueues = std::map<std::string, std::vector<Job*>>;
     [[nodiscard]] TeamQueues queuesByTeam(const std::vector<Job*>& waiting, TimePoint now) const;
-    /// Places jobs of one rank. `budget`: how many more tasks this pass may place. Returns true if
-    /// it ran out first.
-    bool placeRank(const std::vector<Job*>& waiting, std::size_t& budget, TimePoint now);
+    /// Places jobs of one priority. `budget`: how many more tasks this pass may place. Returns true
+    /// if it ran out first.
+    bool placeJobsOfPriority(const std::vector<Job*>& waiting, std::size_t& budget, TimePoint now);
     /// Places a task of the job, or all of a gang. Returns false if no more of the job can be
     /// placed in this pass.
     bool placeNextTask(Job& job, TimePoint now);
@@ -489,7 +489,8 @@
     /// The same, less what is reclaimed for other jobs or planned for this one.
     [[nodiscard]] Resources capacityOnceStoppedFor(const Job& job, MachineIndex machine,
                                                    const PlannedPlacements& planned) const;
-    [[nodiscard]] bool mayPreempt(Priority rank, const worker_api::Allocation& allocation) const;
+    [[nodiscard]] bool mayPreempt(Priority priority,
+                                  const worker_api::Allocation& allocation) const;
     /// The cheapest preemption on this machine. Empty if it frees too little, or costs as much as
     /// `best` or more.
     [[nodiscard]] std::optional<PreemptionPlan> planPreemption(const Job& job, MachineIndex machine,
@@ -500,7 +501,7 @@
     [[nodiscard]] PreemptionPlan cheapestPreemption(const Job& job,
                                                     const PlannedPlacements& planned,
                                                     TimePoint now) const;
-    /// Stops work of lower rank until there will be capacity for `tasks` tasks of the job.
+    /// Stops work of lower priority until there will be capacity for `tasks` tasks of the job.
     void preemptFor(const Job& job, std::uint32_t tasks, TimePoint now);
     /// Stops allocations that `victim` accepts until a task of the job fits on the machine. Returns
     /// whether it fits already.
--- a/src/scheduler/dependency_tracking.cpp
+++ b/src/scheduler/dependency_tracking.cpp
@@ -182,11 +182,11 @@
     const dependencies::InheritedUrgency inherited = dependencies_.inheritedUrgency(job.spec.id);
     job.inheritedDeadlines = inherited.deadlines;
     hasNewWork_ = true;
-    const Priority rank = std::min(job.spec.priority, inherited.priority);
-    if (rank == job.effectivePriority) return;
-    job.effectivePriority = rank;
+    const Priority effective = std::min(job.spec.priority, inherited.priority);
+    if (effective == job.effectivePriority) return;
+    job.effectivePriority = effective;
     if (job.boundCount == 0) return;
-    // The new rank changes which jobs may preempt its tasks.
+    // The new priority changes which jobs may preempt its tasks.
     for (const auto& t : job.tasks)
         if (t.state == TaskState::bound) markCapacityDirty(t.machine);
 }
--- a/src/scheduler/free_capacity.cpp
+++ b/src/scheduler/free_capacity.cpp
@@ -59,9 +59,9 @@
     for (const auto& [image, used] : m.images) capacity.cachedImages.push_back(image);
     for (const Allocation& allocation : m.allocations) {
         const JobSpec& spec = allocation.job->spec;
-        for (std::size_t rank = 0; rank < FreeCapacity::preemptingRanks; ++rank)
-            if (mustStop(allocation) || mayPreempt(static_cast<Priority>(rank), allocation))
-                capacity.reclaimable[rank] += spec.demand;
+        for (std::size_t priority = 0; priority < FreeCapacity::preemptingPriorities; ++priority)
+            if (mustStop(allocation) || mayPreempt(static_cast<Priority>(priority), allocation))
+                capacity.reclaimable[priority] += spec.demand;
         capacity.hasServices = capacity.hasServices || spec.shape == Shape::service;
         if (!m.images.contains(spec.image)) capacity.fetchingImages.push_back(spec.image);
     }
--- a/src/scheduler/job_lifecycle.cpp
+++ b/src/scheduler/job_lifecycle.cpp
@@ -45,7 +45,7 @@
     Job& submitted = *job;
     jobs_[spec.id] = std::move(job);
     spdlog::debug(
-        "job is submitted: job={} class={} tasks={} cores={} estimate_s={:.0f} rank={} "
+        "job is submitted: job={} class={} tasks={} cores={} estimate_s={:.0f} priority={} "
         "checkpoint_interval_s={}",
         spec.id, spec.jobClass, spec.tasks, spec.demand.cores, spec.estimatedRuntimeS,
         static_cast<int>(spec.priority), spec.checkpointIntervalS);
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -101,7 +101,7 @@
         return false;
     Resources free = capacityIndex_.find(machine)->free;
     if (const auto p = planned.find(machine); p != planned.end()) free -= p->second.demand;
-    // Capacity that is being reclaimed is withheld from other jobs of the same or a lower rank.
+    // Capacity that is being reclaimed is withheld from other jobs of the same or a lower priority.
     // Otherwise preempted jobs once took each part of it back as it was freed, only to be stopped
     // again in the next pass.
     const auto [from, to] = reclaimedFor_.equal_range(machine);
@@ -196,11 +196,11 @@
     increaseCountAtLastPass_ = capacityIndex_.increaseCount();
     lastPassAt_ = now;
     estimates_.measureDrainRate(openJobs_, now);
-    std::map<Priority, std::vector<Job*>> ranks;
+    std::map<Priority, std::vector<Job*>> jobsByPriority;
     for (Job* job : waiting_)
-        if (now >= job->backOffUntil) ranks[job->effectivePriority].push_back(job);
-    for (const auto& [rank, waiting] : ranks)
-        if (placeRank(waiting, maxTasks, now)) return true;
+        if (now >= job->backOffUntil) jobsByPriority[job->effectivePriority].push_back(job);
+    for (const auto& [priority, waiting] : jobsByPriority)
+        if (placeJobsOfPriority(waiting, maxTasks, now)) return true;
     return false;
 }
 
@@ -212,9 +212,11 @@
     return queues;
 }
 
-bool Cluster::placeRank(const std::vector<Job*>& waiting, std::size_t& budget, TimePoint now) {
+bool Cluster::placeJobsOfPriority(const std::vector<Job*>& waiting, std::size_t& budget,
+                                  TimePoint now) {
     TeamQueues queues = queuesByTeam(waiting, now);
-    // Max-min fairness within a rank: the next task is of the team with the least weighted usage.
+    // Max-min fairness within a priority: the next task is of the team with the least weighted
+    // usage.
     const auto usesLess = [&](const auto& a, const auto& b) {
         return quota_.weightedUsage(a.first) < quota_.weightedUsage(b.first);
     };
--- a/src/scheduler/preemption.cpp
+++ b/src/scheduler/preemption.cpp
@@ -3,7 +3,7 @@
 
 #include "scheduler/cluster.h"
 
-// Preemption: which work is stopped to make room for work of a higher rank.
+// Preemption: which work is stopped to make room for work of a higher priority.
 
 namespace basaltchute::scheduler {
 
@@ -60,9 +60,9 @@
     return false;
 }
 
-bool Cluster::mayPreempt(Priority rank, const Allocation& allocation) const {
+bool Cluster::mayPreempt(Priority priority, const Allocation& allocation) const {
     return !mustStop(allocation) && allocation.cells.empty() &&
-           allocation.job->effectivePriority > rank;
+           allocation.job->effectivePriority > priority;
 }
 
 std::optional<Cluster::PreemptionPlan> Cluster::planPreemption(const Job& job, MachineIndex machine,
--- a/src/scheduler/queue_order.h
+++ b/src/scheduler/queue_order.h
@@ -1,5 +1,5 @@
 #pragma once
-// The order in which waiting jobs of one rank are placed.
+// The order in which waiting jobs of one priority are placed.
 //
 // Jobs are ordered by how many of their objectives they can no longer meet, then by the latest
 // start that still meets the next one (earliest deadline first). Where the jobs cannot all meet
@@ -42,7 +42,7 @@
     const Job& job, const std::vector<settings::Objective>& objectives, Duration runTime,
     TimePoint now, std::size_t conceded = 0);
 
-/// Returns the jobs, all of one rank, in the order in which they are to be placed.
+/// Returns the jobs, all of one priority, in the order in which they are to be placed.
 [[nodiscard]] std::vector<QueueEntry> queueOrder(const std::vector<Job*>& jobs,
                                                  const std::vector<settings::Objective>& objectives,
                                                  const RuntimeEstimates& estimates, TimePoint now);
--- a/src/scheduler/queue_order_test.cpp
+++ b/src/scheduler/queue_order_test.cpp
@@ -46,7 +46,7 @@
             ids.push_back(entry.job->spec.id);
         return ids;
     }
-    /// Makes the drain rate of the jobs' rank that many cores per second.
+    /// Makes the drain rate of the jobs' priority that many cores per second.
     void setDrainRate(double coresPerS) {
         Job running;
         running.spec.estimatedRuntimeS = 1;
--- a/src/scheduler/runtime_estimates.cpp
+++ b/src/scheduler/runtime_estimates.cpp
@@ -12,7 +12,7 @@
 constexpr double maxLogBias = 2.0;           // one run counts at most as e^2 times its estimate
 constexpr Duration shiftCheckInterval = 5s;  // between two checks for biases that have changed
 constexpr double significantShift = 0.1;     // of the logarithmic bias
-constexpr double lastTaskFactor = 0.25;      // the last of n tasks takes longer, by this times ln n
+constexpr double lastTaskFactor = 0.25;      // the last of n tasks takes longer by this times ln n
 constexpr Duration handoverDelay = 2s;       // to report and write a result, and to send a command
 constexpr std::size_t maxLeadTimesPerClass = 20;  // the most recent ones
 constexpr Duration drainRateInterval = 1s;        // between two measurements
@@ -77,13 +77,15 @@
     std::array<double, 4> cores{}, coreSeconds{};
     for (const Job* job : openJobs) {
         if (job->spec.shape == Shape::service || job->boundCount == 0) continue;
-        const auto rank = static_cast<std::size_t>(job->effectivePriority);
+        const auto priority = static_cast<std::size_t>(job->effectivePriority);
         const double bound = job->spec.demand.cores * job->boundCount;
-        cores[rank] += bound;
-        coreSeconds[rank] += bound * std::max(minRunTimeS, toSeconds(estimatedRunTime(job->spec)));
+        cores[priority] += bound;
+        coreSeconds[priority] +=
+            bound * std::max(minRunTimeS, toSeconds(estimatedRunTime(job->spec)));
     }
-    for (std::size_t rank = 0; rank < drainRate_.size(); ++rank)
-        drainRate_[rank] = cores[rank] > 0 ? cores[rank] * cores[rank] / coreSeconds[rank] : 0;
+    for (std::size_t priority = 0; priority < drainRate_.size(); ++priority)
+        drainRate_[priority] =
+            cores[priority] > 0 ? cores[priority] * cores[priority] / coreSeconds[priority] : 0;
 }
 
 }  // namespace basaltchute::scheduler
--- a/src/scheduler/runtime_estimates.h
+++ b/src/scheduler/runtime_estimates.h
@@ -3,8 +3,8 @@
 //
 // State: the bias of owners' estimates for each job class, the bias that the durations in the
 // dependency graph were last computed with, recent arrival lead times, and the drain rate of each
-// rank. All of it is in memory only, so that a new leader starts without observations. The class
-// depends on nothing but its arguments. Called by `Cluster`: reconciliation records runs and
+// priority. All of it is in memory only, so that a new leader starts without observations. The
+// class depends on nothing but its arguments. Called by `Cluster`: reconciliation records runs and
 // placement measures the drain rate, while queue order and dependency tracking only read.
 #include <array>
 #include <deque>
@@ -46,19 +46,19 @@
     /// release they were known. Zero if none of them had dependencies.
     [[nodiscard]] Duration arrivalLeadTime(const std::string& jobClass) const;
 
-    /// Measures the drain rate of each rank, unless that was done a moment ago.
+    /// Measures the drain rate of each priority, unless that was done a moment ago.
     void measureDrainRate(const std::vector<Job*>& openJobs, TimePoint now);
-    /// How many cores the bound tasks of the rank free each second, by their estimated run times.
-    /// Services do not end and do not count. 0 if nothing of the rank runs.
-    [[nodiscard]] double drainRate(Priority rank) const {
-        return drainRate_[static_cast<std::size_t>(rank)];
+    /// How many cores the bound tasks of the priority free each second, by their estimated run
+    /// times. Services do not end and do not count. 0 if nothing of the priority runs.
+    [[nodiscard]] double drainRate(Priority priority) const {
+        return drainRate_[static_cast<std::size_t>(priority)];
     }
 
   private:
     std::unordered_map<std::string, double> logBias_;  // log(run time / estimate), by class
     std::map<std::string, double> appliedLogBias_;     // as last returned by takeShiftedClasses
     std::map<std::string, std::deque<Duration>> leadTimes_;  // of the last few jobs, by class
-    std::array<double, 4> drainRate_{};                      // by rank
+    std::array<double, 4> drainRate_{};                      // by priority
     TimePoint lastShiftCheckAt_{}, drainRateMeasuredAt_{};
 };
 
--- a/src/scheduler/runtime_estimates_test.cpp
+++ b/src/scheduler/runtime_estimates_test.cpp
@@ -86,7 +86,7 @@
     EXPECT_EQ(estimates.arrivalLeadTime("etl"), Duration::zero());
 }
 
-TEST(RuntimeEstimates, DrainRateIsCoresOverMeanRunTimeByRankWithoutServices) {
+TEST(RuntimeEstimates, DrainRateIsCoresOverMeanRunTimeByPriorityWithoutServices) {
     RuntimeEstimates estimates;
     Job batch, service;
     batch.spec = specOf("etl", 10);
