--- a/src/scheduler/cluster.h
+++ b/src/scheduler/cluster.h
@@ -56,7 +56,7 @@
     accepted,
     alreadyKnown,
     unknownTeam,
-    fitsNoMachine,          // a task is too large for every allowed machine type
+    fitsNoMachine,          // no allowed type in its zone can hold one of its tasks
     overTeamLimit,          // it can never run within the limit of its team
     contradictoryPlacement  // all tasks in one zone, yet spread over zones
 };
