--- a/src/autoscaler/catalogue.h
+++ b/src/autoscaler/catalogue.h
@@ -10,9 +10,9 @@
 struct MachineType {
     std::string name;
     Resources capacity;
-    double cacheGb = 0, fetchGbPerS = 1;
+    double imageCacheGb = 0, fetchGbPerS = 1;
     double price = 0, spotPrice = 0;
-    Duration boot{};
+    Duration bootTime{};
     std::vector<std::string> zones;
 };
 using Catalogue = std::map<std::string, MachineType>;
--- a/src/autoscaler/cloud_client.cpp
+++ b/src/autoscaler/cloud_client.cpp
@@ -32,7 +32,7 @@
     co_return outcome;
 }
 
-Task<std::optional<Catalogue>> CloudClient::catalogue(Scope& scope) {
+Task<std::optional<Catalogue>> CloudClient::fetchCatalogue(Scope& scope) {
     http::Request request{"GET", "/catalog", ""};
     auto o = co_await send(std::move(request), scope);
     if (!o.answered || o.response.status != 200) co_return std::nullopt;
@@ -48,11 +48,11 @@
         t.name = json::string(r, "sku").value_or("");
         t.capacity = {json::number(r, "cores").value_or(0), json::number(r, "gpus").value_or(0),
                       json::number(r, "ramGb").value_or(0)};
-        t.cacheGb = json::number(r, "localGb").value_or(0);
+        t.imageCacheGb = json::number(r, "localGb").value_or(0);
         t.fetchGbPerS = json::number(r, "fetchGbPerS").value_or(1);
         t.price = json::number(r, "rate").value_or(0);
         t.spotPrice = json::number(r, "marketPrice").value_or(t.price);
-        t.boot = fromSeconds(json::number(r, "readyS").value_or(60));
+        t.bootTime = fromSeconds(json::number(r, "readyS").value_or(60));
         if (const auto* halls = json::array(r, "halls"))
             for (const auto& h : halls->GetArray())
                 if (h.IsString()) t.zones.emplace_back(h.GetString());
@@ -61,7 +61,7 @@
     co_return out;
 }
 
-Task<std::optional<std::vector<ListedMachine>>> CloudClient::list(Scope& scope) {
+Task<std::optional<std::vector<ListedMachine>>> CloudClient::listMachines(Scope& scope) {
     std::vector<ListedMachine> all;
     std::string after;
     while (true) {
@@ -92,10 +92,14 @@
     }
 }
 
-Task<CloudClient::ScaleOutResult> CloudClient::rent(ScaleOutRequest rent, Scope& scope) {
+Task<CloudClient::ScaleOutResult> CloudClient::createMachines(ScaleOutRequest wanted,
+                                                              Scope& scope) {
     json::Writer out;
-    out.open().field("booking", rent.booking).field("rigKind", rent.type).field("hall", rent.zone);
-    out.field("loaners", rent.spot).field("howMany", rent.count).close();
+    out.open()
+        .field("booking", wanted.booking)
+        .field("rigKind", wanted.type)
+        .field("hall", wanted.zone);
+    out.field("loaners", wanted.spot).field("howMany", wanted.count).close();
     http::Request request{"POST", "/hosts", out.text()};
     auto o = co_await send(std::move(request), scope, keptForDeletions);
     ScaleOutResult result;
@@ -117,7 +121,7 @@
     co_return result;
 }
 
-Task<bool> CloudClient::remove(std::vector<std::string> names, Scope& scope) {
+Task<bool> CloudClient::deleteMachines(std::vector<std::string> names, Scope& scope) {
     json::Writer out;
     out.open().key("hosts").openArray();
     for (const auto& n : names) out.value(n);
--- a/src/autoscaler/cloud_client.h
+++ b/src/autoscaler/cloud_client.h
@@ -14,16 +14,16 @@
     /// `mayAct` is asked right before anything is sent: the right may have ended while a call
     /// waited for its turn.
     CloudClient(EventLoop& loop, const settings::Settings& settings, std::function<bool()> mayAct);
-    Task<std::optional<Catalogue>> catalogue(Scope& scope);
-    Task<std::optional<std::vector<ListedMachine>>> list(Scope& scope);
+    Task<std::optional<Catalogue>> fetchCatalogue(Scope& scope);
+    Task<std::optional<std::vector<ListedMachine>>> listMachines(Scope& scope);
     enum class Answer { ok, refused, unknown };
     struct ScaleOutResult {
         Answer answer = Answer::unknown;
         std::vector<std::string> names;
     };
-    Task<ScaleOutResult> rent(ScaleOutRequest rent, Scope& scope);
+    Task<ScaleOutResult> createMachines(ScaleOutRequest wanted, Scope& scope);
     /// True once the cloud has said that the machines and all on them are gone.
-    Task<bool> remove(std::vector<std::string> names, Scope& scope);
+    Task<bool> deleteMachines(std::vector<std::string> names, Scope& scope);
 
   private:
     /// `reserve`: calls that are left in the budget for others.
--- a/src/autoscaler/demand.cpp
+++ b/src/autoscaler/demand.cpp
@@ -29,7 +29,7 @@
         if (c.perTask.cores > has.cores || c.perTask.ramGb > has.ramGb || c.perTask.gpus > has.gpus)
             continue;
         const Duration fetch = fromSeconds(c.imageGb / std::max(t.fetchGbPerS, 1e-3));
-        soonest = std::min(soonest, statistics_.bootTime(name, t.boot, q) + fetch);
+        soonest = std::min(soonest, statistics_.bootTime(name, t.bootTime, q) + fetch);
     }
     return soonest == Duration::max() ? soonest : soonest + noticeAndOrder;
 }
--- a/src/autoscaler/failure_detection.cpp
+++ b/src/autoscaler/failure_detection.cpp
@@ -38,7 +38,7 @@
     for (auto it = booting_.begin(); it != booting_.end();) {
         const auto index = cluster_.machines().find(it->first);
         const auto type = cluster_.catalogue().find(std::get<0>(it->second.pool));
-        const Duration boot = type == cluster_.catalogue().end() ? 60s : type->second.boot;
+        const Duration boot = type == cluster_.catalogue().end() ? 60s : type->second.bootTime;
         if (index && cluster_.machines()[*index].presence != Presence::expected) {
             const Machine& m = cluster_.machines()[*index];
             // Those of a former leader's days only had to find this one.
--- a/src/autoscaler/wire_format_test.cpp
+++ b/src/autoscaler/wire_format_test.cpp
@@ -32,18 +32,18 @@
                    R"({"rigs":[{"sku":"g4","cores":16.0,"gpus":4.0,"ramGb":64.0,"localGb":200.0,)"
                    R"("fetchGbPerS":0.5,"rate":3.25,"marketPrice":1.5,"readyS":90.0,)"
                    R"("halls":["north","south"]},{"sku":"c8","rate":2.0}]})");
-    const auto catalogue = finish(world, cloud.catalogue(world.scope));
+    const auto catalogue = finish(world, cloud.fetchCatalogue(world.scope));
     EXPECT_EQ(service.takeRequests(), Requests{"GET /catalog"});
     ASSERT_TRUE(catalogue);
     ASSERT_EQ(catalogue->size(), 2U);
     const MachineType& type = catalogue->at("g4");
     EXPECT_EQ(type.name, "g4");
     EXPECT_EQ(type.capacity, (Resources{16, 4, 64}));
-    EXPECT_EQ(type.cacheGb, 200);
+    EXPECT_EQ(type.imageCacheGb, 200);
     EXPECT_EQ(type.fetchGbPerS, 0.5);
     EXPECT_EQ(type.price, 3.25);
     EXPECT_EQ(type.spotPrice, 1.5);
-    EXPECT_EQ(type.boot, Duration(90s));
+    EXPECT_EQ(type.bootTime, Duration(90s));
     EXPECT_EQ(type.zones, (std::vector<std::string>{"north", "south"}));
     EXPECT_EQ(catalogue->at("c8").spotPrice, 2);
 }
@@ -59,7 +59,7 @@
                                    R"("loaners":false,"status":"starting","ageS":1.0}],)"
                                    R"("truncated":false})"};
     });
-    const auto machines = finish(world, cloud.list(world.scope));
+    const auto machines = finish(world, cloud.listMachines(world.scope));
     EXPECT_EQ(service.takeRequests(),
               (Requests{"GET /hosts?page=500", "GET /hosts?page=500&after=n-1"}));
     ASSERT_TRUE(machines);
@@ -85,16 +85,18 @@
     rent.spot = true;
     rent.count = 3;
     service.answer(200, R"({"hosts":["n-1","n-2","n-3"]})");
-    const auto rented = finish(world, cloud.rent(rent, world.scope));
+    const auto rented = finish(world, cloud.createMachines(rent, world.scope));
     EXPECT_EQ(service.takeRequests(),
               Requests{R"(POST /hosts {"booking":"b-9-1","rigKind":"c8","hall":"north",)"
                        R"("loaners":true,"howMany":3})"});
     EXPECT_EQ(rented.answer, CloudClient::Answer::ok);
     EXPECT_EQ(rented.names, (std::vector<std::string>{"n-1", "n-2", "n-3"}));
     service.answer(409, R"({"error":"no capacity"})");
-    EXPECT_EQ(finish(world, cloud.rent(rent, world.scope)).answer, CloudClient::Answer::refused);
+    EXPECT_EQ(finish(world, cloud.createMachines(rent, world.scope)).answer,
+              CloudClient::Answer::refused);
     service.answer(200, "{}");
-    EXPECT_EQ(finish(world, cloud.rent(rent, world.scope)).answer, CloudClient::Answer::unknown);
+    EXPECT_EQ(finish(world, cloud.createMachines(rent, world.scope)).answer,
+              CloudClient::Answer::unknown);
 }
 
 TEST_F(CloudWireFormat, BookingNames) {
@@ -113,10 +115,10 @@
 
 TEST_F(CloudWireFormat, DeleteRequestAndResponses) {
     service.answer(200, "{}");
-    EXPECT_TRUE(finish(world, cloud.remove({"n-1", "n-2"}, world.scope)));
+    EXPECT_TRUE(finish(world, cloud.deleteMachines({"n-1", "n-2"}, world.scope)));
     EXPECT_EQ(service.takeRequests(), Requests{R"(POST /hosts/delete {"hosts":["n-1","n-2"]})"});
     service.answer(503, "{}");
-    EXPECT_FALSE(finish(world, cloud.remove({"n-1"}, world.scope)));
+    EXPECT_FALSE(finish(world, cloud.deleteMachines({"n-1"}, world.scope)));
 }
 
 }  // namespace
--- a/src/controller/leader_term.cpp
+++ b/src/controller/leader_term.cpp
@@ -272,13 +272,13 @@
     TimePoint nextCatalogueAt{}, nextListAt{};
     while (!scope_.cancelled()) {
         if (loop_.now() >= nextCatalogueAt) {
-            auto catalogue = co_await cloud_.catalogue(scope_);
+            auto catalogue = co_await cloud_.fetchCatalogue(scope_);
             if (catalogue) cluster_.setCatalogue(std::move(*catalogue));
             nextCatalogueAt = loop_.now() + (catalogue ? catalogueInterval : catalogueRetryDelay);
             wakeScheduler();
         }
         if (loop_.now() >= nextListAt) {
-            const auto machines = co_await cloud_.list(scope_);
+            const auto machines = co_await cloud_.listMachines(scope_);
             if (machines) autoscaler_.onMachineList(*machines, loop_.now());
             nextListAt = loop_.now() + machineListInterval;
         }
@@ -300,7 +300,7 @@
                 scope_.spawn(probeSilentMachine(machine));
         if (!plan.terminate.empty() && mayAct()) {
             const TimePoint requestedAt = loop_.now();
-            const bool terminated = co_await cloud_.remove(plan.terminate, scope_);
+            const bool terminated = co_await cloud_.deleteMachines(plan.terminate, scope_);
             if (scope_.cancelled()) co_return;
             spdlog::debug("{}: count={} duration={:.2f}s",
                           terminated ? "machines terminated" : "machines not terminated",
@@ -361,7 +361,7 @@
 
 Task<void> LeaderTerm::scaleOut(autoscaler::ScaleOutRequest request) {
     autoscaler::CloudClient::ScaleOutResult result;
-    if (mayAct()) result = co_await cloud_.rent(request, scope_);
+    if (mayAct()) result = co_await cloud_.createMachines(request, scope_);
     if (scope_.cancelled()) co_return;
     if (result.answer == autoscaler::CloudClient::Answer::ok)
         autoscaler_.onScaledOut(request, result.names, loop_.now());
--- a/src/scheduler/allocations.cpp
+++ b/src/scheduler/allocations.cpp
@@ -140,7 +140,7 @@
     quota_.removeMachine(machine, m);
     // The machine itself stays registered, so that a late report does not bring it back. What was
     // known of its contents is dropped.
-    m.images.clear();
+    m.cachedImages.clear();
     m.tombstones.clear();
     m.terminalStatuses.clear();
     m.unknownTasks.clear();
@@ -176,7 +176,7 @@
 }
 
 TimePoint Cluster::leaseEndWithoutRenewal(const Machine& m, TimePoint now) const {
-    return m.answeredAt == TimePoint{} ? now : m.answeredAt + settings_.lease;
+    return m.lastAnsweredAt == TimePoint{} ? now : m.lastAnsweredAt + settings_.lease;
 }
 
 void Cluster::stopCheckpointingTasksBefore(MachineIndex machine, TimePoint until, TimePoint now) {
@@ -201,9 +201,9 @@
 
 void Cluster::scheduleTimer(MachineIndex machine, TimePoint at) {
     Machine& m = machines_[machine];
-    if (at >= m.timerAt) return;
-    if (m.timerAt != TimePoint::max()) timers_.erase({m.timerAt, machine});
-    m.timerAt = at;
+    if (at >= m.nextTimerAt) return;
+    if (m.nextTimerAt != TimePoint::max()) timers_.erase({m.nextTimerAt, machine});
+    m.nextTimerAt = at;
     timers_.emplace(at, machine);
 }
 
@@ -246,7 +246,7 @@
     while (!timers_.empty() && timers_.begin()->first <= now) {
         const MachineIndex machine = timers_.begin()->second;
         timers_.erase(timers_.begin());
-        machines_[machine].timerAt = TimePoint::max();
+        machines_[machine].nextTimerAt = TimePoint::max();
         runTimers(machine, now);
     }
     commitCancellations(now);
--- a/src/scheduler/cluster.h
+++ b/src/scheduler/cluster.h
@@ -528,7 +528,7 @@
     // Machines
     worker_api::MachineRegistry machines_;
     std::set<std::string> unreachableZones_;
-    std::set<std::pair<TimePoint, MachineIndex>> timers_;  // by Machine::timerAt
+    std::set<std::pair<TimePoint, MachineIndex>> timers_;  // by Machine::nextTimerAt
 
     // Placement
     CapacityIndex capacityIndex_;
--- a/src/scheduler/fault_interactions_test.cpp
+++ b/src/scheduler/fault_interactions_test.cpp
@@ -349,7 +349,7 @@
         inspect();
     }
     EXPECT_TRUE(job.tasks[0].stopping);
-    EXPECT_GT(cluster->machines()[at].answeredAt + settings.lease, clock.now() + 2s);
+    EXPECT_GT(cluster->machines()[at].lastAnsweredAt + settings.lease, clock.now() + 2s);
     // It reports again.
     heartbeat(partitioned);
     EXPECT_FALSE(cluster->machines()[at].outboundPartitioned);
--- a/src/scheduler/free_capacity.cpp
+++ b/src/scheduler/free_capacity.cpp
@@ -30,7 +30,7 @@
 }
 
 bool Cluster::reportFitsOneMoreTask(const Machine& m) const {
-    std::size_t bytes = m.reportBytes;
+    std::size_t bytes = m.lastReportBytes;
     for (const Allocation& allocation : m.allocations)
         if (!allocation.state.confirmed()) bytes += reportedTaskBytes;
     return bytes <= maxReportBytes;
@@ -56,14 +56,14 @@
     capacity.reservationDistance = quota_.reservationDistance(machine, m);
     capacity.free = freeCapacityOn(m);
     capacity.reclaimable.fill(capacity.free);
-    for (const auto& [image, used] : m.images) capacity.cachedImages.push_back(image);
+    for (const auto& [image, used] : m.cachedImages) capacity.cachedImages.push_back(image);
     for (const Allocation& allocation : m.allocations) {
         const JobSpec& spec = allocation.job->spec;
         for (std::size_t priority = 0; priority < FreeCapacity::preemptingPriorities; ++priority)
             if (mustStop(allocation) || mayPreempt(static_cast<Priority>(priority), allocation))
                 capacity.reclaimable[priority] += spec.demand;
         capacity.hasServices = capacity.hasServices || spec.shape == Shape::service;
-        if (!m.images.contains(spec.image)) capacity.fetchingImages.push_back(spec.image);
+        if (!m.cachedImages.contains(spec.image)) capacity.fetchingImages.push_back(spec.image);
     }
     std::sort(capacity.fetchingImages.begin(), capacity.fetchingImages.end());
     capacity.fetchingImages.erase(
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -72,7 +72,7 @@
 }
 
 double Cluster::startDelaySeconds(const JobSpec& s, const Machine& m) const {
-    if (m.images.contains(s.image)) return 0;
+    if (m.cachedImages.contains(s.image)) return 0;
     // If another task is fetching the image already, half of the fetch is assumed to be left.
     const bool isBeingFetched = std::any_of(
         m.allocations.begin(), m.allocations.end(),
--- a/src/scheduler/reconciliation.cpp
+++ b/src/scheduler/reconciliation.cpp
@@ -202,7 +202,7 @@
     const TaskPhase phase = phaseOf(t.status);
     setPhase(*job, task, phase, now);
     if (phase != TaskPhase::pulling && before != TaskPhase::running &&
-        m.images.insert_or_assign(job->spec.image, now).second)
+        m.cachedImages.insert_or_assign(job->spec.image, now).second)
         markCapacityDirty(machine);
 }
 
@@ -222,7 +222,7 @@
     m.sequenceSeenAt = now;
     if (r.incarnation <= m.endedIncarnation) return acceptLateResults(index, r, now);
     recordContact(index, source, now);
-    m.reportBytes = r.bytes;
+    m.lastReportBytes = r.bytes;
     if ((capacityIndex_.find(index) != nullptr) != acceptsWork(m))
         markCapacityDirty(index);  // it is new, was unresponsive, or its report is (no longer) full
     scheduleTimer(index, now + settings_.heartbeatInterval * 2);
@@ -253,11 +253,12 @@
     Machine& m = machines_[machine];
     if (m.incarnation != 0) {
         // Had it received a recent response, the former incarnation would still be alive.
-        if (m.answeredHeartbeats >= maxIgnoredResponses && now - m.answeredAt < settings_.lease / 2)
+        if (m.answeredHeartbeats >= maxIgnoredResponses &&
+            now - m.lastAnsweredAt < settings_.lease / 2)
             markInboundPartitioned(machine, "lease_expired_despite_responses", now);
         m.answeredHeartbeats = m.ignoredResponses = 0;
         m.tombstones.clear();
-        m.images.clear();
+        m.cachedImages.clear();
         markCapacityDirty(machine);
         // The worker has killed all its tasks. Bindings whose launch was never sent remain valid.
         for (std::size_t i = m.allocations.size(); i-- > 0;)
@@ -362,7 +363,7 @@
     auto commands = commandsFor(index, CommandChannel::heartbeatResponse);
     if (!isNew) return commands;  // a duplicate: nobody receives its response
     ++m.answeredHeartbeats;
-    m.answeredAt = now;
+    m.lastAnsweredAt = now;
     markLaunchesInResponse(index, commands);
     return commands;
 }
--- a/src/testing/world_test.cpp
+++ b/src/testing/world_test.cpp
@@ -111,7 +111,7 @@
     t.fetchGbPerS = 1;
     t.price = 1;
     t.spotPrice = 0.3;
-    t.boot = 20s;
+    t.bootTime = 20s;
     t.zones = {"a", "b"};
     return {{"box", t}};
 }
--- a/src/worker_api/machine.h
+++ b/src/worker_api/machine.h
@@ -38,12 +38,12 @@
     /// As last reported, and the version of the job's record that holds what the exit proves. A
     /// later change of the same record is no reason to wait: a large array's changes all the time.
     std::map<TaskAttempt, std::uint64_t> terminalStatuses;
-    std::size_t reportBytes = 0;             // of the last report
+    std::size_t lastReportBytes = 0;         // of the last report
     std::vector<ReportedTask> unknownTasks;  // on it, but of no job on record
     /// Attempts that the worker must not forget: a late direct launch would start them again.
     std::set<TaskAttempt> tombstones;
-    std::map<std::string, TimePoint> images;  // in its cache, and when last used
-    bool commandInFlight = false;             // a direct request has not ended yet
+    std::map<std::string, TimePoint> cachedImages;  // in its cache, and when last used
+    bool commandInFlight = false;                   // a direct request has not ended yet
 
     // Its health
     std::set<JobId> failedJobs;  // since its last success
@@ -58,7 +58,7 @@
     /// machine did not act on. It gets no more work until `inboundPartitionedUntil`, and the
     /// autoscaler replaces its capacity.
     std::uint32_t answeredHeartbeats = 0, ignoredResponses = 0;
-    TimePoint answeredAt{}, inboundPartitionedUntil{};
+    TimePoint lastAnsweredAt{}, inboundPartitionedUntil{};
     bool inboundPartitioned = false;
     /// Outbound-partitioned: it answers direct requests, but its heartbeats do not arrive, so that
     /// nothing renews its lease. Only services are placed there, and only where there is no other
@@ -67,8 +67,9 @@
     std::uint32_t unansweredProbes = 0;  // since its last new report
 
     // Bookkeeping of the scheduler
-    TimePoint timerAt = TimePoint::max();  // when the passing of time next changes something here
-    bool capacityDirty = false;            // its entry in the capacity index is out of date
+    TimePoint nextTimerAt =
+        TimePoint::max();        // when the passing of time next changes something here
+    bool capacityDirty = false;  // its entry in the capacity index is out of date
 
     [[nodiscard]] bool up() const { return presence == Presence::up; }
     /// The allocation of this attempt, or nullptr if there is none.
