--- a/src/autoscaler/cloud_client.cpp
+++ b/src/autoscaler/cloud_client.cpp
@@ -9,15 +9,18 @@
 using namespace std::chrono_literals;
 
 namespace {
-// Calls that rentals leave in the budget: a deletion frees the tasks of dead machines, and once
-// waited for two seconds behind a burst of rentals.
-constexpr double keptForDeletions = 3;
+/// Calls in the rate limit that are left for deletions when machines are created. A deletion
+/// releases the tasks of an unresponsive machine, and once waited for two seconds behind a burst of
+/// creations.
+constexpr double callsReservedForDeletions = 3;
+constexpr Duration callTimeout = 5s;
 }  // namespace
 
-CloudClient::CloudClient(EventLoop& loop, const settings::Settings& s, std::function<bool()> mayAct)
+CloudClient::CloudClient(EventLoop& loop, const settings::Settings& settings,
+                         std::function<bool()> mayAct)
     : loop_(loop),
-      http_(loop, s.cloudAddress, 4),
-      calls_(s.cloudRps * 0.8, s.cloudRps, loop.now()),
+      http_(loop, settings.cloudAddress, 4),
+      calls_(settings.cloudRps * 0.8, settings.cloudRps, loop.now()),
       mayAct_(std::move(mayAct)) {}
 
 Task<http::RequestOutcome> CloudClient::send(http::Request request, Scope& scope, double reserve) {
@@ -28,35 +31,36 @@
     }
     calls_.tryTake(loop_.now());
     if (!mayAct_()) co_return http::RequestOutcome{};
-    auto outcome = co_await http_.request(std::move(request), 5s, scope);
+    auto outcome = co_await http_.request(std::move(request), callTimeout, scope);
     co_return outcome;
 }
 
 Task<std::optional<Catalogue>> CloudClient::fetchCatalogue(Scope& scope) {
     http::Request request{"GET", "/catalog", ""};
-    auto o = co_await send(std::move(request), scope);
-    if (!o.answered || o.response.status != 200) co_return std::nullopt;
-    const auto doc = json::parse(o.response.body);
-    const auto* rigs = doc ? json::array(*doc, "rigs") : nullptr;
-    if (rigs == nullptr) {
-        spdlog::warn("cloud: malformed catalogue");
+    auto outcome = co_await send(std::move(request), scope);
+    if (!outcome.answered || outcome.response.status != 200) co_return std::nullopt;
+    const auto doc = json::parse(outcome.response.body);
+    const auto* types = doc ? json::array(*doc, "rigs") : nullptr;
+    if (types == nullptr) {
+        spdlog::warn("malformed response from the cloud: request=catalogue");
         co_return std::nullopt;
     }
     Catalogue out;
-    for (const auto& r : rigs->GetArray()) {
-        MachineType t;
-        t.name = json::string(r, "sku").value_or("");
-        t.capacity = {json::number(r, "cores").value_or(0), json::number(r, "gpus").value_or(0),
-                      json::number(r, "ramGb").value_or(0)};
-        t.imageCacheGb = json::number(r, "localGb").value_or(0);
-        t.fetchGbPerS = json::number(r, "fetchGbPerS").value_or(1);
-        t.price = json::number(r, "rate").value_or(0);
-        t.spotPrice = json::number(r, "marketPrice").value_or(t.price);
-        t.bootTime = fromSeconds(json::number(r, "readyS").value_or(60));
-        if (const auto* halls = json::array(r, "halls"))
-            for (const auto& h : halls->GetArray())
-                if (h.IsString()) t.zones.emplace_back(h.GetString());
-        if (!t.name.empty()) out[t.name] = t;
+    for (const auto& entry : types->GetArray()) {
+        MachineType type;
+        type.name = json::string(entry, "sku").value_or("");
+        type.capacity = {json::number(entry, "cores").value_or(0),
+                         json::number(entry, "gpus").value_or(0),
+                         json::number(entry, "ramGb").value_or(0)};
+        type.imageCacheGb = json::number(entry, "localGb").value_or(0);
+        type.fetchGbPerS = json::number(entry, "fetchGbPerS").value_or(1);
+        type.price = json::number(entry, "rate").value_or(0);
+        type.spotPrice = json::number(entry, "marketPrice").value_or(type.price);
+        type.bootTime = fromSeconds(json::number(entry, "readyS").value_or(60));
+        if (const auto* zones = json::array(entry, "halls"))
+            for (const auto& zone : zones->GetArray())
+                if (zone.IsString()) type.zones.emplace_back(zone.GetString());
+        if (!type.name.empty()) out[type.name] = type;
     }
     co_return out;
 }
@@ -67,26 +71,26 @@
     while (true) {
         http::Request request{"GET", "/hosts?page=500" + (after.empty() ? "" : "&after=" + after),
                               ""};
-        auto o = co_await send(std::move(request), scope);
-        if (!o.answered || o.response.status != 200) co_return std::nullopt;
-        const auto doc = json::parse(o.response.body);
+        auto outcome = co_await send(std::move(request), scope);
+        if (!outcome.answered || outcome.response.status != 200) co_return std::nullopt;
+        const auto doc = json::parse(outcome.response.body);
         const auto* hosts = doc ? json::array(*doc, "hosts") : nullptr;
         if (hosts == nullptr) {
-            spdlog::warn("cloud: malformed list of machines");
+            spdlog::warn("malformed response from the cloud: request=machine_list");
             co_return std::nullopt;
         }
-        for (const auto& h : hosts->GetArray()) {
-            ListedMachine l;
-            l.name = json::string(h, "ref").value_or("");
-            l.address = json::string(h, "addr").value_or("");
-            l.type = json::string(h, "rigKind").value_or("");
-            l.zone = json::string(h, "hall").value_or("");
-            l.spot = json::boolean(h, "loaners").value_or(false);
-            l.status = json::string(h, "status").value_or("");
-            l.ageS = json::number(h, "ageS").value_or(0);
-            if (l.name.empty()) continue;
-            after = l.name;
-            all.push_back(std::move(l));
+        for (const auto& entry : hosts->GetArray()) {
+            ListedMachine machine;
+            machine.name = json::string(entry, "ref").value_or("");
+            machine.address = json::string(entry, "addr").value_or("");
+            machine.type = json::string(entry, "rigKind").value_or("");
+            machine.zone = json::string(entry, "hall").value_or("");
+            machine.spot = json::boolean(entry, "loaners").value_or(false);
+            machine.status = json::string(entry, "status").value_or("");
+            machine.ageSeconds = json::number(entry, "ageS").value_or(0);
+            if (machine.name.empty()) continue;
+            after = machine.name;
+            all.push_back(std::move(machine));
         }
         if (!json::boolean(*doc, "truncated").value_or(false) || hosts->Empty()) co_return all;
     }
@@ -96,20 +100,20 @@
                                                               Scope& scope) {
     json::Writer out;
     out.open()
-        .field("booking", wanted.booking)
+        .field("booking", wanted.requestId)
         .field("rigKind", wanted.type)
         .field("hall", wanted.zone);
     out.field("loaners", wanted.spot).field("howMany", wanted.count).close();
     http::Request request{"POST", "/hosts", out.text()};
-    auto o = co_await send(std::move(request), scope, keptForDeletions);
+    auto outcome = co_await send(std::move(request), scope, callsReservedForDeletions);
     ScaleOutResult result;
-    if (!o.answered) {
-        if (!o.sent) result.answer = Answer::refused;
+    if (!outcome.answered) {
+        if (!outcome.sent) result.answer = Answer::refused;
         co_return result;
     }
-    const auto doc = json::parse(o.response.body);
-    if (o.response.status != 200) {
-        // "no capacity" rents nothing; in an outage the booking may be asked for again.
+    const auto doc = json::parse(outcome.response.body);
+    if (outcome.response.status != 200) {
+        // "No capacity" creates nothing, and in an outage of the cloud the request may be repeated.
         result.answer = Answer::refused;
         co_return result;
     }
@@ -127,8 +131,8 @@
     for (const auto& n : names) out.value(n);
     out.closeArray().close();
     http::Request request{"POST", "/hosts/delete", out.text()};
-    auto o = co_await send(std::move(request), scope);
-    const bool gone = o.answered && o.response.status == 200;
+    auto outcome = co_await send(std::move(request), scope);
+    const bool gone = outcome.answered && outcome.response.status == 200;
     co_return gone;
 }
 
--- a/src/autoscaler/demand.cpp
+++ b/src/autoscaler/demand.cpp
@@ -3,50 +3,65 @@
 
 #include "autoscaler/autoscaler.h"
 
-// How many cores the fleet should have: from the objectives, the work there is, and what is lent.
+// Measures the demand: how many cores the fleet should have, by the service level objectives, the
+// jobs there are, and the capacity that opportunistic work uses.
 
 namespace basaltchute::autoscaler {
 
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration rise = 6s, fall = 40s;  // of the target for classes whose starts may wait
-constexpr double warmMargin = 4;           // of a warm class's peak: jobs come in bursts
-constexpr double runMargin = 2.0;          // owners' estimates of run times are rough
-constexpr Duration lendingDelay = 60s;     // of borrowers' time: machines boot, and orders travel
-constexpr Duration foundNoRoom = 10s;
-constexpr Duration scarceFor = 45s;  // beyond the pause after a refusal
-constexpr double usualBoots = 0.9;   // the share of machines that are reckoned with
-constexpr Duration noticeAndOrder =
-    4s;                                 // plans are made each second; the cloud answers, then beats
-constexpr Duration patientSpan = 600s;  // for borrowing work that no objective hurries any more
+/// Time constants by which the target follows a rising and a falling demand, for classes that do
+/// not want warm capacity.
+constexpr Duration demandRiseTime = 6s, demandFallTime = 40s;
+/// Warm capacity of a class as a multiple of its peak demand: jobs come in bursts.
+constexpr double warmPeakFactor = 4;
+/// Warm capacity of a class of services: the cores that it uses times this factor, and so many of
+/// its largest jobs in addition.
+constexpr double warmServiceFactor = 1.1, warmServiceJobs = 4;
+/// Run times are assumed to be longer by this factor: their owners' estimates are rough.
+constexpr double runTimeFactor = 2.0;
+/// Taken off the time that opportunistic work has left: machines boot, and commands travel.
+constexpr Duration opportunisticStartDelay = 60s;
+/// Opportunistic work that has waited for longer evidently finds no idle capacity.
+constexpr Duration noCapacityWait = 10s;
+/// How long after the back-off that follows a refusal spot machines still count as unavailable.
+constexpr Duration spotUnavailableHold = 45s;
+/// The share of machines that boot within the time that is planned with.
+constexpr double bootTimeQuantile = 0.9;
+/// What comes on top of the boot time: plans are made once a second, the cloud has to answer, and
+/// the new machine has to send its first heartbeat.
+constexpr Duration scaleOutDelay = 4s;
+/// The time over which opportunistic work that can meet no further objective is spread.
+constexpr Duration noObjectiveSpan = 600s;
 }  // namespace
 
 Duration Autoscaler::startupTimeQuantile(const ClassDemand& c, double q) const {
     Duration soonest = Duration::max();
     for (const auto& [name, t] : cluster_.catalogue()) {
-        const Resources& has = t.capacity;
-        if (c.perTask.cores > has.cores || c.perTask.ramGb > has.ramGb || c.perTask.gpus > has.gpus)
+        const Resources& available = t.capacity;
+        if (c.perTask.cores > available.cores || c.perTask.ramGb > available.ramGb ||
+            c.perTask.gpus > available.gpus)
             continue;
-        const Duration fetch = fromSeconds(c.imageGb / std::max(t.fetchGbPerS, 1e-3));
+        const Duration fetch = fromSeconds(c.largestImageGb / std::max(t.fetchGbPerS, 1e-3));
         soonest = std::min(soonest, statistics_.bootTime(name, t.bootTime, q) + fetch);
     }
-    return soonest == Duration::max() ? soonest : soonest + noticeAndOrder;
+    return soonest == Duration::max() ? soonest : soonest + scaleOutDelay;
 }
 
 bool Autoscaler::needsWarmCapacity(const std::string& jobClass, const ClassDemand& c) const {
-    // A class whose tasks may wait longer than a machine takes to come is served by machines
-    // asked for as it comes. Kept warm like the others, the boards' checks had four times their
-    // peak rented for a wait of 250 s: a price of 2.9 where 1.6 does.
-    const auto& all = cluster_.settings().objectives;
-    return std::any_of(all.begin(), all.end(), [&](const auto& o) {
+    // A class whose tasks may wait for longer than a machine takes to become ready is served by
+    // machines that are requested when its jobs arrive. Keeping capacity warm for a class with a
+    // wait objective of 250 s created four times its peak demand, at a price of 2.9 instead of 1.6.
+    const auto& objectives = cluster_.settings().objectives;
+    return std::any_of(objectives.begin(), objectives.end(), [&](const auto& o) {
         return o.jobClass == jobClass && o.kind == "wait" &&
                o.within + cluster_.arrivalLeadTime(jobClass) < startupTimeQuantile(c, o.share);
     });
 }
 
-void Autoscaler::measureLimits() {
-    withinLimit_.clear();
+void Autoscaler::measureTeamLimits() {
+    shareWithinLimit_.clear();
     const auto& teams = cluster_.settings().teams;
     if (std::none_of(teams.begin(), teams.end(), [](const auto& t) { return t.coresMax > 0; }))
         return;
@@ -58,190 +73,208 @@
         if (t.coresMax <= 0) continue;
         double left = t.coresMax;
         for (const auto& [rank, cores] : wanted[t.name]) {
-            withinLimit_[t.name][rank] = cores > left ? left / cores : 1;
+            shareWithinLimit_[t.name][rank] = cores > left ? left / cores : 1;
             left = std::max(0.0, left - cores);
         }
     }
 }
 
-double Autoscaler::withinLimit(const Job& job) const {
-    const auto team = withinLimit_.find(job.spec.team);
-    if (team == withinLimit_.end()) return 1;
+double Autoscaler::shareWithinLimit(const Job& job) const {
+    const auto team = shareWithinLimit_.find(job.spec.team);
+    if (team == shareWithinLimit_.end()) return 1;
     const auto rank = team->second.find(job.effectivePriority);
     return rank == team->second.end() ? 1 : rank->second;
 }
 
 void Autoscaler::measureDemand(TimePoint now) {
-    measureLimits();
-    std::map<std::string, bool> borrows;
-    for (auto& [name, c] : classes_) c.now = 0;
+    measureTeamLimits();
+    std::map<std::string, bool> onlyOpportunistic;
+    for (auto& [name, c] : classes_) c.currentCores = 0;
     for (const Job* job : cluster_.openJobs()) {
-        // What fails wherever it goes asks for no machines.
+        // A job that fails on every machine is no reason to create any.
         if (job->crashLooping) continue;
         ClassDemand& c = classes_[job->spec.jobClass];
-        // Some jobs of a class may borrow while others have the priority of work after them.
-        const bool lent = cluster_.isOpportunistic(*job);
-        const auto seen = borrows.try_emplace(job->spec.jobClass, lent).first;
-        c.opportunistic = seen->second = seen->second && lent;
+        // Some jobs of a class may be opportunistic while others have inherited a higher priority
+        // from their dependents. The class is opportunistic only if all its jobs are.
+        const bool opportunistic = cluster_.isOpportunistic(*job);
+        const auto seen = onlyOpportunistic.try_emplace(job->spec.jobClass, opportunistic).first;
+        c.opportunistic = seen->second = seen->second && opportunistic;
         c.spotAllowed = job->spec.spotAllowed;
         c.perTask = job->spec.demand;
-        c.imageGb = std::max(c.imageGb, job->spec.imageGb);
-        if (lent) continue;
-        // What a team's limit does not let run asks for no machines either.
-        const double each = job->spec.demand.cores * withinLimit(*job);
-        c.now += each * (job->spec.tasks - job->doneCount);
-        c.largestJob = std::max(c.largestJob, each * job->spec.tasks);
+        c.largestImageGb = std::max(c.largestImageGb, job->spec.imageGb);
+        if (opportunistic) continue;
+        // Nor is work that its team's limit does not allow to run.
+        const double coresPerTask = job->spec.demand.cores * shareWithinLimit(*job);
+        c.currentCores += coresPerTask * (job->spec.tasks - job->doneCount);
+        c.largestJobCores = std::max(c.largestJobCores, coresPerTask * job->spec.tasks);
     }
-    // What waits for others asks for its machines when these, asked for now, would come in time.
+    // A job that is blocked by its dependencies counts once machines requested now would be ready
+    // no earlier than its release.
     for (const Job* job : cluster_.blockedJobs()) {
         ClassDemand& c = classes_[job->spec.jobClass];
         if (cluster_.isOpportunistic(*job)) continue;
         c.spotAllowed = job->spec.spotAllowed;
         c.perTask = job->spec.demand;
-        c.imageGb = std::max(c.imageGb, job->spec.imageGb);
-        const Duration coming = startupTimeQuantile(c, usualBoots);
-        if (coming == Duration::max() || cluster_.expectedRelease(*job, now) > now + coming)
+        c.largestImageGb = std::max(c.largestImageGb, job->spec.imageGb);
+        const Duration startupTime = startupTimeQuantile(c, bootTimeQuantile);
+        if (startupTime == Duration::max() ||
+            cluster_.expectedRelease(*job, now) > now + startupTime)
             continue;
         c.opportunistic = false;
-        c.now += job->spec.demand.cores * job->spec.tasks;
+        c.currentCores += job->spec.demand.cores * job->spec.tasks;
     }
-    // Up fast and down slowly: the work has to be run anyway, and a machine that comes late
-    // costs as much as one that came in time; one sent away too soon has to boot again.
-    const auto weight = [&](Duration constant) {
-        if (measuredAt_ == TimePoint{}) return 1.0;
-        return 1 - std::exp(-toSeconds(now - measuredAt_) / toSeconds(constant));
+    // The target rises fast and falls slowly. The work has to be done anyway, so a machine that is
+    // created late costs as much as one created in time; and a machine that is deleted too soon has
+    // to boot again.
+    const auto weight = [&](Duration timeConstant) {
+        if (demandMeasuredAt_ == TimePoint{}) return 1.0;
+        return 1 - std::exp(-toSeconds(now - demandMeasuredAt_) / toSeconds(timeConstant));
     };
-    const double up = weight(rise), down = weight(fall);
-    measuredAt_ = now;
+    const double riseWeight = weight(demandRiseTime), fallWeight = weight(demandFallTime);
+    demandMeasuredAt_ = now;
     target_ = {};
     wantsWarmSpot_ = false;
     for (auto& [name, c] : classes_) {
         c.wantsWarmCapacity = needsWarmCapacity(name, c);
         if (c.opportunistic) continue;
-        c.smooth += (c.now - c.smooth) * (c.now > c.smooth ? up : down);
-        c.peak = std::max(c.peak, c.now);
+        c.smoothedCores += (c.currentCores - c.smoothedCores) *
+                           (c.currentCores > c.smoothedCores ? riseWeight : fallWeight);
+        c.peakCores = std::max(c.peakCores, c.currentCores);
         wantsWarmSpot_ = wantsWarmSpot_ || (c.wantsWarmCapacity && c.spotAllowed);
-        double want = c.smooth;
+        double want = c.smoothedCores;
         if (c.wantsWarmCapacity && c.spotAllowed)
-            want = cluster_.openJobs().empty() ? 0 : c.peak * warmMargin + c.largestJob;
-        // Services: what runs, and room for a few more at once.
-        if (c.wantsWarmCapacity && !c.spotAllowed) want = c.now * 1.1 + 4 * c.largestJob;
+            want =
+                cluster_.openJobs().empty() ? 0 : c.peakCores * warmPeakFactor + c.largestJobCores;
+        // Services: the capacity that they use, and some for a few more that start at once.
+        if (c.wantsWarmCapacity && !c.spotAllowed)
+            want = c.currentCores * warmServiceFactor + warmServiceJobs * c.largestJobCores;
         (c.spotAllowed ? target_.spot : target_.ordinary) += want;
     }
-    // What such work uses of ordinary machines it keeps until it has run, as far as there are no
-    // spot machines for it; idle room for replicas that it fills meanwhile is no reason to rent.
+    // Spot work keeps the ordinary cores that it uses until it is done, as far as there are no spot
+    // machines for it. Idle capacity for replicas that it fills meanwhile is no reason to create
+    // machines.
     for (const auto& m : cluster_.machines()) {
         if (!m.up() || m.spot) continue;
-        for (const auto& c : m.allocations)
-            if (c.job->spec.spotAllowed && !cluster_.isOpportunistic(*c.job))
-                target_.ordinaryUsed += c.job->spec.demand.cores;
+        for (const auto& allocation : m.allocations)
+            if (allocation.job->spec.spotAllowed && !cluster_.isOpportunistic(*allocation.job))
+                target_.ordinaryUsedBySpotWork += allocation.job->spec.demand.cores;
     }
-    target_.ordinaryUsed =
-        std::min(target_.ordinaryUsed, std::max(0.0, target_.spot - capacity(true).spot));
-    target_.forDeadlines = missingCoresForDeadlines(now);
+    target_.ordinaryUsedBySpotWork =
+        std::min(target_.ordinaryUsedBySpotWork, std::max(0.0, target_.spot - capacity(true).spot));
+    target_.extraForDeadlines = missingCoresForDeadlines(now);
     target_.ordinary += missingCoresForOpportunistic(false, false, now);
-    const bool scarce = spotScarce(now);
-    const double lent = missingCoresForOpportunistic(true, scarce, now);
-    // Without spot machines its work once ran on nothing but leftovers: a class of low priority had
-    // a fifth of its jobs served, and the ordinary machines that it used were returned.
-    if (scarce)
+    const bool noSpotMachines = spotUnavailable(now);
+    const double forOpportunistic = missingCoresForOpportunistic(true, noSpotMachines, now);
+    // While no spot machines are available, opportunistic spot work gets ordinary ones. When it did
+    // not, it ran on idle capacity only: a fifth of the jobs of a low-priority class was served,
+    // and the ordinary machines that it used were deleted.
+    if (noSpotMachines)
         target_.ordinaryForOpportunistic =
-            std::max(0.0, lent - std::max(0.0, capacity(true).spot - target_.spot));
-    target_.spot += lent;
+            std::max(0.0, forOpportunistic - std::max(0.0, capacity(true).spot - target_.spot));
+    target_.spot += forOpportunistic;
 }
 
-bool Autoscaler::spotScarce(TimePoint now) const {
+bool Autoscaler::spotUnavailable(TimePoint now) const {
     for (const auto& [name, t] : cluster_.catalogue()) {
-        if (!servesSpot(name)) continue;
+        if (!suitsSpotWork(name)) continue;
         for (const auto& zone : t.zones) {
             const auto refused = backOffUntil_.find({name, zone, true});
-            if (refused == backOffUntil_.end() || refused->second + scarceFor < now) return false;
+            if (refused == backOffUntil_.end() || refused->second + spotUnavailableHold < now)
+                return false;
         }
     }
     return true;
 }
 
-double Autoscaler::missingCoresForOpportunistic(bool spotAllowed, bool spotScarce,
+double Autoscaler::missingCoresForOpportunistic(bool spotAllowed, bool spotUnavailable,
                                                 TimePoint now) const {
-    // Their work, spread over the time they have: a guest that is patient needs few cores for
-    // long, and mostly finds them idle. Counted by classes like the rest, one guest's array once
-    // had every machine of the cloud rented for it.
-    double pace = 0, hurried = 0;  // cores: without hurry, and for objectives that can still be met
-    std::set<const Job*> inHurry;
+    // The work is spread over the time that it has: patient opportunistic work needs few cores for
+    // a long time, and mostly finds them idle. Counted by classes like other work, a single array
+    // of opportunistic tasks had every machine of the cloud created for it.
+
+    // Cores for work that can meet no further objective, and for work that can.
+    double coresWithoutObjective = 0, coresForObjectives = 0;
+    std::set<const Job*> jobsWithObjective;
     for (const Job* job : cluster_.openJobs()) {
         if (!cluster_.isOpportunistic(*job) || job->crashLooping ||
             job->spec.spotAllowed != spotAllowed)
             continue;
-        const double run = std::max(1.0, toSeconds(cluster_.estimatedRunTime(job->spec)));
-        const auto turn = cluster_.schedulingPriority(*job, now);
-        const double left = turn.canMeetAnother ? toSeconds(turn.startBy - now - lendingDelay) : 0;
-        const double over =
-            turn.canMeetAnother ? run + std::max(0.0, left) : toSeconds(patientSpan);
-        const double cores = job->spec.demand.cores * withinLimit(*job);
-        const double need = cores * (job->spec.tasks - job->doneCount) * run / over;
-        if (!turn.canMeetAnother) {
-            pace += need;
+        const double runSeconds = std::max(1.0, toSeconds(cluster_.estimatedRunTime(job->spec)));
+        const auto priority = cluster_.schedulingPriority(*job, now);
+        const double secondsLeft = priority.canMeetAnother
+                                       ? toSeconds(priority.startBy - now - opportunisticStartDelay)
+                                       : 0;
+        const double spreadSeconds = priority.canMeetAnother
+                                         ? runSeconds + std::max(0.0, secondsLeft)
+                                         : toSeconds(noObjectiveSpan);
+        const double cores = job->spec.demand.cores * shareWithinLimit(*job);
+        const double need = cores * (job->spec.tasks - job->doneCount) * runSeconds / spreadSeconds;
+        if (!priority.canMeetAnother) {
+            coresWithoutObjective += need;
             continue;
         }
-        inHurry.insert(job);
-        // What has waited for a while finds no room, whatever seems idle: it is kept warm for
-        // others, or filled for long by work without hurry, which it may not preempt.
-        if (now - job->submittedAt > foundNoRoom)
-            hurried += cores * job->waitingCount() * run / over;
+        jobsWithObjective.insert(job);
+        // A job that has waited for a while finds no capacity, however much seems idle: that is
+        // kept warm for other classes, or is used for long by work without an objective, which the
+        // job may not preempt.
+        if (now - job->submittedAt > noCapacityWait)
+            coresForObjectives += cores * job->waitingCount() * runSeconds / spreadSeconds;
     }
-    if (pace == 0 && inHurry.empty()) return 0;
-    Capacity others;  // cores in use
+    if (coresWithoutObjective == 0 && jobsWithObjective.empty()) return 0;
+    Capacity usedByOthers;
     for (const auto& m : cluster_.machines())
-        for (const auto& c : m.allocations) {
-            const double cores = c.job->spec.demand.cores;
-            if (!cluster_.isOpportunistic(*c.job))
-                (m.spot ? others.spot : others.ordinary) += cores;
-            else if ((m.spot || spotScarce || !spotAllowed) && inHurry.contains(c.job))
-                hurried += cores;
+        for (const auto& allocation : m.allocations) {
+            const double cores = allocation.job->spec.demand.cores;
+            if (!cluster_.isOpportunistic(*allocation.job))
+                (m.spot ? usedByOthers.spot : usedByOthers.ordinary) += cores;
+            else if ((m.spot || spotUnavailable || !spotAllowed) &&
+                     jobsWithObjective.contains(allocation.job))
+                coresForObjectives += cores;
         }
-    const Capacity there = capacity(false);
-    // Of idle ordinary machines much is kept warm for replicas.
-    double idle = std::max(0.0, there.ordinary - others.ordinary) / 2;
-    if (spotAllowed) idle += std::max(0.0, std::min(there.spot, target_.spot) - others.spot);
-    return std::max(0.0, pace - idle) + hurried;
+    const Capacity available = capacity(false);
+    // Much of the idle ordinary capacity is kept warm for replicas: half of it is counted.
+    double idle = std::max(0.0, available.ordinary - usedByOthers.ordinary) / 2;
+    if (spotAllowed)
+        idle += std::max(0.0, std::min(available.spot, target_.spot) - usedByOthers.spot);
+    return std::max(0.0, coresWithoutObjective - idle) + coresForObjectives;
 }
 
 double Autoscaler::missingCoresForDeadlines(TimePoint now) const {
-    // Served in the order of their latest start by what is there, whose cores come free once in a
-    // run: what would start too late needs machines of its own. Those that come too late for the
-    // shortest jobs serve the next such jobs.
-    struct Wait {
-        TimePoint by;
+    // The jobs are taken in the order of their latest start. Each core of the existing machines
+    // becomes free once per run time. A job that would start too late that way needs additional
+    // machines; if these are ready too late for the shortest jobs, they serve the next such jobs.
+    struct WaitingWork {
+        TimePoint startBy;
         double cores;
     };
-    std::vector<Wait> queue;
-    double running = 0, seconds = 0, open = 0;
+    std::vector<WaitingWork> queue;
+    double runningCores = 0, coreSeconds = 0, unfinishedCores = 0;
     for (const Job* job : cluster_.openJobs()) {
-        const JobSpec& s = job->spec;
-        if (!s.spotAllowed || job->crashLooping || cluster_.isOpportunistic(*job) ||
-            classes_.at(s.jobClass).wantsWarmCapacity)
+        const JobSpec& spec = job->spec;
+        if (!spec.spotAllowed || job->crashLooping || cluster_.isOpportunistic(*job) ||
+            classes_.at(spec.jobClass).wantsWarmCapacity)
             continue;
-        running += s.demand.cores * job->boundCount;
-        const double share = withinLimit(*job);
-        const double left = share * s.demand.cores * (s.tasks - job->doneCount);
-        open += left;
-        seconds += left * std::max(1.0, toSeconds(cluster_.estimatedRunTime(s)));
+        runningCores += spec.demand.cores * job->boundCount;
+        const double share = shareWithinLimit(*job);
+        const double unfinished = share * spec.demand.cores * (spec.tasks - job->doneCount);
+        unfinishedCores += unfinished;
+        coreSeconds += unfinished * std::max(1.0, toSeconds(cluster_.estimatedRunTime(spec)));
         if (job->waitingCount() == 0 || now < job->backOffUntil) continue;
-        const auto turn = cluster_.schedulingPriority(*job, now);
-        if (turn.canMeetAnother)
-            queue.push_back({turn.startBy, share * s.demand.cores * job->waitingCount()});
+        const auto priority = cluster_.schedulingPriority(*job, now);
+        if (priority.canMeetAnother)
+            queue.push_back({priority.startBy, share * spec.demand.cores * job->waitingCount()});
     }
     if (queue.empty()) return 0;
-    std::sort(queue.begin(), queue.end(), [](const Wait& a, const Wait& b) { return a.by < b.by; });
-    const double run = runMargin * seconds / open;
-    const double rate =
-        std::max(running, capacity(true).spot) / run;  // cores that come free a second
-    double lack = 0, ahead = 0;
-    for (const Wait& w : queue) {
-        ahead += w.cores;
-        lack = std::max(lack, ahead - rate * toSeconds(w.by - now));
+    std::sort(queue.begin(), queue.end(),
+              [](const WaitingWork& a, const WaitingWork& b) { return a.startBy < b.startBy; });
+    const double runSeconds = runTimeFactor * coreSeconds / unfinishedCores;
+    const double freedPerSecond = std::max(runningCores, capacity(true).spot) / runSeconds;
+    double missing = 0, coresAhead = 0;
+    for (const WaitingWork& work : queue) {
+        coresAhead += work.cores;
+        missing = std::max(missing, coresAhead - freedPerSecond * toSeconds(work.startBy - now));
     }
-    return lack;
+    return missing;
 }
 
 }  // namespace basaltchute::autoscaler
--- a/src/autoscaler/failure_detection.cpp
+++ b/src/autoscaler/failure_detection.cpp
@@ -4,7 +4,8 @@
 
 #include "autoscaler/autoscaler.h"
 
-// Machines that never came up, or that do not answer any more.
+// Failure detection: replaces machines that never finish booting, and removes machines that have
+// stopped responding, so that their tasks can start elsewhere before the agents' leases run out.
 
 namespace basaltchute::autoscaler {
 
@@ -13,48 +14,66 @@
 using worker_api::Presence;
 
 namespace {
-constexpr Duration worthDeleting = 10s;  // of a silent machine's lease still to run
-constexpr Duration reportDelay = 1500ms;
-constexpr std::uint32_t askedInVain = 2;
-constexpr std::size_t fewDying = 3, fewAsked = 5;
-constexpr std::size_t sampleLeast = 4;
-/// The most machines of a sweep and of a sample. Where a share of the fleet is more, it is the
-/// share: a large fleet is swept within a lease as well.
-std::size_t sweepMost(std::size_t up) {
-    return std::max<std::size_t>(300, up / 4);
+/// An unresponsive machine whose lease runs out sooner than this is not deleted: its tasks are
+/// released with the lease about as soon.
+constexpr Duration minLeaseLeftForRemoval = 10s;
+/// How much later than scheduled a report may arrive.
+constexpr Duration reportDelayAllowance = 1500ms;
+/// Unanswered probes after which a machine with an overdue report is removed.
+constexpr std::uint32_t probesBeforeRemoval = 2;
+/// Machines with unanswered probes from which on the other machines are probed as well.
+constexpr std::size_t fullProbeThreshold = 3;
+/// Probes in one plan to machines in unreachable zones.
+constexpr std::size_t maxUnreachableZoneProbes = 5;
+constexpr std::size_t minSampleSize = 4;
+
+/// The most machines that are probed at once when others are unresponsive. It grows with the
+/// fleet, so that a large fleet is also probed within one lease.
+std::size_t maxFullProbeSize(std::size_t machineCount) {
+    return std::max<std::size_t>(300, machineCount / 4);
 }
-std::size_t sampleMost(std::size_t up) {
-    return std::max<std::size_t>(24, up / 80);
+/// The most machines in a sample. It grows with the fleet, for the same reason.
+std::size_t maxSampleSize(std::size_t machineCount) {
+    return std::max<std::size_t>(24, machineCount / 80);
 }
-constexpr Duration sampleEvery = 900ms;  // a plan is made each second, or when machines die
+
+/// Just below the second between two regular plans: each of them probes a sample, but not the
+/// additional plans that are made when machines are found unresponsive.
+constexpr Duration minSampleInterval = 900ms;
+/// A machine heard from within this time is almost certainly alive and is not probed. Also the
+/// least time between two full probes.
+constexpr Duration recentContact = 1500ms;
+
 struct ZoneCount {
-    std::size_t up = 0, silent = 0;
+    std::size_t machines = 0, unresponsive = 0;
 };
-constexpr Duration sweepAge = 1500ms;  // a machine heard of since then is hardly dead
 }  // namespace
 
-void Autoscaler::replaceStuck(TimePoint now) {
-    const auto& s = cluster_.settings();
+void Autoscaler::replaceFailedBoots(TimePoint now) {
+    const auto& settings = cluster_.settings();
     for (auto it = booting_.begin(); it != booting_.end();) {
         const auto index = cluster_.machines().find(it->first);
         const auto type = cluster_.catalogue().find(std::get<0>(it->second.pool));
-        const Duration boot = type == cluster_.catalogue().end() ? 60s : type->second.bootTime;
+        const Duration bootTime = type == cluster_.catalogue().end() ? 60s : type->second.bootTime;
         if (index && cluster_.machines()[*index].presence != Presence::expected) {
             const Machine& m = cluster_.machines()[*index];
-            // Those of a former leader's days only had to find this one.
-            if (m.up() && it->second.since > since_)
-                statistics_.recordBoot(m.type, m.upSince - it->second.since, boot);
+            // A machine requested before this leader's term may have been ready long before it
+            // found the new leader: its first report says nothing about its boot time.
+            if (m.up() && it->second.requestedAt > startedAt_)
+                statistics_.recordBoot(m.type, m.upSince - it->second.requestedAt, bootTime);
             it = booting_.erase(it);
             continue;
         }
-        // Some boots never end, and are charged until the machine is deleted. The list lags, so
-        // one that is up may still be listed as starting; and just after a take-over a machine
-        // that has not reported yet only has not found the new leader. Deleting those cost a
-        // whole fleet once.
-        const bool overdue = now - it->second.since > boot * 3 + s.cloudListLag * 2;
-        const bool wouldHaveReported = now - since_ > s.lease + s.heartbeatInterval * 2;
+        // Some machines never finish booting, and cost money until they are deleted. But the
+        // cloud's list lags, so a machine that is up may still be listed as starting; and just
+        // after a change of leader, a machine that has not reported may only not have found the
+        // new leader yet. Deleting such machines once removed a whole fleet.
+        const bool overdue =
+            now - it->second.requestedAt > bootTime * 3 + settings.cloudListLag * 2;
+        const bool wouldHaveReported =
+            now - startedAt_ > settings.lease + settings.heartbeatInterval * 2;
         if (it->second.starting && overdue && wouldHaveReported) {
-            spdlog::warn("machine {} never came up: replacing it", it->first);
+            spdlog::warn("machine did not finish booting, replacing it: machine={}", it->first);
             toTerminate_.insert(it->first);
             it = booting_.erase(it);
             continue;
@@ -64,87 +83,100 @@
 }
 
 void Autoscaler::removeUnresponsive(TimePoint now, ScalingPlan& plan) {
-    const auto& s = cluster_.settings();
-    // Reports come as much as a quarter late.
-    const Duration overdue = s.heartbeatInterval * 5 / 4 + reportDelay;
+    const auto& settings = cluster_.settings();
+    // A report may come late by a quarter of the report interval.
+    const Duration overdue = settings.heartbeatInterval * 5 / 4 + reportDelayAllowance;
     std::map<std::string, ZoneCount> zones;
-    std::size_t up = 0, askedAway = 0;
-    std::vector<const Machine*> lost;
-    std::vector<std::pair<TimePoint, MachineIndex>> unheard;
+    std::size_t machineCount = 0, unreachableZoneProbes = 0;
+    std::vector<const Machine*> unresponsive;
+    std::vector<std::pair<TimePoint, MachineIndex>> sampleCandidates;  // by when last heard from
     for (MachineIndex i = 0; i < cluster_.machines().size(); ++i) {
         const Machine& m = cluster_.machines()[i];
         if (m.presence == Presence::gone || (!m.up() && m.allocations.empty())) continue;
         ZoneCount& zone = zones[m.up() ? m.zone : m.listedZone];
-        ++zone.up;
-        ++up;
-        // What runs on it is on record, and it has not found this leader; a machine is listed
-        // until it is gone.
-        if (!m.up() && now - since_ > s.cloudListLag * 2 + reportDelay &&
-            !names_.contains(m.name) && !namesBefore_.contains(m.name)) {
+        ++zone.machines;
+        ++machineCount;
+        // The records say that a former leader placed tasks on this machine, and it has not
+        // reported to this leader. The cloud lists a machine until it is gone: two lists without it
+        // show that it no longer exists.
+        if (!m.up() && now - startedAt_ > settings.cloudListLag * 2 + reportDelayAllowance &&
+            !listedNames_.contains(m.name) && !previouslyListedNames_.contains(m.name)) {
             toTerminate_.insert(m.name);
             continue;
         }
-        const TimePoint heard = m.up() ? m.lastHeardAt : since_;
-        // Announced to be taken, and silent since: it is.
-        if (m.interruptionAt && now > *m.interruptionAt + s.heartbeatInterval &&
-            now - m.lastHeardAt > s.heartbeatInterval * 2) {
+        const TimePoint lastHeardAt = m.up() ? m.lastHeardAt : startedAt_;
+        // The time at which the cloud announced to take this spot machine back has passed, and the
+        // machine has been silent since: it has been taken back.
+        if (m.interruptionAt && now > *m.interruptionAt + settings.heartbeatInterval &&
+            now - m.lastHeardAt > settings.heartbeatInterval * 2) {
             toTerminate_.insert(m.name);
             continue;
         }
-        // Waiting for its lease would leave its tasks down for longer than this takes.
+        // A removal is worthwhile only if the machine's tasks would otherwise stay down for longer,
+        // until its lease runs out. A machine without a known address cannot be probed.
         if (m.allocations.empty() || m.address.empty() ||
-            cluster_.possiblyRunningUntil(m, now) - now <= worthDeleting)
+            cluster_.possiblyRunningUntil(m, now) - now <= minLeaseLeftForRemoval)
             continue;
-        const bool late = now - heard > overdue;
-        // One that answers but does not report is asked as often as it would report.
-        const bool quiet = m.up() && !late && now - m.lastHeartbeatAt > overdue &&
-                           !cluster_.isZoneUnreachable(m.zone);
-        if (quiet && now - m.lastHeardAt > s.heartbeatInterval / 2) plan.probe.push_back(i);
-        if (!late && m.unansweredProbes == 0) {
-            if (now - heard > sweepAge) unheard.emplace_back(heard, i);
+        const bool reportOverdue = now - lastHeardAt > overdue;
+        // A machine that answers probes but whose heartbeats do not arrive is probed about as often
+        // as it would send heartbeats.
+        const bool heartbeatsMissing = m.up() && !reportOverdue &&
+                                       now - m.lastHeartbeatAt > overdue &&
+                                       !cluster_.isZoneUnreachable(m.zone);
+        if (heartbeatsMissing && now - m.lastHeardAt > settings.heartbeatInterval / 2)
+            plan.probe.push_back(i);
+        if (!reportOverdue && m.unansweredProbes == 0) {
+            if (now - lastHeardAt > recentContact) sampleCandidates.emplace_back(lastHeardAt, i);
             continue;
         }
-        // A zone that is away with its controllers explains the silence of its machines. A few
-        // are asked, to see when it is back; it is no reason to keep the dead of other zones.
+        // If a zone is unreachable together with its controllers, that explains why its machines
+        // are silent, and none of them is removed. A few are probed to notice when the zone is
+        // back. Unresponsive machines in other zones are still removed.
         if (cluster_.isZoneUnreachable(m.zone)) {
-            if (++askedAway <= fewAsked) plan.probe.push_back(i);
+            if (++unreachableZoneProbes <= maxUnreachableZoneProbes) plan.probe.push_back(i);
             continue;
         }
-        ++zone.silent;
-        // One that is not even late is asked once more: it may only have hung for a moment.
-        if (m.unansweredProbes < askedInVain + (late ? 0 : 1))
+        ++zone.unresponsive;
+        // A machine whose report is not overdue gets one more probe: it may only have hung for a
+        // moment.
+        if (m.unansweredProbes < probesBeforeRemoval + (reportOverdue ? 0 : 1))
             plan.probe.push_back(i);
         else
-            lost.push_back(&m);
+            unresponsive.push_back(&m);
     }
-    // Machines die together, and reports are seconds apart: once a few do not answer, the others
-    // are asked before their reports are late, those heard of longest ago first. So that the first
-    // few are found within a second or two, a sample is always asked.
-    std::size_t dying = 0;
+    // Machines often fail together, but their reports are seconds apart. Once a few machines do not
+    // answer, the others are probed before their reports are overdue, those not heard from for
+    // longest first. A sample is probed all the time, so that the first few failures are found
+    // within a second or two.
+    std::size_t unanswered = 0;
     for (const auto& m : cluster_.machines())
-        dying += m.up() && m.unansweredProbes > 0 && !cluster_.isZoneUnreachable(m.zone) ? 1 : 0;
-    std::sort(unheard.begin(), unheard.end());
-    std::size_t asked = 0;
-    if (dying >= fewDying && now - lastFullProbeAt_ >= sweepAge) {
+        unanswered +=
+            m.up() && m.unansweredProbes > 0 && !cluster_.isZoneUnreachable(m.zone) ? 1 : 0;
+    std::sort(sampleCandidates.begin(), sampleCandidates.end());
+    std::size_t sampleSize = 0;
+    if (unanswered >= fullProbeThreshold && now - lastFullProbeAt_ >= recentContact) {
         lastFullProbeAt_ = now;
-        asked = std::min(unheard.size(), sweepMost(up));
-    } else if (now - lastSampleProbeAt_ >= sampleEvery) {
+        sampleSize = std::min(sampleCandidates.size(), maxFullProbeSize(machineCount));
+    } else if (now - lastSampleProbeAt_ >= minSampleInterval) {
         lastSampleProbeAt_ = now;
-        asked = std::min(unheard.size(), std::clamp(up / 20, sampleLeast, sampleMost(up)));
+        sampleSize = std::min(sampleCandidates.size(), std::clamp(machineCount / 20, minSampleSize,
+                                                                  maxSampleSize(machineCount)));
     }
-    for (std::size_t i = 0; i < asked; ++i) plan.probeSample.push_back(unheard[i].second);
-    // Most of a zone at once is rather a cut or this node's own starvation, whatever the evidence;
-    // the machines are well and deleting them would be the damage. Those given up within a lease
-    // count with them, or a long cut would take a part at a time.
-    while (!recentlyLost_.empty() && now - recentlyLost_.front().first > s.lease)
-        recentlyLost_.pop_front();
-    for (const auto& [at, zone] : recentlyLost_) ++zones[zone].silent;
-    for (const auto* m : lost) {
+    for (std::size_t i = 0; i < sampleSize; ++i)
+        plan.probeSample.push_back(sampleCandidates[i].second);
+    // If more than half of a zone's machines seem to fail at once, a network partition or a lack of
+    // CPU time on this node is the likelier cause, whatever the probes say: the machines are well,
+    // and deleting them would be the damage. Machines removed within the last lease count as well,
+    // or a long partition would take the zone's machines a part at a time.
+    while (!recentlyRemoved_.empty() && now - recentlyRemoved_.front().first > settings.lease)
+        recentlyRemoved_.pop_front();
+    for (const auto& [at, zone] : recentlyRemoved_) ++zones[zone].unresponsive;
+    for (const auto* m : unresponsive) {
         const std::string& zone = m->up() ? m->zone : m->listedZone;
-        if (zones[zone].silent > std::max<std::size_t>(1, zones[zone].up / 2)) continue;
+        if (zones[zone].unresponsive > std::max<std::size_t>(1, zones[zone].machines / 2)) continue;
         if (!toTerminate_.insert(m->name).second) continue;
-        recentlyLost_.emplace_back(now, zone);
-        spdlog::warn("machine {} is silent: giving it up to free its {} tasks", m->name,
+        recentlyRemoved_.emplace_back(now, zone);
+        spdlog::warn("machine is unresponsive, removing it: machine={} tasks={}", m->name,
                      m->allocations.size());
     }
 }
--- a/src/autoscaler/wire_format_test.cpp
+++ b/src/autoscaler/wire_format_test.cpp
@@ -71,35 +71,35 @@
     EXPECT_EQ(first.zone, "north");
     EXPECT_EQ(first.status, "running");
     EXPECT_TRUE(first.spot);
-    EXPECT_EQ(first.ageS, 12.5);
+    EXPECT_EQ(first.ageSeconds, 12.5);
     EXPECT_EQ(machines->at(1).name, "n-2");
     EXPECT_EQ(machines->at(1).status, "starting");
     EXPECT_FALSE(machines->at(1).spot);
 }
 
-TEST_F(CloudWireFormat, RentRequestAndResponses) {
-    ScaleOutRequest rent;
-    rent.booking = "b-9-1";
-    rent.type = "c8";
-    rent.zone = "north";
-    rent.spot = true;
-    rent.count = 3;
+TEST_F(CloudWireFormat, CreateRequestAndResponses) {
+    ScaleOutRequest request;
+    request.requestId = "b-9-1";
+    request.type = "c8";
+    request.zone = "north";
+    request.spot = true;
+    request.count = 3;
     service.answer(200, R"({"hosts":["n-1","n-2","n-3"]})");
-    const auto rented = finish(world, cloud.createMachines(rent, world.scope));
+    const auto result = finish(world, cloud.createMachines(request, world.scope));
     EXPECT_EQ(service.takeRequests(),
               Requests{R"(POST /hosts {"booking":"b-9-1","rigKind":"c8","hall":"north",)"
                        R"("loaners":true,"howMany":3})"});
-    EXPECT_EQ(rented.answer, CloudClient::Answer::ok);
-    EXPECT_EQ(rented.names, (std::vector<std::string>{"n-1", "n-2", "n-3"}));
+    EXPECT_EQ(result.answer, CloudClient::Answer::ok);
+    EXPECT_EQ(result.names, (std::vector<std::string>{"n-1", "n-2", "n-3"}));
     service.answer(409, R"({"error":"no capacity"})");
-    EXPECT_EQ(finish(world, cloud.createMachines(rent, world.scope)).answer,
+    EXPECT_EQ(finish(world, cloud.createMachines(request, world.scope)).answer,
               CloudClient::Answer::refused);
     service.answer(200, "{}");
-    EXPECT_EQ(finish(world, cloud.createMachines(rent, world.scope)).answer,
+    EXPECT_EQ(finish(world, cloud.createMachines(request, world.scope)).answer,
               CloudClient::Answer::unknown);
 }
 
-TEST_F(CloudWireFormat, BookingNames) {
+TEST_F(CloudWireFormat, RequestIds) {
     scheduler::Cluster cluster(settings, 9);
     cluster.setCatalogue(testing::someCatalogue());
     Autoscaler autoscaler(cluster, world.clock.now());
@@ -108,9 +108,9 @@
     std::map<std::string, std::string> records;
     testing::commitAll(cluster, records);
     world.clock.advance(11s);
-    const auto rents = autoscaler.plan(world.clock.now()).scaleOut;
-    ASSERT_FALSE(rents.empty());
-    EXPECT_EQ(rents[0].booking, "b-9-1") << "the leader's token and a number";
+    const auto requests = autoscaler.plan(world.clock.now()).scaleOut;
+    ASSERT_FALSE(requests.empty());
+    EXPECT_EQ(requests[0].requestId, "b-9-1") << "the leader's fencing token and a number";
 }
 
 TEST_F(CloudWireFormat, DeleteRequestAndResponses) {
--- a/src/worker_api/allocation.h
+++ b/src/worker_api/allocation.h
@@ -1,5 +1,6 @@
 #pragma once
-// An attempt that is possibly on a machine, and what is known of that.
+// Allocations: which attempts are possibly on a machine, and what is known about each. Used by
+// `scheduler::Cluster`, which keeps them in `worker_api::Machine`.
 #include <cstdint>
 #include <vector>
 
@@ -8,48 +9,54 @@
 
 namespace basaltchute::worker_api {
 
-/// What is known of an allocation's attempt: whether a launch of it has left, and whether the
-/// machine has it. Every change is one of the transitions below.
+/// What is known about an allocation's attempt: whether a launch command for it has been sent, and
+/// whether the machine has reported it. Every change is one of these transitions:
 ///
 ///     bound:   notSent --launch in a heartbeat response--> sent
 ///              notSent --direct launch--> directInFlight --response--> sent
 ///                                                        --no response--> directUnresolved
-///     on record from a former leader: sent, adopted until the machine reports the attempt
+///     loaded from a former leader's record: sent, adopted until its machine reports it
 ///     reported by its machine: confirmed, whatever became of the launch
 ///
-/// It ends when the allocation is released (`Cluster::release`): never launched and not needed any
-/// more, reported as exited, or proven absent.
+/// The state ends when the allocation is released (`Cluster::releaseAllocation`): the attempt was
+/// never launched and is not needed any more, was reported as exited, or is proven to be absent.
 class AllocationState {
   public:
-    /// Bound by this leader.
+    /// The state of an attempt that this leader has bound to the machine.
     static AllocationState bound() { return {}; }
-    /// Bound by a former leader, which may have launched it.
+    /// A former leader has bound the attempt, and may have launched it.
     static AllocationState adoptedFromRecord() { return {Launch::sent, Evidence::adopted}; }
-    /// Found on the machine without an allocation of its own.
+    /// The machine reported the attempt, but there was no allocation for it.
     static AllocationState foundOnMachine() { return {Launch::sent, Evidence::none}; }
 
+    /// A launch is in a heartbeat response.
     void onLaunchInResponse() {
         if (launch_ == Launch::notSent) launch_ = Launch::sent;
     }
+    /// A launch is in a direct request.
     void onDirectLaunchSent() { launch_ = Launch::directInFlight; }
+    /// A direct request to the machine has ended. No effect if it held no launch of this attempt.
+    /// `unanswered`: a copy of the request was sent and may still be executed.
     void onDirectLaunchEnded(bool unanswered) {
         if (launch_ == Launch::directInFlight)
             launch_ = unanswered ? Launch::directUnresolved : Launch::sent;
     }
+    /// The machine has reported the attempt.
     void onReported() { evidence_ = Evidence::confirmed; }
 
-    /// A launch has left, by this leader or a former one.
+    /// This leader has sent a launch, or a former one may have.
     [[nodiscard]] bool launchSent() const { return launch_ != Launch::notSent; }
+    /// A direct request with a launch is open.
     [[nodiscard]] bool directLaunchInFlight() const { return launch_ == Launch::directInFlight; }
-    /// A direct launch went unanswered: it may arrive minutes later.
+    /// A direct launch was not answered: it may still arrive, even minutes later.
     [[nodiscard]] bool directLaunchUnresolved() const {
         return launch_ == Launch::directUnresolved;
     }
-    /// A direct launch may arrive yet.
+    /// A direct launch may still arrive.
     [[nodiscard]] bool directLaunchMayArrive() const {
         return directLaunchInFlight() || directLaunchUnresolved();
     }
-    /// Bound by a former leader, and not reported to this one.
+    /// Bound by a former leader, and not yet reported to this one.
     [[nodiscard]] bool adopted() const { return evidence_ == Evidence::adopted; }
     /// Reported by the current incarnation of the agent.
     [[nodiscard]] bool confirmed() const { return evidence_ == Evidence::confirmed; }
@@ -65,20 +72,20 @@
 };
 
 /// An attempt that is possibly on a machine. It keeps its resources until there is proof that it is
-/// not there: an exit reported, a newer incarnation of the agent, an agent lease that has surely
-/// run out, or the cloud's answer that the machine is deleted.
+/// not there: a reported exit, a newer incarnation of the agent, an agent lease that has certainly
+/// expired, or the cloud's confirmation that the machine is deleted.
 struct Allocation {
     Job* job = nullptr;
     std::uint32_t task = 0;
     Attempt attempt = 0;
-    std::uint64_t recordVersion = 0;  // of the job's record that holds the binding
+    std::uint64_t recordVersion = 0;  // version of the job's record with the binding
     AllocationState state = AllocationState::bound();
-    bool orphaned = false;  // on the machine, but not where its task belongs
+    bool orphaned = false;  // found on the machine, where its task does not belong: it is stopped
     bool stopSent = false;
-    bool launchInLastResponse = false;     // its launch was in the last heartbeat response
-    std::uint64_t lastReportedIn = 0;      // sequence of the last report with it among the running
-    std::vector<cells::CellIndex> cells;   // of its team's reservation; none: opportunistic
-    std::uint32_t opportunisticSlots = 0;  // as counted in `cells::CellPool`'s low-priority view
+    bool launchInLastResponse = false;  // the last heartbeat response held its launch
+    std::uint64_t lastReportedIn = 0;   // sequence of the last report that lists it, not as exited
+    std::vector<cells::CellIndex> cells;   // of the team's reservation; none if opportunistic
+    std::uint32_t opportunisticSlots = 0;  // counted in the low-priority view of `cells::CellPool`
 };
 
 }  // namespace basaltchute::worker_api
--- a/src/worker_api/allocation_test.cpp
+++ b/src/worker_api/allocation_test.cpp
@@ -5,7 +5,7 @@
 namespace basaltchute::worker_api {
 namespace {
 
-TEST(AllocationState, NothingHasLeftForABindingUntilItsLaunchIsSent) {
+TEST(AllocationState, NewBindingIsNotLaunchedUntilItsLaunchIsSent) {
     AllocationState state = AllocationState::bound();
     EXPECT_FALSE(state.launchSent());
     EXPECT_FALSE(state.adopted());
@@ -17,7 +17,7 @@
     EXPECT_FALSE(state.directLaunchMayArrive());
 }
 
-TEST(AllocationState, ADirectLaunchMayArriveUntilItIsAnswered) {
+TEST(AllocationState, DirectLaunchMayArriveUntilItIsAnswered) {
     AllocationState state = AllocationState::bound();
     state.onDirectLaunchSent();
     EXPECT_TRUE(state.launchSent());
@@ -29,7 +29,7 @@
     EXPECT_FALSE(state.directLaunchMayArrive());
 }
 
-TEST(AllocationState, AnUnansweredDirectLaunchMayArriveForGood) {
+TEST(AllocationState, UnansweredDirectLaunchMayArriveAtAnyLaterTime) {
     AllocationState state = AllocationState::bound();
     state.onDirectLaunchSent();
     state.onDirectLaunchEnded(true);
@@ -38,11 +38,12 @@
     state.onLaunchInResponse();
     state.onDirectLaunchEnded(false);
     state.onReported();
-    EXPECT_TRUE(state.directLaunchUnresolved()) << "an answer to another request proves nothing";
+    EXPECT_TRUE(state.directLaunchUnresolved())
+        << "the response to another request proves nothing about this one";
     EXPECT_TRUE(state.confirmed());
 }
 
-TEST(AllocationState, WhatAFormerLeaderBoundIsAdoptedUntilItIsReported) {
+TEST(AllocationState, AttemptBoundByAFormerLeaderIsAdoptedUntilItIsReported) {
     AllocationState state = AllocationState::adoptedFromRecord();
     EXPECT_TRUE(state.launchSent());
     EXPECT_TRUE(state.adopted());
@@ -52,7 +53,7 @@
     EXPECT_TRUE(state.confirmed());
 }
 
-TEST(AllocationState, WhatIsFoundOnAMachineWasLaunchedBySomebody) {
+TEST(AllocationState, AttemptFoundOnAMachineCountsAsLaunched) {
     AllocationState state = AllocationState::foundOnMachine();
     EXPECT_TRUE(state.launchSent());
     EXPECT_FALSE(state.confirmed());
--- a/src/worker_api/command_sender.h
+++ b/src/worker_api/command_sender.h
@@ -1,4 +1,6 @@
 #pragma once
+// Sends direct requests (commands and probes) to the machines' agents. Called by the leader's term
+// (`controller::LeaderTerm`).
 #include <deque>
 #include <functional>
 #include <map>
@@ -10,23 +12,28 @@
 
 namespace basaltchute::worker_api {
 
-/// How workers are reached for direct orders and questions: by this node's own way, and over a
-/// peer while that is cut. A leader that loses the workers alone hears them through followers all
-/// the same; its orders would wait for their next reports.
+/// Sends each request over this node's own network path, or through a peer while that path fails. A
+/// leader that is cut off from the workers alone still receives their reports through followers;
+/// without relays, its commands would have to wait for the workers' next heartbeats.
 class CommandSender {
   public:
+    /// Where a request goes.
     struct Target {
         MachineIndex machine = noMachine;
         std::string zone, address;
     };
+    /// What became of a request that was sent through a peer. If it is not answered, a status of
+    /// 502, 503 or 504 says that no peer could reach the machine; any other, that the peer itself
+    /// did not answer or could not tell.
     struct RelayedOutcome {
         http::RequestOutcome outcome;
-        bool sameZone = false;  // a node in that zone passed it on
+        bool sameZone = false;  // the peer is in the machine's zone
     };
-    /// Asks a peer, one in that zone if there is one, to pass the request on.
+    /// Sends a request through a peer, in the machine's zone if there is one.
     using Relay = std::function<Task<RelayedOutcome>(Target, http::Request, Duration, Scope&)>;
-    /// `sockets`: the most that direct commands and probes hold at once, whether or not they stay
-    /// open. A request beyond that waits for a free one.
+    /// `sockets`: how many sockets direct requests may hold at once, including connections that are
+    /// kept open. A request beyond that waits for a free one. The loop must live as long as the
+    /// sender.
     CommandSender(EventLoop& loop, std::size_t sockets, Relay relay)
         : loop_(loop),
           connections_(loop, sockets),
@@ -35,33 +42,38 @@
 
     struct SendResult {
         http::RequestOutcome outcome;
-        /// A copy left and was not answered: it may be executed yet, whatever the outcome is.
+        /// A copy of the request was sent and not answered: it may still be executed, whatever the
+        /// outcome of another copy.
         bool mayExecuteLater = false;
-        /// Not reached by a way that works: the fault is the machine's. A cut of its zone explains
-        /// silence as well, so somebody in that zone must have spoken.
+        /// The machine did not answer although the path to it works, so the machine is at fault.
+        /// Since a partition of its zone would explain the silence as well, this is true only if
+        /// another machine or a node in the zone has answered.
         bool machineUnreachable = false;
     };
-    /// `insist`: over a peer too, even if only this machine is not reached, unless others in its
-    /// zone have just been. If no socket becomes free within `timeout`, nothing was sent and
-    /// nothing is said about the machine: its commands go with the response to its next heartbeat.
-    Task<SendResult> send(Target target, http::Request request, Duration timeout, bool insist,
-                          Scope& scope);
-    /// Whether this node's own way to the zone's workers seems to be cut.
+    /// Sends a request, through a peer if the direct path to the machine's zone fails.
+    /// `relayIfUnanswered`: through a peer also if only this machine does not answer, unless other
+    /// machines in its zone have just answered. If no socket becomes free within `timeout`, nothing
+    /// is sent, and the result says nothing about the machine: it gets its commands in the response
+    /// to its next heartbeat.
+    Task<SendResult> send(Target target, http::Request request, Duration timeout,
+                          bool relayIfUnanswered, Scope& scope);
+    /// Whether this node's own path to the workers of the zone seems to fail.
     [[nodiscard]] bool directPathFailing(const std::string& zone) const;
 
   private:
-    /// Machines that could not be reached since one in the zone last was.
+    /// This node's own path to the workers of one zone.
     struct ZonePath {
+        /// Machines that have not answered since any machine in the zone last did.
         std::set<MachineIndex> unansweredMachines;
         TimePoint lastAnswerAt{}, nextProbe{};
-        bool failureLogged = false;           // that it is cut
-        std::deque<Target> recentlyAnswered;  // machines that did of late, the last one first
+        bool failureLogged = false;
+        std::deque<Target> recentlyAnswered;  // the latest first
     };
-    [[nodiscard]] bool recentlyWorked(const ZonePath& way) const;
-    /// Whether some other machine in the zone answers, by this node's own way or over a peer.
+    [[nodiscard]] bool recentlyWorked(const ZonePath& path) const;
+    /// Whether another machine in the zone answers, directly or through a peer.
     Task<bool> otherMachinesAnswer(Target target, Scope& scope);
-    void rememberAnswer(ZonePath& way, const Target& target);
-    /// One request over this node's own path.
+    void rememberAnswer(ZonePath& path, const Target& target);
+    /// What became of one request over this node's own path.
     struct DirectAttempt {
         bool made = false;  // false: no socket became free in time
         TimePoint startedAt{};
@@ -69,7 +81,7 @@
     };
     Task<DirectAttempt> sendDirect(const Target& target, http::Request request, Duration timeout,
                                    Scope& scope);
-    /// Finds out whether the own way works again, with a question that no order depends on.
+    /// Finds out whether the direct path works again, by a request that no command depends on.
     Task<void> probe(Target target, Scope& scope);
 
     EventLoop& loop_;
--- a/src/worker_api/machine.h
+++ b/src/worker_api/machine.h
@@ -1,6 +1,7 @@
 #pragma once
 // What a leader knows of each machine: its agent, its lease, its tasks and the state of its network
-// path. Plain data; `scheduler::Cluster` alone changes it.
+// path. Plain data, which only `scheduler::Cluster` changes. The autoscaler reads it, and so does
+// the leader's term (`controller::LeaderTerm`).
 #include <deque>
 #include <map>
 #include <optional>
@@ -14,68 +15,75 @@
 
 namespace basaltchute::worker_api {
 
-/// `expected`: on record or in the cloud's list, but no report has come. `gone`: deleted for good.
+/// `expected`: named in the records or listed by the cloud, but not yet heard from. `gone`: deleted
+/// by the cloud for good.
 enum class Presence { expected, up, gone };
 
+/// One machine, as far as this leader knows.
 struct Machine {
     std::string name, address, type, zone;
-    std::string listedZone;  // by the cloud's list, for one that has not reported yet
+    std::string listedZone;  // by the cloud's list, while the machine has not reported yet
     bool spot = false;
     Presence presence = Presence::expected;
 
     // The agent and its lease
-    std::uint64_t incarnation = 0, heartbeatSequence = 0;
-    std::uint64_t endedIncarnation = 0;  // incarnations up to this one are surely over
-    TimePoint lastHeardAt{};             // of its last new report, whatever it came by
-    TimePoint lastHeartbeatAt{};         // of the last new report that it sent by itself
-    TimePoint sequenceSeenAt{};  // of `incarnation` and `heartbeatSequence`, whatever was in them
-    TimePoint leaseEnd{};        // when its lease has surely run out, whoever renewed it last
+    std::uint64_t incarnation = 0, heartbeatSequence = 0;  // of the newest report
+    std::uint64_t endedIncarnation = 0;  // up to this one, incarnations have certainly ended
+    TimePoint lastHeardAt{};      // last new report, as a heartbeat or in a response to a request
+    TimePoint lastHeartbeatAt{};  // last new report in a heartbeat
+    /// When `incarnation` and `heartbeatSequence` were first seen, also if the rest of that report
+    /// was ignored.
+    TimePoint sequenceSeenAt{};
+    TimePoint leaseEnd{};  // when the lease has certainly expired, whoever renewed it last
     TimePoint upSince{};
-    std::optional<TimePoint> interruptionAt;  // spot: the cloud takes it back then
+    std::optional<TimePoint> interruptionAt;  // when the cloud takes this spot machine back
 
     // Its tasks
     std::vector<Allocation> allocations;
-    /// As last reported, and the version of the job's record that holds what the exit proves. A
-    /// later change of the same record is no reason to wait: a large array's changes all the time.
+    /// Attempts that were reported as exited last, with the version of the job's record that holds
+    /// their results: once it is durable, the worker may forget them. The version is kept so that
+    /// later changes of the record need not be waited for: that of a large array changes all the
+    /// time.
     std::map<TaskAttempt, std::uint64_t> terminalStatuses;
-    std::size_t lastReportBytes = 0;         // of the last report
-    std::vector<ReportedTask> unknownTasks;  // on it, but of no job on record
-    /// Attempts that the worker must not forget: a late direct launch would start them again.
+    std::size_t lastReportBytes = 0;         // size of the last report
+    std::vector<ReportedTask> unknownTasks;  // running there, but of no known job
+    /// Attempts that the worker must not forget, because a direct launch that is still on its way
+    /// would start them again.
     std::set<TaskAttempt> tombstones;
-    std::map<std::string, TimePoint> cachedImages;  // in its cache, and when last used
-    bool commandInFlight = false;                   // a direct request has not ended yet
+    std::map<std::string, TimePoint> cachedImages;  // with the time of last use
+    bool commandInFlight = false;                   // a direct request is open
 
     // Its health
-    std::set<JobId> failedJobs;  // since its last success
+    std::set<JobId> failedJobs;  // jobs with failures here since the last success
     std::uint32_t failures = 0;
     TimePoint backOffUntil{};
-    bool quarantined = false;  // tasks fail here that succeed elsewhere: it gets no more work
-    bool draining = false;     // to be terminated: it gets no more work
+    bool quarantined = false;  // gets no more work: tasks fail here that succeed elsewhere
+    bool draining = false;     // gets no more work: to be terminated
 
     // Its network path
-    /// Inbound-partitioned: its reports arrive, but responses do not reach it. Heartbeats of this
-    /// incarnation that were answered, when the last one was, and how many responses in a row the
-    /// machine did not act on. It gets no more work until `inboundPartitionedUntil`, and the
-    /// autoscaler replaces its capacity.
+    /// Inbound-partitioned: the machine's reports arrive, but responses do not reach it. It gets no
+    /// more work until `inboundPartitionedUntil`, and the autoscaler replaces its capacity. To
+    /// detect it: the answered heartbeats of this incarnation, the number of responses in a row
+    /// that the machine did not act on, and when a heartbeat was last answered.
     std::uint32_t answeredHeartbeats = 0, ignoredResponses = 0;
     TimePoint lastAnsweredAt{}, inboundPartitionedUntil{};
     bool inboundPartitioned = false;
-    /// Outbound-partitioned: it answers direct requests, but its heartbeats do not arrive, so that
-    /// nothing renews its lease. Only services are placed there, and only where there is no other
-    /// capacity; what can write a checkpoint or be moved is, until it reports again.
+    /// Outbound-partitioned: the machine answers direct requests, but its heartbeats do not arrive,
+    /// so nothing renews its lease. Only services are placed there, and only for lack of other
+    /// capacity. Until heartbeats arrive again, tasks that can write a checkpoint do so, and tasks
+    /// that can be moved are moved.
     bool outboundPartitioned = false;
     std::uint32_t unansweredProbes = 0;  // since its last new report
 
     // Bookkeeping of the scheduler
-    TimePoint nextTimerAt =
-        TimePoint::max();        // when the passing of time next changes something here
-    bool capacityDirty = false;  // its entry in the capacity index is out of date
+    TimePoint nextTimerAt = TimePoint::max();  // when time alone next changes something here
+    bool capacityDirty = false;                // its entry in the capacity index is out of date
 
     [[nodiscard]] bool up() const { return presence == Presence::up; }
     /// The allocation of this attempt, or nullptr if there is none.
     Allocation* findAllocation(const Job& job, std::uint32_t task, Attempt attempt) {
-        // Reports list tasks in much the order in which they were allocated: the search goes on
-        // where the last one ended, or a machine with hundreds of tasks costs their square.
+        // Reports list tasks in about the order in which they were allocated. So the search starts
+        // where the last one ended; else a report of hundreds of tasks would take quadratic time.
         for (std::size_t n = 0; n < allocations.size(); ++n, ++searchCursor) {
             if (searchCursor >= allocations.size()) searchCursor = 0;
             Allocation& found = allocations[searchCursor];
@@ -83,12 +91,14 @@
         }
         return nullptr;
     }
-    std::size_t searchCursor = 0;
+    std::size_t searchCursor = 0;  // where findAllocation() goes on
 };
 
-/// Every machine this leader knows of. Indices and references stay valid: none is ever removed.
+/// Every machine that this leader knows of. Indices and references stay valid, since no machine is
+/// ever removed.
 class MachineRegistry {
   public:
+    /// The index of the machine, which is added if it was not known.
     MachineIndex indexOf(const std::string& name) {
         const auto [it, fresh] = byName_.try_emplace(name, static_cast<MachineIndex>(all_.size()));
         if (fresh) {
@@ -97,6 +107,7 @@
         }
         return it->second;
     }
+    /// Nothing if the machine is not known.
     [[nodiscard]] std::optional<MachineIndex> find(const std::string& name) const {
         const auto it = byName_.find(name);
         return it == byName_.end() ? std::nullopt : std::optional(it->second);
--- a/src/worker_api/status_report.cpp
+++ b/src/worker_api/status_report.cpp
@@ -13,7 +13,7 @@
     if (s == "running") return TaskStatus::running;
     if (s == "saving") return TaskStatus::checkpointing;
     if (s == "exited") return TaskStatus::exited;
-    return TaskStatus::other;  // still on the machine, whatever it is called
+    return TaskStatus::other;  // unknown, but the task is still on the machine
 }
 ExitCause causeOf(const std::string& s) {
     if (s == "done") return ExitCause::done;
@@ -35,18 +35,18 @@
     return "forget";
 }
 
-void write(json::Writer& o, const std::vector<Command>& commands) {
-    o.key("orders").openArray();
+void writeCommands(json::Writer& out, const std::vector<Command>& commands) {
+    out.key("orders").openArray();
     for (const Command& command : commands) {
         const TaskAttempt& target = attemptOf(command);
-        o.open().field("verb", std::visit([](const auto& c) { return verbOf(c); }, command));
-        o.field("split", target.job + '/' + std::to_string(target.task));
-        o.field("try", target.attempt);
+        out.open().field("verb", std::visit([](const auto& c) { return verbOf(c); }, command));
+        out.field("split", target.job + '/' + std::to_string(target.task));
+        out.field("try", target.attempt);
         if (const auto* stop = std::get_if<StopTask>(&command))
-            o.field("windDownS", toSeconds(stop->gracePeriod));
-        o.close();
+            out.field("windDownS", toSeconds(stop->gracePeriod));
+        out.close();
     }
-    o.closeArray();
+    out.closeArray();
 }
 
 }  // namespace
@@ -54,60 +54,61 @@
 std::optional<StatusReport> parseStatusReport(const std::string& body) {
     const auto doc = json::parse(body);
     if (!doc || !doc->IsObject()) return std::nullopt;
-    auto host = json::string(*doc, "host");
-    auto addr = json::string(*doc, "addr");
+    auto machine = json::string(*doc, "host");
+    auto address = json::string(*doc, "addr");
     auto type = json::string(*doc, "rigKind");
     auto zone = json::string(*doc, "hall");
-    const auto session = json::count(*doc, "stint");
+    const auto incarnation = json::count(*doc, "stint");
     const auto sequence = json::count(*doc, "tick");
     const auto* tasks = json::array(*doc, "splits");
-    if (!host || host->empty() || !addr || !type || !zone || !session || !sequence ||
+    if (!machine || machine->empty() || !address || !type || !zone || !incarnation || !sequence ||
         tasks == nullptr)
         return std::nullopt;
-    StatusReport r;
-    r.bytes = body.size();
-    r.machine = std::move(*host);
-    r.address = std::move(*addr);
-    r.type = std::move(*type);
-    r.zone = std::move(*zone);
-    r.spot = json::boolean(*doc, "loaners").value_or(false);
-    r.incarnation = *session;
-    r.sequence = *sequence;
-    r.token = json::count(*doc, "baton").value_or(0);
-    if (const auto n = json::number(*doc, "recallS")) r.interruptionNotice = fromSeconds(*n);
-    for (const auto& t : tasks->GetArray()) {
-        const auto name = json::string(t, "split");
-        const auto attempt = json::count(t, "try");
+    StatusReport report;
+    report.bytes = body.size();
+    report.machine = std::move(*machine);
+    report.address = std::move(*address);
+    report.type = std::move(*type);
+    report.zone = std::move(*zone);
+    report.spot = json::boolean(*doc, "loaners").value_or(false);
+    report.incarnation = *incarnation;
+    report.sequence = *sequence;
+    report.token = json::count(*doc, "baton").value_or(0);
+    if (const auto seconds = json::number(*doc, "recallS"))
+        report.interruptionNotice = fromSeconds(*seconds);
+    for (const auto& entry : tasks->GetArray()) {
+        const auto name = json::string(entry, "split");
+        const auto attempt = json::count(entry, "try");
         const auto slash = name ? name->rfind('/') : std::string::npos;
         if (!attempt || slash == std::string::npos) return std::nullopt;
-        ReportedTask out;
-        out.job = name->substr(0, slash);
+        ReportedTask task;
+        task.job = name->substr(0, slash);
         const char* end = name->data() + name->size();
-        const auto [p, ec] = std::from_chars(name->data() + slash + 1, end, out.task);
-        if (ec != std::errc{} || p != end) return std::nullopt;
-        out.attempt = *attempt;
-        out.status = statusOf(json::string(t, "status").value_or(""));
-        out.cause = causeOf(json::string(t, "cause").value_or(""));
-        out.checkpointed = json::boolean(t, "stored").value_or(false);
-        r.tasks.push_back(std::move(out));
+        const auto [parsedTo, error] = std::from_chars(name->data() + slash + 1, end, task.task);
+        if (error != std::errc{} || parsedTo != end) return std::nullopt;
+        task.attempt = *attempt;
+        task.status = statusOf(json::string(entry, "status").value_or(""));
+        task.cause = causeOf(json::string(entry, "cause").value_or(""));
+        task.checkpointed = json::boolean(entry, "stored").value_or(false);
+        report.tasks.push_back(std::move(task));
     }
-    return r;
+    return report;
 }
 
 std::string encodeHeartbeatResponse(FencingToken token, const std::vector<Command>& commands) {
-    json::Writer o;
-    o.open().field("baton", token);
-    write(o, commands);
-    o.close();
-    return o.text();
+    json::Writer out;
+    out.open().field("baton", token);
+    writeCommands(out, commands);
+    out.close();
+    return out.text();
 }
 std::string encodeCommands(FencingToken token, std::uint64_t incarnation,
                            const std::vector<Command>& commands) {
-    json::Writer o;
-    o.open().field("baton", token).field("stint", incarnation);
-    write(o, commands);
-    o.close();
-    return o.text();
+    json::Writer out;
+    out.open().field("baton", token).field("stint", incarnation);
+    writeCommands(out, commands);
+    out.close();
+    return out.text();
 }
 
 }  // namespace basaltchute::worker_api
