--- a/src/kv_store/client.cpp
+++ b/src/kv_store/client.cpp
@@ -14,17 +14,26 @@
 
 constexpr Duration relayTimeout = 700ms;
 constexpr Duration listTimeout = 4s;
-constexpr Duration watchGrace = 2s;  // for the answer of a watch, after the time that it waits
-constexpr Duration probeEvery = 2s;  // of the direct path while requests go through a peer
+/// Added to the timeout of a watch, for its response to arrive.
+constexpr Duration watchGracePeriod = 2s;
+/// How often the direct path is probed while requests go through a peer.
+constexpr Duration probeInterval = 2s;
 constexpr std::size_t maxIdleConnections = 6;
-// The limit is the whole service's: one leader and its followers must fit in together.
+/// Shares of the service's request limit that one node uses. The limit applies to all nodes
+/// together, so the leader and its followers must fit into it.
 constexpr double requestRateShare = 0.7, requestBurstShare = 0.5;
-constexpr double writeRateShare = 0.95, writeBurstShare = 0.9;  // of the service's rate of writes
-// Factors on the rate of writes when the service refuses it and when it serves, and the least share
-// of the configured rate.
-constexpr double slowDown = 0.9, speedUp = 1.05, leastShare = 0.2;
-constexpr Duration refusalsCountOnce = 1s;  // those of one burst
-constexpr Duration speedUpAfter = 60s, speedUpEvery = 10s;
+/// Shares of the service's limit on writes that this client uses.
+constexpr double writeRateShare = 0.95, writeBurstShare = 0.9;
+/// Factors by which the write rate is changed when the service limits it, and when the service has
+/// accepted it for a while.
+constexpr double rateDecreaseFactor = 0.9, rateIncreaseFactor = 1.05;
+/// The write rate never falls below this share of the configured maximum, unless a lower rate was
+/// announced.
+constexpr double minWriteRateShare = 0.2;
+/// Several rate-limited writes within this time lower the rate only once.
+constexpr Duration rateLimitBurstDuration = 1s;
+/// Time from the last rate-limited write until the rate is raised, and between later raises.
+constexpr Duration rateIncreaseDelay = 60s, rateIncreaseInterval = 10s;
 constexpr std::size_t maxKeyBytes = 200;
 
 Status statusOf(const http::RequestOutcome& outcome) {
@@ -37,7 +46,7 @@
         case 409:
             return Status::conflict;
         case 400:
-            spdlog::warn("state service rejects a request as malformed answer={}",
+            spdlog::warn("state service rejected a request as malformed: response={}",
                          outcome.response.body);
             return Status::malformed;
         case 429:
@@ -93,68 +102,73 @@
       writeLimiter_(s.stateWriteRps * writeRateShare, s.stateWriteRps * writeBurstShare,
                     loop.now()),
       maxWriteRate_(s.stateWriteRps * writeRateShare),
-      nextWriteRate_(s.stateWriteRpsNext * writeRateShare) {}
+      announcedWriteRate_(s.stateWriteRpsNext * writeRateShare) {}
 
 void Client::adaptWriteRate(Status status) {
     const TimePoint now = loop_.now();
     const double rate = writeLimiter_.rate();
-    if (status == Status::rateLimited && now - rateLimitedAt_ >= refusalsCountOnce) {
+    if (status == Status::rateLimited && now - rateLimitedAt_ >= rateLimitBurstDuration) {
         rateLimitedAt_ = now;
-        const bool announcedFall = nextWriteRate_ > 0 && nextWriteRate_ < rate;
-        const double slower = std::max(rate * slowDown, maxWriteRate_ * leastShare);
-        writeLimiter_.setRate(announcedFall ? nextWriteRate_ : slower, now);
-        spdlog::info("state service limits the write rate writes_per_second={:.1f}",
-                     writeLimiter_.rate());
+        const bool decreaseAnnounced = announcedWriteRate_ > 0 && announcedWriteRate_ < rate;
+        const double decreasedRate =
+            std::max(rate * rateDecreaseFactor, maxWriteRate_ * minWriteRateShare);
+        writeLimiter_.setRate(decreaseAnnounced ? announcedWriteRate_ : decreasedRate, now);
+        spdlog::info(
+            "write rate adapted to the limit of the state service: writes_per_second={:.1f}",
+            writeLimiter_.rate());
     } else if (status == Status::ok && rate < maxWriteRate_ &&
-               now - rateLimitedAt_ >= speedUpAfter) {
-        // It may have been a burst of somebody else's.
-        rateLimitedAt_ = now - speedUpAfter + speedUpEvery;
-        writeLimiter_.setRate(std::min(rate * speedUp, maxWriteRate_), now);
+               now - rateLimitedAt_ >= rateIncreaseDelay) {
+        // The limit may have been exceeded by another client's burst of writes, so a higher rate is
+        // tried again, one step per `rateIncreaseInterval`.
+        rateLimitedAt_ = now - rateIncreaseDelay + rateIncreaseInterval;
+        writeLimiter_.setRate(std::min(rate * rateIncreaseFactor, maxWriteRate_), now);
     }
 }
 
-bool Client::isPlausible(Revision at, Revision since, const std::string& subject) {
-    if (at < since) {
+bool Client::isPlausible(Revision revision, Revision expectedAtLeast, const std::string& subject) {
+    if (revision < expectedAtLeast) {
         spdlog::error(
-            "answer of the state service ignored reason=\"revision went back\" "
-            "subject=\"{}\" revision={} after={}",
-            subject, at, since);
+            "response of the state service ignored, its revision is too old: "
+            "subject=\"{}\" revision={} expected_at_least={}",
+            subject, revision, expectedAtLeast);
         return false;
     }
-    newestRevision_ = std::max(newestRevision_, at);
+    newestRevision_ = std::max(newestRevision_, revision);
     return true;
 }
 
 Task<http::RequestOutcome> Client::send(http::Request request, Duration timeout, Scope& scope) {
-    // A refusal that only this node gets, or a partition that only it suffers, looks like an
-    // outage: a peer may still reach the service.
-    http::RequestOutcome first;
+    // If the service refuses only this node, or a network partition separates only this node from
+    // it, that looks like an outage from here, but a peer may still reach the service.
+    http::RequestOutcome directOutcome;
     if (!relay_ || !directPathFailing_) {
         http::Request copy = request;
-        first = co_await sendDirectly(std::move(copy), timeout, scope);
-        const bool served = first.answered && first.response.status != 503;
-        if (served || !relay_ || scope.cancelled()) co_return first;
+        directOutcome = co_await sendDirectly(std::move(copy), timeout, scope);
+        const bool servedDirectly = directOutcome.answered && directOutcome.response.status != 503;
+        if (servedDirectly || !relay_ || scope.cancelled()) co_return directOutcome;
         directPathFailing_ = true;
-        nextProbe_ = loop_.now() + probeEvery;
-    } else if (loop_.now() >= nextProbe_ && !probing_) {
+        nextProbeAt_ = loop_.now() + probeInterval;
+    } else if (loop_.now() >= nextProbeAt_ && !probing_) {
         probing_ = true;
-        scope.spawn(probe(scope));
+        scope.spawn(probeDirectPath(scope));
     }
-    auto relayed = co_await relay_(std::move(request), std::min(timeout, relayTimeout), scope);
-    if (!relayed.answered) {
+    auto relayedOutcome =
+        co_await relay_(std::move(request), std::min(timeout, relayTimeout), scope);
+    if (!relayedOutcome.answered) {
         directPathFailing_ = false;
-        // It may have been executed by either path.
-        relayed.sent = relayed.sent || (first.sent && !first.answered);
-        if (first.answered && !relayed.sent) co_return first;
+        // The request may have been executed on either path.
+        relayedOutcome.sent =
+            relayedOutcome.sent || (directOutcome.sent && !directOutcome.answered);
+        if (directOutcome.answered && !relayedOutcome.sent) co_return directOutcome;
     }
-    co_return relayed;
+    co_return relayedOutcome;
 }
 
-Task<void> Client::probe(Scope& scope) {
+Task<void> Client::probeDirectPath(Scope& scope) {
     http::Request request{"GET", "/keys/lead/token", ""};
     const auto outcome = co_await sendDirectly(std::move(request), defaultTimeout, scope);
     if (outcome.answered && outcome.response.status != 503) directPathFailing_ = false;
-    nextProbe_ = loop_.now() + probeEvery;
+    nextProbeAt_ = loop_.now() + probeInterval;
     probing_ = false;
 }
 
@@ -171,7 +185,7 @@
 Task<CommitResult> Client::commit(Transaction txn, Scope& scope, Duration timeout) {
     const bool writes = !(txn.puts.empty() && txn.deletes.empty());
     http::Request request{"POST", "/multi", encode(txn)};
-    const Revision since = newestRevision_;
+    const Revision knownAtSend = newestRevision_;
     auto outcome = co_await send(std::move(request), timeout, scope);
     CommitResult result;
     result.status = statusOf(outcome);
@@ -182,13 +196,13 @@
     const auto revision = doc ? json::count(*doc, "epoch") : std::nullopt;
     const auto* failed = doc ? json::array(*doc, "failed") : nullptr;
     if (!revision || (result.status == Status::conflict && failed == nullptr)) {
-        spdlog::warn("malformed answer of the state service subject=transaction");
+        spdlog::warn("malformed response of the state service: subject=transaction");
         result.status = Status::outcomeUnknown;
         co_return result;
     }
-    // A write has a revision of its own.
+    // Each write raises the store's revision.
     const bool written = result.status == Status::ok && writes;
-    if (!isPlausible(*revision, since + (written ? 1 : 0), "transaction")) {
+    if (!isPlausible(*revision, knownAtSend + (written ? 1 : 0), "transaction")) {
         result.status = Status::outcomeUnknown;
         co_return result;
     }
@@ -201,7 +215,7 @@
 
 Task<GetResult> Client::get(std::string key, Scope& scope) {
     http::Request request{"GET", "/keys/" + key, ""};
-    const Revision since = newestRevision_;
+    const Revision knownAtSend = newestRevision_;
     auto outcome = co_await send(std::move(request), defaultTimeout, scope);
     GetResult found;
     found.status = statusOf(outcome);
@@ -210,13 +224,14 @@
     const auto doc = json::parse(outcome.response.body);
     if (found.status == Status::notFound) {
         const auto revision = doc ? json::count(*doc, "epoch") : std::nullopt;
-        if (!revision || !isPlausible(*revision, since, key)) found.status = Status::outcomeUnknown;
+        if (!revision || !isPlausible(*revision, knownAtSend, key))
+            found.status = Status::outcomeUnknown;
         found.revision = revision.value_or(0);
         co_return found;
     }
     if (doc) found.entry = decodeEntry(*doc);
     if (!found.entry || found.entry->key != key) {
-        spdlog::error("malformed answer of the state service subject=\"{}\"", key);
+        spdlog::error("malformed response of the state service: subject=\"{}\"", key);
         found.status = Status::outcomeUnknown;
         found.entry.reset();
         co_return found;
@@ -231,22 +246,22 @@
     while (more) {
         http::Request request{"GET", "/keys?under=" + prefix + "&page=1000", ""};
         if (!all.entries.empty()) request.target += "&after=" + all.entries.back().key;
-        const Revision since = newestRevision_;
+        const Revision knownAtSend = newestRevision_;
         auto outcome = co_await send(std::move(request), listTimeout, scope);
         all.status = statusOf(outcome);
         if (all.status != Status::ok) break;
-        more = addPage(outcome.response.body, prefix, since, all);
+        more = appendPage(outcome.response.body, prefix, knownAtSend, all);
     }
     co_return all;
 }
 
-bool Client::addPage(const std::string& body, const std::string& prefix, Revision since,
-                     ListResult& all) {
+bool Client::appendPage(const std::string& body, const std::string& prefix, Revision knownAtSend,
+                        ListResult& all) {
     const auto doc = json::parse(body);
     const auto* entries = doc ? json::array(*doc, "pairs") : nullptr;
     const auto more = doc ? json::boolean(*doc, "truncated") : std::nullopt;
     const auto revision = doc ? json::count(*doc, "epoch") : std::nullopt;
-    if (entries == nullptr || !revision || !isPlausible(*revision, since, prefix)) {
+    if (entries == nullptr || !revision || !isPlausible(*revision, knownAtSend, prefix)) {
         all.status = Status::outcomeUnknown;
         return false;
     }
@@ -255,7 +270,7 @@
         const bool ascending =
             entry && (all.entries.empty() || entry->key > all.entries.back().key);
         if (!ascending || !entry->key.starts_with(prefix) || entry->revision > *revision) {
-            spdlog::error("malformed answer of the state service subject=\"{}\"", prefix);
+            spdlog::error("malformed response of the state service: subject=\"{}\"", prefix);
             all.status = Status::outcomeUnknown;
             return false;
         }
@@ -301,7 +316,7 @@
                           "/watch?under=" + prefix + "&after=" + std::to_string(after) +
                               "&waitMs=" + std::to_string(toMillis(timeout)),
                           ""};
-    auto outcome = co_await sendDirectly(std::move(request), timeout + watchGrace, scope);
+    auto outcome = co_await sendDirectly(std::move(request), timeout + watchGracePeriod, scope);
     co_return statusOf(outcome);
 }
 
--- a/src/kv_store/client_test.cpp
+++ b/src/kv_store/client_test.cpp
@@ -13,13 +13,13 @@
     testing::World world;
     bool partitioned = false;
     int relayed = 0, epoch = 1;
-    // Each write has a revision of its own.
-    const auto writeResponse = [&] {
+    // Each write raises the store's revision.
+    const auto nextWriteResponse = [&] {
         return http::Response{200, R"({"epoch":)" + std::to_string(++epoch) + '}'};
     };
     http::Server service(world.loop, "127.0.0.1:0", {}, [&](http::Request) -> Task<http::Response> {
         if (partitioned) co_await world.loop.sleep(1h, world.scope);
-        co_return writeResponse();
+        co_return nextWriteResponse();
     });
     service.start(world.scope);
     auto settings = testing::someSettings();
@@ -27,7 +27,7 @@
     Client client(world.loop, settings);
     client.setRelay([&](http::Request, Duration, Scope&) -> Task<http::RequestOutcome> {
         ++relayed;
-        co_return http::RequestOutcome{true, true, writeResponse()};
+        co_return http::RequestOutcome{true, true, nextWriteResponse()};
     });
     const auto write = [&] {
         bool done = false;
@@ -45,7 +45,7 @@
     EXPECT_LT(write(), 100ms);
     EXPECT_EQ(relayed, 0);
     partitioned = true;
-    EXPECT_GT(write(), 1s) << "the first one detects the partition";
+    EXPECT_GT(write(), 1s) << "the first write detects the partition";
     for (int i = 0; i < 20; ++i) {
         EXPECT_LT(write(), 100ms) << i;
         world.run(500ms);
@@ -58,11 +58,11 @@
     }
     const int before = relayed;
     write();
-    EXPECT_EQ(relayed, before) << "directly again";
+    EXPECT_EQ(relayed, before) << "the direct path is used again";
     world.end(world.scope);
 }
 
-TEST(KvStoreClient, ImplausibleAnswerCountsAsNone) {
+TEST(KvStoreClient, ImplausibleResponseIsTreatedAsLost) {
     testing::World world;
     http::Response answer;
     http::Server service(world.loop, "127.0.0.1:0", {},
@@ -111,13 +111,13 @@
         world.until([&] { return done; });
         return status;
     };
-    const auto listed = [](const std::string& key, int stamp) {
+    const auto listPage = [](const std::string& key, int stamp) {
         return R"({"pairs":[{"key":")" + key + R"(","data":{},"stamp":)" + std::to_string(stamp) +
                R"(}],"truncated":false,"epoch":12})";
     };
     EXPECT_EQ(commit(200, R"({"epoch":10})"), Status::ok);
     EXPECT_EQ(commit(200, R"({"epoch":10})"), Status::outcomeUnknown)
-        << "a write has a new revision";
+        << "each write raises the revision";
     EXPECT_EQ(commit(409, R"({"failed":["a"],"epoch":9})"), Status::outcomeUnknown);
     EXPECT_EQ(commit(409, R"({"epoch":11})"), Status::outcomeUnknown)
         << "the failed keys are missing";
@@ -127,16 +127,18 @@
     EXPECT_EQ(get(404, R"({"epoch":11})"), Status::notFound);
     EXPECT_EQ(get(200, R"({"key":"b","data":{},"stamp":4})"), Status::outcomeUnknown);
     EXPECT_EQ(get(200, R"({"key":"a","data":{},"stamp":4})"), Status::ok);
-    EXPECT_EQ(list(listed("jobs/x", 4)), Status::ok);
-    EXPECT_EQ(list(listed("other/x", 4)), Status::outcomeUnknown);
-    EXPECT_EQ(list(listed("jobs/x", 13)), Status::outcomeUnknown) << "newer than the store";
+    EXPECT_EQ(list(listPage("jobs/x", 4)), Status::ok);
+    EXPECT_EQ(list(listPage("other/x", 4)), Status::outcomeUnknown);
+    EXPECT_EQ(list(listPage("jobs/x", 13)), Status::outcomeUnknown)
+        << "the key's revision is newer than the store's";
     EXPECT_EQ(list(R"({"pairs":[],"truncated":false,"epoch":11})"), Status::outcomeUnknown);
     world.end(world.scope);
 }
 
-TEST(KvStoreClient, WatchResponseHoldsAsManyChangesAsTheServiceKeeps) {
-    // A watch's answer has no size limit: it holds all changes under the prefix. The one that is
-    // watched holds the leader's few keys, whose values do not grow with the machines.
+TEST(KvStoreClient, LargestPossibleWatchResponseIsAccepted) {
+    // The service does not limit the size of a watch response: it contains all changes under the
+    // prefix that the service keeps. The watched prefix contains only the few keys of the election,
+    // whose values do not grow with the number of machines.
     constexpr int keptChanges = 10'000;
     constexpr std::size_t largestLeaderValue = 1000;
     std::string body = R"({"epoch":20000,"changes":[)";
@@ -145,19 +147,19 @@
                 R"("},"stamp":)" + std::to_string(i + 1) + (i + 1 < keptChanges ? "}," : "}");
     body += "]}";
     testing::World world;
-    http::Server way(world.loop, "127.0.0.1:0", {}, [&](http::Request) -> Task<http::Response> {
+    http::Server service(world.loop, "127.0.0.1:0", {}, [&](http::Request) -> Task<http::Response> {
         co_return http::Response{200, body};
     });
-    way.start(world.scope);
+    service.start(world.scope);
     auto settings = testing::someSettings();
-    settings.stateAddress = way.address();
+    settings.stateAddress = service.address();
     Client client(world.loop, settings);
     std::optional<Status> status;
     world.loop.spawn([](Client& c, Scope& scope, std::optional<Status>& out) -> Task<void> {
         out = co_await c.watch("lead/", 1, 10s, scope);
     }(client, world.scope, status));
     world.until([&] { return status.has_value(); });
-    EXPECT_EQ(status, Status::ok) << "of " << body.size() << " bytes";
+    EXPECT_EQ(status, Status::ok) << "response of " << body.size() << " bytes";
     world.end(world.scope);
 }
 
--- a/src/kv_store/fake_record_owner.h
+++ b/src/kv_store/fake_record_owner.h
@@ -1,10 +1,10 @@
 #pragma once
-// A scripted owner of records behind a TransactionWriter, for tests only.
+// Fake owner of the records that a TransactionWriter writes, for tests only.
 #include "kv_store/transaction_writer.h"
 
 namespace basaltchute::testing {
 
-/// Holds one version of "{}" under every key, and records how the writes end.
+/// Encodes every record as "{}" in version 1, and records the outcome of the writes.
 class FakeRecordOwner : public kv_store::RecordSource, public kv_store::WriteObserver {
   public:
     bool fenced = false, committed = false;
--- a/src/kv_store/transaction_writer.cpp
+++ b/src/kv_store/transaction_writer.cpp
@@ -9,22 +9,23 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr std::size_t maxTransactions = 3;  // in flight
+constexpr std::size_t maxTransactionsInFlight = 3;
 constexpr std::size_t maxBatchBytes = 48UL * 1024;
-/// Of a burst of writes, what less urgent work leaves to users' requests.
-constexpr double reservedShare = 0.3;
-/// How long records wait for others to be written with.
-constexpr Duration coalesceRest = 250ms, coalesceProgress = 1500ms;
+/// Share of a burst of writes that less urgent records leave for user requests.
+constexpr double userRequestShare = 0.3;
+/// How long records wait, so that they are written together with others.
+constexpr Duration backgroundDelay = 250ms, progressDelay = 1500ms;
 constexpr Duration pauseAfterRefusal = 150ms;
-/// Budget, coalescing and pauses all pass with time: while work waits they are checked so often.
+/// How often the queue is checked while it is not empty: the write budget, the delays of records
+/// and the pauses after a refusal all change with time.
 constexpr Duration pollInterval = 50ms;
 
-Duration coalescingTime(WritePriority priority) {
+Duration coalescingDelay(WritePriority priority) {
     switch (priority) {
         case WritePriority::progress:
-            return coalesceProgress;
+            return progressDelay;
         case WritePriority::background:
-            return coalesceRest;
+            return backgroundDelay;
         case WritePriority::userRequest:
         case WritePriority::immediate:
             break;
@@ -43,55 +44,56 @@
       source_(source),
       observer_(observer),
       budget_(budget),
-      wake_(loop) {}
+      workAvailable_(loop) {}
 
 void TransactionWriter::markDirty(const std::string& key, WritePriority priority) {
     enqueue(key, {priority, loop_.now()});
-    wake_.notify();
+    workAvailable_.notify();
 }
 
-void TransactionWriter::enqueue(const std::string& key, Rank rank) {
-    const auto [it, fresh] = queue_.try_emplace(key, rank);
-    if (!fresh) {
-        const Rank before = it->second;
-        if (before.first <= rank.first && before.second <= rank.second) return;
-        byRank_.erase({before, key});
-        it->second = {std::min(before.first, rank.first), std::min(before.second, rank.second)};
+void TransactionWriter::enqueue(const std::string& key, QueueRank rank) {
+    const auto [it, inserted] = queue_.try_emplace(key, rank);
+    if (!inserted) {
+        const QueueRank queuedRank = it->second;
+        if (queuedRank.first <= rank.first && queuedRank.second <= rank.second) return;
+        sendOrder_.erase({queuedRank, key});
+        it->second = {std::min(queuedRank.first, rank.first),
+                      std::min(queuedRank.second, rank.second)};
     }
-    if (!inFlight_.contains(key)) byRank_.emplace(it->second, key);
+    if (!inFlight_.contains(key)) sendOrder_.emplace(it->second, key);
 }
 
-double TransactionWriter::reservedFrom(WritePriority priority) {
-    // What users wait for never finds the budget spent on what nobody waits for.
-    return priority >= WritePriority::background ? client_.writeLimiter().burst() * reservedShare
+double TransactionWriter::reservedForUserRequests(WritePriority priority) {
+    // Records that no user waits for must never use up the budget of those that a user waits for.
+    return priority >= WritePriority::background ? client_.writeLimiter().burst() * userRequestShare
                                                  : 0;
 }
 
 double TransactionWriter::availableWrites(WritePriority mostUrgent, TimePoint now) {
     const double available = client_.writeLimiter().available(now);
     if (budget_ == nullptr) return available;
-    const double reserved = reservedFrom(mostUrgent);
-    // What is not urgent asks for its share only when it can be paid for: it must not hold up
-    // others.
+    const double reserved = reservedForUserRequests(mostUrgent);
+    // Less urgent records request a share of the common budget only if there are writes for them,
+    // so that they do not delay other writers.
     if (mostUrgent >= WritePriority::background && available - reserved < 1) return 0;
     return reserved + budget_->allowance(mostUrgent, available - reserved);
 }
 
 std::vector<std::string> TransactionWriter::nextKeys(TimePoint now) {
     std::vector<std::string> keys;
-    if (byRank_.empty()) return keys;
-    const auto due = [&](const Rank& rank) {
-        return now - rank.second >= coalescingTime(rank.first);
+    if (sendOrder_.empty()) return keys;
+    const auto due = [&](const QueueRank& rank) {
+        return now - rank.second >= coalescingDelay(rank.first);
     };
-    const Rank first = byRank_.begin()->first;
-    if (!due(first)) return keys;
-    const double available = availableWrites(first.first, now);
-    for (const auto& [rank, key] : byRank_) {
+    const QueueRank mostUrgent = sendOrder_.begin()->first;
+    if (!due(mostUrgent)) return keys;
+    const double available = availableWrites(mostUrgent.first, now);
+    for (const auto& [rank, key] : sendOrder_) {
         if (rank.first == WritePriority::progress && !due(rank)) break;
         const bool affordable =
-            static_cast<double>(keys.size()) + 1 <= available - reservedFrom(rank.first);
+            static_cast<double>(keys.size()) + 1 <= available - reservedForUserRequests(rank.first);
         if (keys.size() >= maxRecords_ || !affordable) break;
-        if (sentAlone_.contains(key)) {
+        if (sendAlone_.contains(key)) {
             if (keys.empty()) keys.push_back(key);
             break;
         }
@@ -104,10 +106,11 @@
     while (!scope.cancelled()) {
         const TimePoint now = loop_.now();
         std::vector<std::string> keys;
-        if (transactions_ < maxTransactions && now >= pauseUntil_) keys = nextKeys(now);
+        if (transactionsInFlight_ < maxTransactionsInFlight && now >= pausedUntil_)
+            keys = nextKeys(now);
         if (keys.empty()) {
             const TimePoint until = queue_.empty() ? TimePoint::max() : now + pollInterval;
-            co_await loop_.wait(wake_, until, scope);
+            co_await loop_.wait(workAvailable_, until, scope);
             continue;
         }
         scope.spawn(write(std::move(keys), scope));
@@ -120,11 +123,11 @@
         auto record = source_.encode(key);
         if (record && batch.bytes > 0 && batch.bytes + record->data.size() > maxBatchBytes) break;
         const auto queued = queue_.find(key);
-        const Rank rank = queued->second;
-        byRank_.erase({rank, key});
+        const QueueRank rank = queued->second;
+        sendOrder_.erase({rank, key});
         queue_.erase(queued);
         if (!record) {
-            sentAlone_.erase(key);
+            sendAlone_.erase(key);
             continue;
         }
         inFlight_.insert(key);
@@ -154,7 +157,7 @@
 Task<void> TransactionWriter::write(std::vector<std::string> keys, Scope& scope) {
     const Batch batch = takeBatch(keys);
     if (batch.entries.empty()) co_return;
-    ++transactions_;
+    ++transactionsInFlight_;
     Transaction txn = transactionFor(batch);
     client_.writeLimiter().tryTake(loop_.now(), static_cast<double>(batch.entries.size()));
     const CommitResult result = co_await client_.commit(std::move(txn), scope);
@@ -162,8 +165,8 @@
     std::set<std::string> applied;
     if (result.status == Status::conflict && !fenced)
         applied = co_await findApplied(result.failedKeys, batch, scope);
-    --transactions_;
-    landBatch(batch);
+    --transactionsInFlight_;
+    removeFromFlight(batch);
     if (scope.cancelled()) co_return;
     if (fenced) {
         requeue(batch);
@@ -189,13 +192,14 @@
             onFailed(batch);
             break;
     }
-    wake_.notify();
+    workAvailable_.notify();
 }
 
 Task<std::set<std::string>> TransactionWriter::findApplied(std::vector<std::string> failed,
                                                            const Batch& batch, Scope& scope) {
-    // An earlier transaction of this writer was executed after all, and its answer was lost. Mostly
-    // it is this very one, sent again: what is stored already is not written a second time.
+    // An earlier transaction of this writer was executed, but its response was lost. Mostly it had
+    // the same content as this one, which repeats it. Records that are already stored as sent are
+    // not written a second time.
     std::set<std::string> applied;
     for (const auto& key : failed) {
         const GetResult found = co_await client_.get(key, scope);
@@ -210,12 +214,12 @@
     co_return applied;
 }
 
-void TransactionWriter::landBatch(const Batch& batch) {
+void TransactionWriter::removeFromFlight(const Batch& batch) {
     for (const auto& entry : batch.entries) {
         inFlight_.erase(entry.key);
-        // Changed again meanwhile: it may be written again now.
-        if (const auto again = queue_.find(entry.key); again != queue_.end())
-            byRank_.emplace(again->second, entry.key);
+        // The record changed while it was in flight, and may now be written again.
+        if (const auto queued = queue_.find(entry.key); queued != queue_.end())
+            sendOrder_.emplace(queued->second, entry.key);
     }
 }
 
@@ -227,7 +231,7 @@
     healthy_ = true;
     for (const auto& entry : batch.entries) {
         revisions_[entry.key] = revision;
-        sentAlone_.erase(entry.key);
+        sendAlone_.erase(entry.key);
         observer_.onCommitted(entry.key, entry.version);
     }
 }
@@ -240,33 +244,34 @@
 }
 
 void TransactionWriter::onMalformed(const Batch& batch) {
-    // Too many or too much at once, or one of them: repeated as it is it would hold up the others
-    // for ever.
+    // The transaction has too many records or too many bytes, or one of its records is too large.
+    // If it were repeated unchanged, it would block all other records forever.
     if (batch.entries.size() == 1) {
         const std::string& key = batch.entries.front().key;
         if (observer_.onTooLarge(key, batch.bytes) == TooLargeAction::retry)
             onFailed(batch);
         else
-            sentAlone_.erase(key);
+            sendAlone_.erase(key);
         return;
     }
     maxRecords_ = std::max<std::size_t>(1, std::min(maxRecords_, batch.entries.size() / 2));
-    for (const auto& entry : batch.entries) sentAlone_.insert(entry.key);
+    for (const auto& entry : batch.entries) sendAlone_.insert(entry.key);
     requeue(batch);
 }
 
 void TransactionWriter::onRateLimited(const Batch& batch) {
-    // The service serves, if not that fast: what is most urgent goes first, and nobody is refused.
+    // The service works, but not at this rate. The most urgent records go first, and no user
+    // request is refused.
     requeue(batch);
-    pauseUntil_ = loop_.now() + pauseAfterRefusal;
+    pausedUntil_ = loop_.now() + pauseAfterRefusal;
 }
 
 void TransactionWriter::onFailed(const Batch& batch) {
     requeue(batch);
     if (healthy_)
-        spdlog::warn("state service does not take writes queued_records={}", queue_.size());
+        spdlog::warn("state service does not accept writes: queued_records={}", queue_.size());
     healthy_ = false;
-    pauseUntil_ = loop_.now() + pauseAfterRefusal;
+    pausedUntil_ = loop_.now() + pauseAfterRefusal;
     observer_.onWriteFailed();
 }
 
--- a/src/kv_store/transaction_writer_test.cpp
+++ b/src/kv_store/transaction_writer_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-/// A writer against a state service with limits, and records that are as large as a test says.
+/// A writer with a state service that has limits, and records of the sizes that the test sets.
 class TransactionWriterTest : public ::testing::Test, public RecordSource, public WriteObserver {
   protected:
     testing::World world;
@@ -21,7 +21,7 @@
     std::unique_ptr<TransactionWriter> writer;
     std::map<std::string, std::size_t> sizes;
     std::map<std::string, std::uint64_t> versions, durable;
-    std::map<std::string, int> encoded;
+    std::map<std::string, int> encodeCalls;
     std::set<std::string> tooLarge;
     int failedWrites = 0;
 
@@ -45,7 +45,7 @@
 
   private:
     std::optional<EncodedRecord> encode(const std::string& key) override {
-        ++encoded[key];
+        ++encodeCalls[key];
         if (sizes[key] == 0) return std::nullopt;
         return EncodedRecord{'"' + std::string(sizes[key] - 2, 'x') + '"', versions[key]};
     }
@@ -53,7 +53,7 @@
         durable[key] = version;
     }
     void onWriteFailed() override { ++failedWrites; }
-    void onFenced() override { FAIL() << "no other node leads"; }
+    void onFenced() override { FAIL() << "nobody else holds the fence"; }
     TooLargeAction onTooLarge(const std::string& key, std::size_t bytes) override {
         EXPECT_GE(bytes, 100U);
         tooLarge.insert(key);
@@ -62,15 +62,15 @@
 };
 
 TEST_F(TransactionWriterTest, TooLargeRecordBlocksNoOthersAndIsNotRepeated) {
-    // Before, a batch that the service called malformed was sent again and again as it was, and
-    // everything waited behind it.
+    // Guards against a batch that the service rejects as malformed being repeated unchanged
+    // forever, while all other records wait behind it.
     begin({1e9, 1e9, 100, 20, {}});
     for (int i = 0; i < 8; ++i) write("k" + std::to_string(i), i == 3 ? 101 : 50);
     world.run(2s);
     EXPECT_EQ(tooLarge, std::set<std::string>{"k3"});
     EXPECT_EQ(durable.size(), 7U);
-    EXPECT_LE(encoded["k3"], 2) << "with others, and once alone";
-    EXPECT_EQ(failedWrites, 0) << "users are not refused for it";
+    EXPECT_LE(encodeCalls["k3"], 2) << "once with other records, and once alone";
+    EXPECT_EQ(failedWrites, 0) << "a record that is too large is no outage";
     EXPECT_EQ(writer->backlog(), 0U);
     write("k3", 60);
     world.run(1s);
@@ -89,7 +89,7 @@
     EXPECT_TRUE(tooLarge.empty());
 }
 
-TEST_F(TransactionWriterTest, RateFollowsRefusalsAndTheMostUrgentIsWrittenFirst) {
+TEST_F(TransactionWriterTest, WriteRateFollowsTheServicesLimitAndMostUrgentRecordsGoFirst) {
     settings.stateWriteRps = 25;
     settings.stateWriteRpsNext = 18;
     begin({1e9, 18, 1000, 20, {}});
@@ -101,9 +101,9 @@
     EXPECT_LT(world.clock.now() - queuedAt, 400ms);
     world.run(20s);
     EXPECT_EQ(durable.size(), 201U);
-    EXPECT_EQ(failedWrites, 0) << "a rate limit is no outage: users wait for their turn";
+    EXPECT_EQ(failedWrites, 0) << "a rate limit is no outage: users only wait";
     EXPECT_NEAR(client->writeLimiter().rate(), 18 * 0.95, 0.01);
-    // Where no limit was announced it goes down by steps, and comes back after a while.
+    // A lower limit that was not announced: the rate falls in steps, and rises again after a while.
     service->lower({0, 8, 0, 0, {}});
     for (int i = 0; i < 100; ++i) write("more-" + std::to_string(i), 50, WritePriority::immediate);
     world.run(30s);
@@ -117,26 +117,27 @@
     EXPECT_GT(client->writeLimiter().rate(), 20);
 }
 
-TEST_F(TransactionWriterTest, WriteThatIsExecutedLateUndoesNoNewerOne) {
-    // Creations and changes, alone and in company, given up without an answer: what is stored in
-    // the end is the last of each, and the writer knows it.
+TEST_F(TransactionWriterTest, WriteThatIsExecutedLateDoesNotOverwriteANewerOne) {
+    // Records are created and changed, alone and in batches, and some transactions time out and are
+    // executed later. In the end the last version of each record is stored, and the writer has
+    // reported it as durable.
     begin({});
-    std::map<std::string, std::size_t> least;
+    std::map<std::string, std::size_t> minimumSize;
     std::mt19937 random(7);
-    const auto draw = [&](unsigned n) { return random() % n; };
+    const auto randomBelow = [&](unsigned n) { return random() % n; };
     service->fault = [&](const http::Request& r) -> simulator::StateService::Fault {
-        if (r.target != "/multi" || draw(3) > 0) return {};
+        if (r.target != "/multi" || randomBelow(3) > 0) return {};
         return {simulator::StateService::Fault::Kind::late,
-                std::chrono::milliseconds(2000 + draw(10000))};
+                std::chrono::milliseconds(2000 + randomBelow(10000))};
     };
     service->onPut = [&](const std::string& key, const std::string& data) {
-        EXPECT_GE(data.size(), least[key]) << key << " went back";
-        least[key] = data.size();
+        EXPECT_GE(data.size(), minimumSize[key]) << key << " was overwritten by an older version";
+        minimumSize[key] = data.size();
     };
     for (std::size_t i = 0; i < 60; ++i) {
         for (const char* key : {"jobs/a", "jobs/b", "jobs/c", "jobs/d"})
-            if (draw(2) == 0) write(key, 100 + i);
-        world.run(std::chrono::milliseconds(100 + draw(900)));
+            if (randomBelow(2) == 0) write(key, 100 + i);
+        world.run(std::chrono::milliseconds(100 + randomBelow(900)));
     }
     world.run(20s);
     for (const auto& [key, bytes] : sizes) {
@@ -146,31 +147,32 @@
     EXPECT_GT(failedWrites, 10);
 }
 
-TEST_F(TransactionWriterTest, WriteWithLostAnswerIsNotRepeatedIfItWasExecuted) {
-    // Sent again, it meets its own revision: no key of the batch is lost or written twice, nobody
-    // steps down, and what changed meanwhile goes on from where the service is.
+TEST_F(TransactionWriterTest, WriteWithLostResponseIsNotRepeatedIfItWasExecuted) {
+    // When the batch is sent again, its preconditions fail because of its own first execution. No
+    // record is lost or written twice, the writer does not take itself for fenced, and a record
+    // that changed meanwhile is written with its current revision as precondition.
     begin({1e9, 1e9, 1000, 20, {}});
-    int lost = 1, transactions = 0;
+    int responsesToLose = 1, transactions = 0;
     service->fault = [&](const http::Request& r) -> simulator::StateService::Fault {
         if (r.target != "/multi") return {};
         ++transactions;
-        return {lost-- > 0 ? simulator::StateService::Fault::Kind::mute
-                           : simulator::StateService::Fault::Kind::none,
+        return {responsesToLose-- > 0 ? simulator::StateService::Fault::Kind::mute
+                                      : simulator::StateService::Fault::Kind::none,
                 {}};
     };
     for (int i = 0; i < 8; ++i) write("k" + std::to_string(i), 50 + i);
     world.run(1s);
     EXPECT_EQ(service->writes, 8);
-    EXPECT_TRUE(durable.empty()) << "nothing is reported before it is known";
-    write("k3", 90);  // changes before the answer is given up
+    EXPECT_TRUE(durable.empty()) << "the outcome of the write is not known yet";
+    write("k3", 90);  // changed before the request times out
     world.until([&] { return durable.size() == 8U && durable["k3"] == 2U; });
-    EXPECT_EQ(service->writes, 9) << "only what has changed";
+    EXPECT_EQ(service->writes, 9) << "only the changed record is written again";
     EXPECT_LE(transactions, 4);
     EXPECT_EQ(service->keys.at("k3").data.size(), 90U);
     EXPECT_EQ(writer->backlog(), 0U);
 }
 
-TEST_F(TransactionWriterTest, RecordsThatNeedNoWriteAnyMoreAreSkipped) {
+TEST_F(TransactionWriterTest, RecordsWithNothingToWriteAreSkipped) {
     begin({1e9, 1e9, 1000, 20, {}});
     write("gone", 0);
     write("there", 50);
@@ -179,7 +181,7 @@
     EXPECT_EQ(writer->backlog(), 0U);
 }
 
-TEST_F(TransactionWriterTest, ProgressIsCoalesced) {
+TEST_F(TransactionWriterTest, SeveralProgressUpdatesAreWrittenOnce) {
     begin({1e9, 1e9, 1000, 20, {}});
     for (int i = 0; i < 14; ++i) {
         write("array", 50, WritePriority::progress);
@@ -191,7 +193,7 @@
     write("array", 50, WritePriority::progress);
     write("array", 50, WritePriority::immediate);
     world.run(50ms);
-    EXPECT_EQ(service->writes, 2) << "the last result is not coalesced";
+    EXPECT_EQ(service->writes, 2) << "the more urgent priority applies, without delay";
 }
 
 }  // namespace
--- a/src/kv_store/wire_format_test.cpp
+++ b/src/kv_store/wire_format_test.cpp
@@ -1,4 +1,4 @@
-// The exact requests to the key-value service and how its literal responses are read.
+// Checks the exact requests to the key-value service, and how its literal responses are decoded.
 #include <gtest/gtest.h>
 
 #include "kv_store/client.h"
