--- a/src/lease_delegation/delegate.cpp
+++ b/src/lease_delegation/delegate.cpp
@@ -3,9 +3,10 @@
 namespace basaltchute::lease_delegation {
 
 namespace {
-/// Counted from when the request left, not from when the answer came: the leader counts from later.
-TimePoint endOf(const Delegation& delegation, TimePoint askedAt) {
-    return askedAt + delegation.duration - DelegationLimits::maxClockDrift(delegation.duration);
+/// When the delegation ends. Counted from when the request was sent, not from when the answer
+/// arrived: the leader counts from a later time, so the delegate stops first.
+TimePoint expiryOf(const Delegation& delegation, TimePoint requestedAt) {
+    return requestedAt + delegation.duration - DelegationLimits::maxClockDrift(delegation.duration);
 }
 }  // namespace
 
@@ -18,13 +19,13 @@
     answerCount_ = 0;
 }
 
-bool Delegate::accept(const Delegation& delegation, TimePoint askedAt, TimePoint now) {
+bool Delegate::accept(const Delegation& delegation, TimePoint requestedAt, TimePoint now) {
     if (delegation.duration > limits_.maxDuration || delegation.duration < Duration::zero())
         return false;
-    // An answer that overtook a newer one, or came from a node that leads no more.
+    // A newer answer arrived before this one, or the sender no longer leads.
     if (delegation.token < token_ || (delegation.token == token_ && delegation.number <= number_))
         return true;
-    replace(delegation.token, delegation.number, endOf(delegation, askedAt), false);
+    replace(delegation.token, delegation.number, expiryOf(delegation, requestedAt), false);
     lastLeaderContact_ = now;
     return true;
 }
@@ -41,11 +42,12 @@
                       std::chrono::duration_cast<std::chrono::milliseconds>(validUntil_ - now)};
 }
 
-void Delegate::acceptTransfer(const Delegation& delegation, TimePoint askedAt, TimePoint now) {
-    // What a leader gave, even if it is over, says more than what another delegate transfers.
+void Delegate::acceptTransfer(const Delegation& delegation, TimePoint requestedAt, TimePoint now) {
+    // A delegation that a leader gave directly takes precedence over a transferred one, even if it
+    // has ended.
     const bool newer = delegation.token > token_ || (delegation.token == token_ && number_ == 0);
     if (delegation.duration > limits_.maxDuration || !newer || !needsDelegation(now)) return;
-    replace(delegation.token, 0, endOf(delegation, askedAt), true);
+    replace(delegation.token, 0, expiryOf(delegation, requestedAt), true);
 }
 
 void Delegate::onLeaderContact(FencingToken token, TimePoint now) {
@@ -56,9 +58,10 @@
 bool Delegate::tryUse(FencingToken seen, const std::string& zone, FencingToken newest,
                       TimePoint now) {
     if (newest > token_) discard();
-    // An agent that has seen a higher token would drop the answer, and wait for its lease to end.
-    // One that has only seen a lower one has not found the delegating leader yet, who knows all the
-    // same by the records what may run there; and the answer fences what a former leader sent.
+    // An agent that has seen a higher token would discard the answer and wait for its lease to end.
+    // An agent that has seen only lower tokens has not found the delegating leader yet. It may be
+    // answered: the delegating leader knows from the records what may run there, and the answer
+    // fences off whatever a former leader sent.
     if (zone != zone_ || seen > token_ || !isValid(now) || !leaderSilent(now)) return false;
     lastUsedAt_ = now;
     ++answerCount_;
--- a/src/lease_delegation/delegate.h
+++ b/src/lease_delegation/delegate.h
@@ -1,14 +1,15 @@
 #pragma once
-// Lease delegation, the side of the delegate.
+// Lease delegation: the delegate's side.
 //
-// Agents run tasks as long as a leader renews their lease by answering their heartbeats. While the
-// leader is silent (an election, a network partition of a zone), another node of the agents' zone
-// may renew those leases in the leader's name, with the leader's token and without commands. The
-// leader gives it the right in advance, for a limited time (a *delegated lease*), and takes it into
-// account when it decides which machines are dead and which cancellations are final (Delegator).
+// An agent runs tasks only while it has a lease. The leader renews that lease when it answers the
+// agent's heartbeats. While the leader is silent (during an election, or when a zone is cut off by
+// a network partition), another node of the agent's zone may renew the lease in the leader's name:
+// it answers with the leader's token and without commands. The leader gives it that right in
+// advance and for a limited time, as a *delegation*, and takes the delegation into account when it
+// decides which machines are dead and which cancellations are final (see Delegator).
 //
-// State: at most one delegation, in memory only, so that a node that has just started has none.
-// Called by the Controller, which sends the requests and answers the agents.
+// State: at most one delegation, in memory only, so a node that has just started has none. Called
+// by the Controller, which sends the requests for delegations and answers the agents.
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -18,70 +19,76 @@
 
 namespace basaltchute::lease_delegation {
 
-/// Request of a node for a delegation. It names the one that the node has, and when it last
-/// answered an agent by one.
+/// A node's request for a delegation. It names the delegation that the node has, and says when the
+/// node last answered an agent under a delegation.
 struct DelegationRequest {
     std::string node;
-    FencingToken token = 0;    // of the last delegation that the node accepted, and
-    std::uint64_t number = 0;  // its number; 0: none, or one that no leader gave directly
+    FencingToken token = 0;    // of the last delegation that the node accepted
+    std::uint64_t number = 0;  // of that delegation; 0: none, or one that no leader gave directly
     std::chrono::milliseconds timeSinceUse{};
 };
 
-/// A leader's answer. It replaces what the delegate has, also by nothing at all.
+/// A leader's answer to a DelegationRequest, or what another delegate transfers. A leader's answer
+/// replaces the delegation that the requesting node has, even if it delegates nothing.
 struct Delegation {
     FencingToken token = 0;
     std::uint64_t number = 0;              // rises with each answer of a leader; 0: transferred
-    std::chrono::milliseconds duration{};  // from when the request was sent; 0: none
+    std::chrono::milliseconds duration{};  // counted from when the request was sent; 0: none
 };
 
-/// The right of one node to answer the heartbeats of its zone's agents while the leader is silent.
+/// The right of one node to answer heartbeats of its zone's agents while the leader is silent.
 class Delegate {
   public:
-    /// `startedAt` counts as a use, since what the node's former process answered is not known; and
-    /// as contact with a leader, since what that process reported holds for as long as it promised.
+    /// `startedAt` counts as a use, because it is unknown what the node's former process answered.
+    /// It also counts as contact with a leader, because what that process last reported to a leader
+    /// stays valid for `leaderSilenceTimeout`.
     Delegate(DelegationLimits limits, std::string zone, TimePoint startedAt)
         : limits_(limits),
           zone_(std::move(zone)),
           lastLeaderContact_(startedAt),
           lastUsedAt_(startedAt) {}
 
-    /// Takes a leader's answer to a request that was sent at `askedAt`. False if the delegation is
-    /// longer than any leader may delegate: then nothing has changed.
-    bool accept(const Delegation& delegation, TimePoint askedAt, TimePoint now);
-    /// Takes what a leader delegated to its own node, once its lease has ended at `leaseEndedAt`:
-    /// until then it answered by that.
+    /// Accepts a leader's answer to a request that was sent at `requestedAt`. Returns false, and
+    /// changes nothing, if the delegation is longer than any leader may give.
+    bool accept(const Delegation& delegation, TimePoint requestedAt, TimePoint now);
+    /// Accepts the delegation that this node gave to itself while it led. `leaseEndedAt` is when
+    /// its leader's lease ended; until then it answered as the leader.
     void adoptSelfDelegation(FencingToken token, TimePoint until, TimePoint leaseEndedAt);
-    /// Transfers this node's delegation to another node of its zone, which was restarted and has
-    /// none: up to its end, and only while this node would answer by it. The caller sees to it that
-    /// the other node is in the zone, and that every future leader takes transfers into account.
+    /// A copy of this node's delegation, up to its end, for another node of the zone that has
+    /// restarted and has none. Empty unless this node itself would answer under the delegation.
+    /// `newest` is the highest token that this node knows of. The caller makes sure that the other
+    /// node is in this zone and that every future leader takes transfers into account.
     [[nodiscard]] std::optional<Delegation> transfer(FencingToken newest, TimePoint now) const;
-    /// Takes what another delegate of the zone transfers; ignored if this node has no use for it.
-    void acceptTransfer(const Delegation& delegation, TimePoint askedAt, TimePoint now);
-    /// Whether the leader has been silent for long enough for a delegation to be used, and there is
-    /// none.
+    /// Accepts a delegation that another delegate of the zone transfers. Ignored if this node does
+    /// not need it or has a better one. `requestedAt` is when this node asked for it.
+    void acceptTransfer(const Delegation& delegation, TimePoint requestedAt, TimePoint now);
+    /// Whether the leader has been silent for long enough to use a delegation, but this node has no
+    /// valid one.
     [[nodiscard]] bool needsDelegation(TimePoint now) const {
         return !isValid(now) && leaderSilent(now);
     }
-    /// Whether the present delegation was transferred: whoever did so knew that every future leader
-    /// takes transfers into account.
+    /// Whether the current delegation was transferred by another delegate, which knew that every
+    /// future leader takes transfers into account.
     [[nodiscard]] bool wasTransferred() const { return transferred_; }
-    /// Something came from the leader with that token. If it is the one that delegated, the
-    /// delegation is not needed now; if it is a newer one, the delegation is over.
+    /// A message of the leader with that token was received. If that leader gave the delegation, it
+    /// is not needed for now; if the leader is a newer one, the delegation is over.
     void onLeaderContact(FencingToken token, TimePoint now);
-    /// Gives up the delegation: this node leads.
+    /// Gives up the delegation because this node now leads.
     void discard() { validUntil_ = TimePoint{}; }
-    /// Whether a heartbeat of an agent in `zone` that has seen the token `seen` may be answered
-    /// with token(). Ask right before the answer is made: true counts as a use. `newest`: the
-    /// highest token that this node knows of.
+    /// Whether this node may answer, with token(), a heartbeat of an agent in `zone` that has seen
+    /// the token `seen`. Call it right before the answer is created: returning true is recorded as
+    /// a use. `newest` is the highest token that this node knows of.
     bool tryUse(FencingToken seen, const std::string& zone, FencingToken newest, TimePoint now);
 
-    /// Of the leader in whose name this node may answer.
+    /// Fencing token of the leader in whose name this node may answer.
     [[nodiscard]] FencingToken token() const { return token_; }
+    /// Whether the delegation has not expired.
     [[nodiscard]] bool isValid(TimePoint now) const { return now < validUntil_; }
-    /// The request to send now, in the name of this node.
+    /// The request that this node, named `node`, is to send now.
     [[nodiscard]] DelegationRequest request(const std::string& node, TimePoint now) const;
+    /// Time since this node last answered an agent under a delegation, or since its start.
     [[nodiscard]] Duration timeSinceUse(TimePoint now) const { return now - lastUsedAt_; }
-    /// Answers under the present delegation so far; for the log.
+    /// Answers given under the current delegation, for the log.
     [[nodiscard]] std::uint64_t answerCount() const { return answerCount_; }
 
   private:
--- a/src/lease_delegation/delegator.cpp
+++ b/src/lease_delegation/delegator.cpp
@@ -7,7 +7,8 @@
     : limits_(limits), token_(token), self_(self.name) {
     const TimePoint assumedEnd = electedAt + limits.maxDuration;
     for (const auto& node : others) delegates_[node.name] = {node.zone, assumedEnd, {}, {}, {}};
-    // It leads, so it has no delegation of a former leader; what it answered before still counts.
+    // This node leads, so it has no delegation of a former leader. But the answers that it gave
+    // under an earlier delegation still count.
     delegates_[self.name] = {self.zone, electedAt, TimePoint::max(), electedAt - timeSinceUse, {}};
 }
 
@@ -16,15 +17,14 @@
     return it == delegates_.end() ? "" : it->second.zone;
 }
 
-TimePoint Delegator::newEnd(TimePoint cap, TimePoint now) const {
+TimePoint Delegator::newDelegationEnd(TimePoint cap, TimePoint now) const {
     return enabled_ ? std::max(now, std::min(cap, now + limits_.maxDuration)) : now;
 }
 
 void Delegator::assumeTransfers(const std::string& node, const DelegateState& delegate,
                                 TimePoint now) {
-    // Silent for so long that it may have transferred its delegation to a node from which this
-    // leader hears nothing either: that node's answers may go on as long as those of the delegate
-    // that is back.
+    // The delegate was silent for so long that it may have transferred its delegation to another
+    // silent node of the zone. That node may then answer for as long as the returning delegate.
     if (now < delegate.unusedUntil) return;
     for (auto& [name, other] : delegates_)
         if (name != node && name != self_ && other.zone == delegate.zone &&
@@ -32,11 +32,13 @@
             other.validUntil = std::max(other.validUntil, delegate.validUntil);
 }
 
-void Delegator::confirm(DelegateState& delegate, std::uint64_t number) const {
+void Delegator::confirmDelegation(DelegateState& delegate, std::uint64_t number) const {
     auto& issued = delegate.issued;
     while (!issued.empty() && issued.front().number < number) issued.pop_front();
     if (issued.empty() || issued.front().number != number) return;
-    // It has this delegation, so none of before; and it had not used it when it accepted it.
+    // The delegate has this delegation, so it has no earlier one. And it accepted this one in
+    // contact with the leader, so it cannot use it before the leader's silence has lasted long
+    // enough.
     const Duration unused = limits_.leaderSilenceTimeout -
                             DelegationLimits::maxClockDrift(limits_.leaderSilenceTimeout);
     delegate.unusedUntil = std::max(delegate.unusedUntil, issued.front().issuedAt + unused);
@@ -51,13 +53,13 @@
     if (it == delegates_.end() || request.node == self_) return {token_, 0, {}};
     DelegateState& delegate = it->second;
     assumeTransfers(request.node, delegate, now);
-    // However late the request arrives, the use was at least so long before.
+    // However late the request arrives, the last use was at least `timeSinceUse` before now.
     const Duration timeSinceUse = std::max<Duration>(request.timeSinceUse, Duration::zero());
     delegate.usedUntil = std::max(
         delegate.usedUntil, now - timeSinceUse + DelegationLimits::maxClockDrift(timeSinceUse) +
-                                DelegationLimits::margin);
-    if (request.token == token_ && request.number != 0) confirm(delegate, request.number);
-    const TimePoint end = newEnd(cap, now);
+                                DelegationLimits::safetyMargin);
+    if (request.token == token_ && request.number != 0) confirmDelegation(delegate, request.number);
+    const TimePoint end = newDelegationEnd(cap, now);
     delegate.issued.push_back({++lastNumber_, now, end});
     delegate.validUntil = std::max(delegate.validUntil, end);
     return {token_, lastNumber_, std::chrono::duration_cast<std::chrono::milliseconds>(end - now)};
@@ -65,7 +67,7 @@
 
 TimePoint Delegator::delegateToSelf(TimePoint cap, TimePoint now) {
     DelegateState& self = delegates_.at(self_);
-    self.validUntil = newEnd(cap, now);
+    self.validUntil = newDelegationEnd(cap, now);
     return self.validUntil;
 }
 
@@ -74,7 +76,8 @@
     for (const auto& [name, delegate] : delegates_) {
         if (!zone.empty() && delegate.zone != zone) continue;
         end = std::max(end, delegate.usedUntil + limits_.leaseUpperBound());
-        // What a delegate says is as old as its request; it does not answer for a while after.
+        // A delegate's report is as old as its request, but until `unusedUntil` it certainly does
+        // not answer.
         if (now >= delegate.unusedUntil)
             end = std::max(end, delegate.validUntil + limits_.leaseUpperBound());
     }
--- a/src/lease_delegation/delegator.h
+++ b/src/lease_delegation/delegator.h
@@ -1,11 +1,12 @@
 #pragma once
-// Lease delegation, the side of the leader; delegate.h explains what is delegated.
+// Lease delegation: the leader's side. delegate.h explains what is delegated.
 //
-// State: what this leader delegated to each node and what each node said of its use. Answers from
-// it until when a delegate may renew an agent's lease, and so when a machine that is silent is
-// surely free of tasks. Built anew with each term: of every node that it has not heard from it
-// assumes the longest delegation that a former leader can have given. Called by LeaderTerm for the
-// requests, and by the scheduler for the ends of leases.
+// State: the delegations that this leader gave to each node, and what each node reported about
+// using them. From these it determines until when a delegate may renew an agent's lease, and
+// therefore from when a silent machine certainly runs no tasks. It is created for each leader term.
+// For every node that it has not heard from, it assumes the longest delegation that a former leader
+// can have given. Called by LeaderTerm with the requests for delegations, and by the scheduler,
+// which asks when leases end.
 #include <deque>
 #include <map>
 #include <string>
@@ -18,29 +19,32 @@
 /// See the top of this file. All times are by the leader's steady clock.
 class Delegator {
   public:
-    struct Node {  // a controller and its zone
+    /// A controller and its zone.
+    struct Node {
         std::string name, zone;
     };
-    /// `self`: the node that leads; `timeSinceUse`: how long ago it last answered by a delegation
-    /// itself; `others`: every other node.
+    /// `self` is the node that leads, `timeSinceUse` how long ago it last answered under a
+    /// delegation itself, and `others` are all other nodes.
     Delegator(DelegationLimits limits, FencingToken token, const Node& self, Duration timeSinceUse,
               const std::vector<Node>& others, TimePoint electedAt);
 
-    /// Answers a request. Nothing is delegated beyond `cap`.
+    /// Answers a request for a delegation. The delegation ends at `cap` at the latest. An unknown
+    /// node gets none.
     Delegation handleRequest(const DelegationRequest& request, TimePoint cap, TimePoint now);
-    /// Delegates to this node itself, for the time after its own lease has ended; returns until
-    /// when. Called again before a cancellation is acknowledged, so that a cap holds at once.
+    /// Delegates to this node itself, for the time after its leader's lease has ended, and returns
+    /// the delegation's end. Called again before a cancellation is acknowledged, so that a new cap
+    /// applies at once.
     TimePoint delegateToSelf(TimePoint cap, TimePoint now);
 
-    /// If not enabled, nothing is delegated, but what was delegated still counts.
+    /// While disabled, nothing is delegated, but earlier delegations still count.
     void setEnabled(bool enabled) { enabled_ = enabled; }
-    /// When an agent of the zone surely has no lease any more that a delegate renewed. An empty
-    /// zone: an agent of any zone.
+    /// When all agents' leases in the zone that a delegate may have renewed have certainly ended.
+    /// An empty zone stands for all zones.
     [[nodiscard]] TimePoint agentLeasesEnd(const std::string& zone, TimePoint now) const;
     /// When the last delegate in the zone has stopped answering, even if this leader falls silent
-    /// now. An empty zone: in any zone.
+    /// now. An empty zone stands for all zones.
     [[nodiscard]] TimePoint delegationsEnd(const std::string& zone) const;
-    /// The latest that the node may answer agents, as far as this leader knows.
+    /// The latest time at which the node may answer agents, as far as this leader knows.
     [[nodiscard]] TimePoint delegationEndOf(const std::string& node) const {
         const auto it = delegates_.find(node);
         return it == delegates_.end() ? TimePoint{} : it->second.validUntil;
@@ -50,30 +54,33 @@
     [[nodiscard]] std::string zoneOf(const std::string& node) const;
 
   private:
-    struct IssuedDelegation {  // one answer to a delegate
+    /// One answer to a delegate's request.
+    struct IssuedDelegation {
         std::uint64_t number = 0;
         TimePoint issuedAt, validUntil;
     };
-    struct DelegateState {  // what is known of one delegate
+    /// What is known about one delegate.
+    struct DelegateState {
         std::string zone;
-        TimePoint validUntil;                 // the latest that it may answer
-        TimePoint unusedUntil;                // it surely does not answer before this
-        TimePoint usedUntil;                  // the latest that it has answered, by what it said
-        std::deque<IssuedDelegation> issued;  // since the one that it confirmed
+        TimePoint validUntil;                 // the latest time at which it may answer
+        TimePoint unusedUntil;                // before this time it certainly does not answer
+        TimePoint usedUntil;                  // the latest time at which it reported an answer
+        std::deque<IssuedDelegation> issued;  // from the last one that it confirmed on
     };
-    /// A delegate that was silent may have transferred what it had; see the definition.
+    /// If the delegate was silent, it may have transferred its delegation: extends the assumed
+    /// delegations of the zone's other silent nodes.
     void assumeTransfers(const std::string& node, const DelegateState& delegate, TimePoint now);
-    /// The delegate has the delegation of that number.
-    void confirm(DelegateState& delegate, std::uint64_t number) const;
-    /// The end of a delegation that is made now.
-    [[nodiscard]] TimePoint newEnd(TimePoint cap, TimePoint now) const;
+    /// The delegate reported that it has the delegation with that number.
+    void confirmDelegation(DelegateState& delegate, std::uint64_t number) const;
+    /// The end of a delegation that is given now.
+    [[nodiscard]] TimePoint newDelegationEnd(TimePoint cap, TimePoint now) const;
 
     DelegationLimits limits_;
     FencingToken token_;
     std::string self_;
     std::uint64_t lastNumber_ = 0;
     bool enabled_ = true;
-    std::map<std::string, DelegateState> delegates_;  // by node, this one included
+    std::map<std::string, DelegateState> delegates_;  // by node, including this one
 };
 
 }  // namespace basaltchute::lease_delegation
--- a/src/lease_delegation/lease_delegation_test.cpp
+++ b/src/lease_delegation/lease_delegation_test.cpp
@@ -3,7 +3,8 @@
 
 #include "testing/world.h"
 
-// Every transition of a delegation, then an exhaustive search through the faults around one.
+// Tests each state change of a delegation, and then searches systematically through combinations of
+// faults around one.
 
 namespace basaltchute::lease_delegation {
 namespace {
@@ -20,58 +21,58 @@
     Delegator delegator{limits, 7, {"rig-0", "a"}, 1h, {{"rig-1", "b"}}, clock.now()};
     TimePoint cap = TimePoint::max();
 
-    void renew() {
-        const TimePoint asked = clock.now();
-        const DelegationRequest q = delegate.request("rig-1", asked);
-        EXPECT_TRUE(
-            delegate.accept(delegator.handleRequest(q, cap, clock.now()), asked, clock.now()));
+    void renewDelegation() {
+        const TimePoint requestedAt = clock.now();
+        const DelegationRequest request = delegate.request("rig-1", requestedAt);
+        EXPECT_TRUE(delegate.accept(delegator.handleRequest(request, cap, clock.now()), requestedAt,
+                                    clock.now()));
     }
-    void talk(Duration span) {
+    void renewDelegationFor(Duration span) {
         for (Duration d{}; d < span; d += 500ms) {
-            renew();
+            renewDelegation();
             clock.advance(500ms);
         }
     }
-    bool answers(FencingToken seen = 7, const std::string& zone = "b", FencingToken newest = 7) {
+    bool tryAnswer(FencingToken seen = 7, const std::string& zone = "b", FencingToken newest = 7) {
         return delegate.tryUse(seen, zone, newest, clock.now());
     }
 };
 
 TEST_F(DelegationTest, UsedOnlyWhileTheLeaderIsSilentAndOnlyForItsOwnZone) {
-    EXPECT_FALSE(answers()) << "nothing was delegated yet";
-    talk(5s);
-    EXPECT_FALSE(answers()) << "the leader is in contact";
+    EXPECT_FALSE(tryAnswer()) << "nothing has been delegated yet";
+    renewDelegationFor(5s);
+    EXPECT_FALSE(tryAnswer()) << "the leader is in contact";
     clock.advance(3s);
-    EXPECT_FALSE(answers()) << "an election takes as long";
+    EXPECT_FALSE(tryAnswer()) << "an election may take this long";
     clock.advance(1s);
-    EXPECT_TRUE(answers());
-    EXPECT_FALSE(answers(7, "a"));
-    EXPECT_TRUE(answers(6)) << "that agent had not found the delegating leader yet";
-    EXPECT_FALSE(answers(8)) << "that agent would drop the answer";
+    EXPECT_TRUE(tryAnswer());
+    EXPECT_FALSE(tryAnswer(7, "a"));
+    EXPECT_TRUE(tryAnswer(6)) << "that agent had not found the delegating leader yet";
+    EXPECT_FALSE(tryAnswer(8)) << "that agent would drop the answer";
     delegate.onLeaderContact(7, clock.now());
-    EXPECT_FALSE(answers()) << "the leader is back";
+    EXPECT_FALSE(tryAnswer()) << "the leader is back";
 }
 
 TEST_F(DelegationTest, ExpiresByTheDelegatesClockEvenAfterALongPause) {
-    talk(5s);
+    renewDelegationFor(5s);
     clock.advance(59s);
-    EXPECT_TRUE(answers());
-    clock.advance(1h);  // paused, and the next thing it does is to answer
-    EXPECT_FALSE(answers());
+    EXPECT_TRUE(tryAnswer());
+    clock.advance(1h);  // the process is paused, and right afterwards it is to answer
+    EXPECT_FALSE(tryAnswer());
 }
 
 TEST_F(DelegationTest, EndsWhenANewerLeaderIsKnownAndIsReplacedByItsDelegation) {
-    talk(5s);
+    renewDelegationFor(5s);
     clock.advance(5s);
-    ASSERT_TRUE(answers());
-    EXPECT_FALSE(answers(7, "b", 8)) << "known from the state service";
+    ASSERT_TRUE(tryAnswer());
+    EXPECT_FALSE(tryAnswer(7, "b", 8)) << "known from the state service";
     EXPECT_FALSE(delegate.isValid(clock.now()));
-    talk(5s);  // a late answer of the former leader delegates nothing again
+    renewDelegationFor(5s);  // late answers of the former leader delegate nothing
     Delegator next{limits, 8, {"rig-2", "a"}, 1h, {{"rig-1", "b"}}, clock.now()};
     ASSERT_TRUE(delegate.accept(
         next.handleRequest(delegate.request("rig-1", clock.now()), cap, clock.now()), clock.now(),
         clock.now()));
-    renew();
+    renewDelegation();
     EXPECT_EQ(delegate.token(), 8U);
 }
 
@@ -82,14 +83,15 @@
     EXPECT_FALSE(delegate.isValid(clock.now()));
 }
 
-TEST_F(DelegationTest, UnusedDelegationDelaysNoDeadMachine) {
-    talk(70s);
+TEST_F(DelegationTest, UnusedDelegationDoesNotDelayDeclaringAMachineDead) {
+    renewDelegationFor(70s);
     EXPECT_LE(delegator.agentLeasesEnd("b", clock.now()), clock.now());
     EXPECT_EQ(delegator.agentLeasesEnd("a", clock.now()),
               delegator.agentLeasesEnd("a", clock.now() + 1h));
-    // Silent for less time than a delegate waits: nothing can have been answered yet.
+    // Silent for less than the time that a delegate waits: it cannot have answered yet.
     EXPECT_LE(delegator.agentLeasesEnd("b", clock.now() + 2s), clock.now());
-    // Longer: it may have been answering, up to the delegation's end and a lease after that.
+    // Silent for longer: it may answer until the delegation ends, and the agents' leases last for
+    // one more lease duration.
     const TimePoint last = clock.now() - 500ms;
     clock.advance(10s);
     EXPECT_GE(delegator.agentLeasesEnd("b", clock.now()), last + 60s + 30s);
@@ -97,53 +99,54 @@
 }
 
 TEST_F(DelegationTest, UsedDelegationIsReportedAfterThePartition) {
-    talk(70s);
+    renewDelegationFor(70s);
     clock.advance(10s);
-    ASSERT_TRUE(answers());
+    ASSERT_TRUE(tryAnswer());
     const TimePoint used = clock.now();
     clock.advance(5s);
-    talk(2s);
+    renewDelegationFor(2s);
     EXPECT_GE(delegator.agentLeasesEnd("b", clock.now()), used + 30s);
     EXPECT_LE(delegator.agentLeasesEnd("b", clock.now()), used + 32s);
 }
 
 TEST_F(DelegationTest, DelayedRequestProvesNothingAboutLaterUse) {
-    talk(70s);
-    const TimePoint left = clock.now();
-    const DelegationRequest delayed = delegate.request("rig-1", left);
+    renewDelegationFor(70s);
+    const TimePoint sentAt = clock.now();
+    const DelegationRequest delayed = delegate.request("rig-1", sentAt);
     clock.advance(10s);
-    ASSERT_TRUE(answers());
+    ASSERT_TRUE(tryAnswer());
     clock.advance(40s);
     delegator.handleRequest(delayed, cap, clock.now());  // delivered when the partition ends
-    EXPECT_GE(delegator.agentLeasesEnd("b", clock.now()), left + 10s + 30s)
-        << "it proves nothing about later";
+    EXPECT_GE(delegator.agentLeasesEnd("b", clock.now()), sentAt + 10s + 30s)
+        << "the delayed request proves nothing about the time after it was sent";
 }
 
 TEST_F(DelegationTest, ShorterDelegationCountsOnceItIsConfirmed) {
-    talk(5s);
+    renewDelegationFor(5s);
     cap = clock.now() + 10s;
-    renew();
-    EXPECT_GT(delegator.delegationsEnd("b"), clock.now() + 50s) << "the answer may be lost";
+    renewDelegation();
+    EXPECT_GT(delegator.delegationsEnd("b"), clock.now() + 50s)
+        << "the answer with the cap may be lost";
     clock.advance(500ms);
-    renew();
+    renewDelegation();
     EXPECT_LE(delegator.delegationsEnd("b"), cap);
     clock.advance(10s);
-    EXPECT_FALSE(answers());
+    EXPECT_FALSE(tryAnswer());
 }
 
 TEST_F(DelegationTest, RestartedDelegateHasNoneAndItsFormerProcessMayHaveAnswered) {
-    talk(70s);
+    renewDelegationFor(70s);
     clock.advance(6s);
     delegate = Delegate{limits, "b", clock.now()};
     clock.advance(4s);
-    EXPECT_FALSE(answers());
-    talk(2s);
+    EXPECT_FALSE(tryAnswer());
+    renewDelegationFor(2s);
     EXPECT_GE(delegator.agentLeasesEnd("b", clock.now()), clock.now() - 6s + 30s);
     EXPECT_LE(delegator.agentLeasesEnd("b", clock.now()), clock.now() - 6s + 32s);
 }
 
 TEST_F(DelegationTest, SuccessorAssumesTheLongestDelegationForSilentNodes) {
-    talk(70s);
+    renewDelegationFor(70s);
     clock.advance(3s);
     const TimePoint elected = clock.now();
     Delegator next{limits, 8, {"rig-2", "a"}, 1h, {{"rig-0", "a"}, {"rig-1", "b"}}, elected};
@@ -151,36 +154,37 @@
         EXPECT_GE(next.agentLeasesEnd(zone, elected), elected + 60s + 30s) << zone;
         EXPECT_GE(next.delegationsEnd(zone), elected + 60s) << zone;
     }
-    // The delegate of the former leader reports that it has not used that delegation, and gives it
-    // up by accepting the new one.
+    // The former leader's delegate reports that it has not used its delegation. It gives that
+    // delegation up when it accepts the new one.
     for (int i = 0; i < 2; ++i) {
-        const DelegationRequest q = delegate.request("rig-1", clock.now());
-        delegate.accept(next.handleRequest(q, TimePoint{}, clock.now()), clock.now(), clock.now());
+        const DelegationRequest request = delegate.request("rig-1", clock.now());
+        delegate.accept(next.handleRequest(request, TimePoint{}, clock.now()), clock.now(),
+                        clock.now());
     }
     EXPECT_LE(next.agentLeasesEnd("b", clock.now()), clock.now());
     EXPECT_LE(next.delegationsEnd("b"), clock.now());
     EXPECT_GE(next.delegationsEnd("a"), elected + 60s) << "the former leader delegated to itself";
 }
 
-TEST_F(DelegationTest, FormerLeaderAnswersByItsDelegationToItself) {
+TEST_F(DelegationTest, FormerLeaderAnswersUnderItsDelegationToItself) {
     cap = clock.now() + 20s;
     const TimePoint until = delegator.delegateToSelf(cap, clock.now());
     Delegate self{limits, "a", clock.now() - 1h};
     self.adoptSelfDelegation(7, until, clock.now());
-    EXPECT_FALSE(self.tryUse(7, "a", 7, clock.now() + 3s)) << "another may lead by now";
+    EXPECT_FALSE(self.tryUse(7, "a", 7, clock.now() + 3s)) << "another node may lead by now";
     EXPECT_TRUE(self.tryUse(7, "a", 0, clock.now() + 4s)) << "it knows of no leader at all";
     EXPECT_FALSE(self.tryUse(7, "a", 7, clock.now() + 20s));
     self.adoptSelfDelegation(7, until + 40s, clock.now());
     EXPECT_FALSE(self.tryUse(7, "a", 8, clock.now() + 30s));
 }
 
-TEST_F(DelegationTest, DelegateTransfersOnlyWhatItWouldAnswerBy) {
+TEST_F(DelegationTest, DelegateTransfersOnlyADelegationThatItWouldUseItself) {
     Delegate other{limits, "b", clock.now()};
-    EXPECT_FALSE(delegate.transfer(7, clock.now())) << "it has none";
-    talk(5s);
+    EXPECT_FALSE(delegate.transfer(7, clock.now())) << "it has no delegation";
+    renewDelegationFor(5s);
     EXPECT_FALSE(delegate.transfer(7, clock.now())) << "the leader is in contact";
     clock.advance(10s);
-    EXPECT_FALSE(delegate.transfer(8, clock.now())) << "another leads";
+    EXPECT_FALSE(delegate.transfer(8, clock.now())) << "another node leads";
     const auto transferred = delegate.transfer(7, clock.now());
     ASSERT_TRUE(transferred);
     ASSERT_TRUE(other.needsDelegation(clock.now()));
@@ -188,8 +192,8 @@
     EXPECT_TRUE(other.tryUse(7, "b", 7, clock.now()));
     clock.advance(transferred->duration);
     EXPECT_FALSE(other.tryUse(7, "b", 7, clock.now()))
-        << "until the end of the first one's delegation";
-    // None beyond the maximum duration, and none in place of what a leader gave.
+        << "the transferred delegation ends with the original one";
+    // Accepts no transfer beyond the maximum duration, nor one in place of a leader's delegation.
     other.acceptTransfer({7, 0, 61s}, clock.now(), clock.now());
     EXPECT_FALSE(other.isValid(clock.now()));
     clock.advance(60s);
@@ -198,7 +202,8 @@
 }
 
 TEST_F(DelegationTest, RestartedNodeAcceptsNoTransferBeforeItsFormerProcessesReportsExpire) {
-    // What that process reported last holds for as long as a delegate waits for its leader.
+    // The leader relies on the last report of the former process for as long as a delegate waits
+    // before it answers.
     Delegate fresh{limits, "b", clock.now()};
     fresh.acceptTransfer({7, 0, 20s}, clock.now(), clock.now());
     EXPECT_FALSE(fresh.isValid(clock.now()));
@@ -210,48 +215,50 @@
     EXPECT_FALSE(fresh.needsDelegation(clock.now())) << "a leader is in contact";
 }
 
-TEST_F(DelegationTest, SilentNodeMayAnswerByWhatAReturningDelegateTransferred) {
+TEST_F(DelegationTest, SilentNodeMayAnswerUnderATransferFromAReturningDelegate) {
     Delegator leader{limits, 7, {"rig-0", "a"}, 1h, {{"rig-1", "b"}, {"rig-2", "b"}}, clock.now()};
     Delegate other{limits, "b", clock.now() - 1h};
-    const auto ask = [&](Delegate& h, const std::string& name) {
-        const TimePoint asked = clock.now();
-        h.accept(leader.handleRequest(h.request(name, asked), cap, asked), asked, asked);
+    const auto requestDelegation = [&](Delegate& requester, const std::string& name) {
+        const TimePoint requestedAt = clock.now();
+        requester.accept(
+            leader.handleRequest(requester.request(name, requestedAt), cap, requestedAt),
+            requestedAt, requestedAt);
     };
     for (int i = 0; i < 200; ++i) {
-        ask(delegate, "rig-1");
-        if (i < 2) ask(other, "rig-2");  // and then it is down for good
+        requestDelegation(delegate, "rig-1");
+        if (i < 2) requestDelegation(other, "rig-2");  // after that, rig-2 is down
         clock.advance(500ms);
     }
     EXPECT_LE(leader.agentLeasesEnd("b", clock.now()), clock.now()) << "its delegation has expired";
     const TimePoint last = clock.now() - 500ms;
     clock.advance(10s);
-    ask(delegate, "rig-1");
+    requestDelegation(delegate, "rig-1");
     clock.advance(500ms);
-    ask(delegate, "rig-1");
+    requestDelegation(delegate, "rig-1");
     EXPECT_GE(leader.agentLeasesEnd("b", clock.now()), last + 60s + 30s)
-        << "rig-2 may be back, without contact to the leader";
+        << "rig-2 may be running again, without contact to the leader";
     EXPECT_GE(leader.delegationsEnd("b"), last + 60s);
-    // Once in contact, it gives that up by accepting the leader's delegation.
-    Delegate back{limits, "b", clock.now() - 1h};
-    for (int i = 0; i < 2; ++i) ask(back, "rig-2");
+    // Once in contact with the leader, rig-2 replaces the transferred delegation by the leader's.
+    Delegate returned{limits, "b", clock.now() - 1h};
+    for (int i = 0; i < 2; ++i) requestDelegation(returned, "rig-2");
     EXPECT_LE(leader.agentLeasesEnd("b", clock.now()), clock.now() + 32s);
 }
 
-/// One machine in a zone that is partitioned, one outside, a leader outside, and perhaps its
-/// successor. Times in seconds.
+/// A zone that is partitioned, with one machine and one delegate (or two). Another machine, the
+/// leader and perhaps its successor are outside that zone. Times are in seconds.
 struct Scenario {
-    int partitionedFor = 0;          // from the fifth second on
+    int partitionedFor = 0;          // from second 5 on
     int cancelAt = -1;               // -1: never
     int takeOverAt = -1;             // the leader dies; its successor leads from then on
     int pauseAt = -1, pauseFor = 0;  // of the delegate's process
     int restartAt = -1;              // of the delegate
-    bool answerLost = false;         // the leader's last one before the partition
+    bool answerLost = false;         // the leader's last answer before the partition is lost
     bool delegationsTracked = true;  // whether leaders take delegations into account
-    // A second delegate in the zone, and whether the leaders know that it is in the zone.
+    // Whether the zone has a second delegate, and whether the leaders know that it is in the zone.
     bool second = false, secondKnown = true;
     int secondPartitionedAt = 5, secondPartitionedFor = 0, secondRestartAt = -1;
 
-    [[nodiscard]] std::string text() const {
+    [[nodiscard]] std::string description() const {
         std::string out;
         for (const int i : {partitionedFor, cancelAt, takeOverAt, pauseAt, pauseFor, restartAt,
                             secondPartitionedAt, secondPartitionedFor, secondRestartAt})
@@ -267,16 +274,16 @@
         settings_.heartbeatInterval = 1s;
         settings_.cancelWithin = 11s;
         limits_ = DelegationLimits{8s, 4s, 11s, 2s};
-        lead(1);
+        startLeader(1);
     }
-    /// Which guarantee was violated; empty if none.
+    /// Runs the scenario. Returns which guarantee was violated; empty if none was.
     std::string run();
-    /// For how many seconds the agent in the zone has kept its first incarnation.
+    /// The last second in which the agent in the zone still had its first incarnation.
     [[nodiscard]] int uninterruptedFor() const { return uninterruptedFor_; }
 
   private:
     static constexpr int partitionedAt = 5, seconds = 34;
-    void lead(FencingToken token) {
+    void startLeader(FencingToken token) {
         auto next = std::make_unique<Cluster>(settings_, token);
         next->setCatalogue(testing::someCatalogue());
         for (const auto& [key, data] : records_)
@@ -297,9 +304,9 @@
         renewed = clock_.now();
     }
     void requestDelegation(Delegate& delegate, const std::string& name, bool answered) {
-        const DelegationRequest q = delegate.request(name, clock_.now());
+        const DelegationRequest request = delegate.request(name, clock_.now());
         const Delegation delegation = delegator_->handleRequest(
-            q, cluster_->latestDelegationEnd("b", clock_.now()), clock_.now());
+            request, cluster_->latestDelegationEnd("b", clock_.now()), clock_.now());
         if (answered) delegate.accept(delegation, clock_.now(), clock_.now());
     }
     void transfer(const Delegate& from, Delegate& to) {
@@ -307,7 +314,7 @@
         if (const auto delegation = from.transfer(0, clock_.now()))
             to.acceptTransfer(*delegation, clock_.now(), clock_.now());
     }
-    static bool runs(const Worker& w) {
+    static bool runsTasks(const Worker& w) {
         return std::any_of(w.report.tasks.begin(), w.report.tasks.end(), [](const auto& t) {
             return t.status != worker_api::TaskStatus::exited;
         });
@@ -338,7 +345,7 @@
             spec.zone = scenario_.cancelAt < 0 ? std::nullopt : std::optional<std::string>("b");
             cluster_->submit(spec, clock_.now(), clock_.wall());
         }
-        if (s == scenario_.takeOverAt) lead(2);
+        if (s == scenario_.takeOverAt) startLeader(2);
         if (s == scenario_.restartAt) delegate_ = Delegate{limits_, "b", clock_.now()};
         if (!paused && (!partitioned || (s == partitionedAt && scenario_.answerLost)))
             requestDelegation(delegate_, "rig-1", !partitioned);
@@ -351,7 +358,7 @@
             if (!secondPartitioned) requestDelegation(secondDelegate_, "rig-2", true);
             if (!paused) transfer(secondDelegate_, delegate_), transfer(delegate_, secondDelegate_);
         }
-        // The agent first: it sends its heartbeat, and then perhaps kills what it runs.
+        // The agent acts first: it sends its heartbeat, and stops its tasks if its lease has ended.
         heartbeat(inside, renewedInside, !partitioned);
         if (partitioned && !paused && delegate_.tryUse(inside.report.token, "b", 0, clock_.now()))
             renewedInside = clock_.now();
@@ -375,8 +382,9 @@
             cluster_->acknowledgeCancellation(*job, clock_.now());
             if (!acknowledged) acknowledged = clock_.now();
         }
-        if (runs(inside) && runs(outside)) return "ran twice";
-        if (acknowledged && runs(inside) && clock_.now() - *acknowledged > settings_.cancelWithin)
+        if (runsTasks(inside) && runsTasks(outside)) return "ran twice";
+        if (acknowledged && runsTasks(inside) &&
+            clock_.now() - *acknowledged > settings_.cancelWithin)
             return "ran though cancelled";
         clock_.advance(1s);
     }
@@ -392,14 +400,14 @@
                 for (const auto& [pauseAt, pauseFor] :
                      std::vector<std::pair<int, int>>{{-1, 0}, {5, 3}, {6, 8}, {8, 4}, {8, 12}})
                     for (const int restartAt : {-1, 5, 9})
-                        for (const bool lost : {false, true})
+                        for (const bool answerLost : {false, true})
                             out.push_back({partitionedFor, cancelAt, takeOverAt, pauseAt, pauseFor,
-                                           restartAt, lost, delegationsTracked});
+                                           restartAt, answerLost, delegationsTracked});
     return out;
 }
 
 /// Two delegates in the zone, partitioned and restarted at different times.
-std::vector<Scenario> scenariosWithTwoDelegates(bool known) {
+std::vector<Scenario> scenariosWithTwoDelegates(bool secondKnown) {
     std::vector<Scenario> out;
     for (const int partitionedFor : {0, 9, 13, 18})
         for (const auto& [secondPartitionedAt, secondPartitionedFor] :
@@ -413,7 +421,7 @@
                                 Scenario scenario{partitionedFor, cancelAt, takeOverAt, 8,
                                                   pauseFor,       restartAt};
                                 scenario.second = true;
-                                scenario.secondKnown = known;
+                                scenario.secondKnown = secondKnown;
                                 scenario.secondPartitionedAt = secondPartitionedAt;
                                 scenario.secondPartitionedFor = secondPartitionedFor;
                                 scenario.secondRestartAt = secondRestartAt;
@@ -422,7 +430,7 @@
     return out;
 }
 
-/// Turns the log off: that of some thousand runs helps nobody.
+/// Turns logging off while it exists, for tests that run thousands of scenarios.
 struct LogSilencer {
     spdlog::level::level_enum before = spdlog::get_level();
     LogSilencer() { spdlog::set_level(spdlog::level::off); }
@@ -431,13 +439,13 @@
     ~LogSilencer() { spdlog::set_level(before); }
 };
 
-/// Runs all scenarios; returns how many passed before one failed.
+/// Runs the scenarios until one fails; returns how many passed.
 std::size_t runAll(const std::vector<Scenario>& scenarios) {
     const LogSilencer silencer;
     std::size_t passed = 0;
     for (const Scenario& scenario : scenarios) {
         const std::string violation = ScenarioRun(scenario).run();
-        EXPECT_EQ(violation, "") << scenario.text();
+        EXPECT_EQ(violation, "") << scenario.description();
         if (!violation.empty()) break;
         ++passed;
     }
@@ -452,7 +460,7 @@
     EXPECT_EQ(runAll(scenariosWithTwoDelegates(true)), 10'752U);
 }
 
-TEST(DelegationScenarios, FindsTheFaultsOfALeaderThatIgnoresTransfers) {
+TEST(DelegationScenarios, BothViolationsAreFoundIfLeadersIgnoreTransfers) {
     const LogSilencer silencer;
     std::set<std::string> found;
     for (const Scenario& scenario : scenariosWithTwoDelegates(false)) {
@@ -464,24 +472,26 @@
 }
 
 TEST(DelegationScenarios, ZoneKeepsItsTasksWhileItsNodesRestartOneAfterTheOther) {
-    // Delegates that were restarted during a partition had no delegation: once the last one had
-    // been, every lease of the zone expired.
+    // Guards against all leases of a zone expiring during a partition once each of its delegates
+    // has been restarted: a restarted delegate has no delegation unless another one transfers its
+    // own.
     const LogSilencer silencer;
     Scenario scenario;
     scenario.partitionedFor = scenario.secondPartitionedFor = 9;
     scenario.second = true;
     scenario.restartAt = 5;
     scenario.secondRestartAt = 9;
-    ScenarioRun together(scenario);
-    EXPECT_EQ(together.run(), "");
+    ScenarioRun withTransfers(scenario);
+    EXPECT_EQ(withTransfers.run(), "");
     scenario.second = false;
-    ScenarioRun alone(scenario);
-    EXPECT_EQ(alone.run(), "");
-    EXPECT_GT(together.uninterruptedFor(), 30) << "until the end";
-    EXPECT_LT(alone.uninterruptedFor(), 14);
+    ScenarioRun withoutTransfers(scenario);
+    EXPECT_EQ(withoutTransfers.run(), "");
+    EXPECT_GT(withTransfers.uninterruptedFor(), 30)
+        << "the tasks run until the end of the scenario";
+    EXPECT_LT(withoutTransfers.uninterruptedFor(), 14);
 }
 
-TEST(DelegationScenarios, FindsBothFaultsOfALeaderThatForgetsItsDelegations) {
+TEST(DelegationScenarios, BothViolationsAreFoundIfLeadersIgnoreDelegations) {
     const LogSilencer silencer;
     std::set<std::string> found;
     for (const Scenario& scenario : scenarios(false)) found.insert(ScenarioRun(scenario).run());
