--- a/src/leader_election/election_records.cpp
+++ b/src/leader_election/election_records.cpp
@@ -5,7 +5,7 @@
 namespace basaltchute::election_records {
 
 namespace {
-/// The field of the token counter that holds the token.
+/// Name of the token counter's field that holds the token; see encode().
 const char* tokenField(std::uint64_t format) {
     return format > 1 ? "last" : "token";
 }
--- a/src/leader_election/election_records.h
+++ b/src/leader_election/election_records.h
@@ -1,6 +1,8 @@
 #pragma once
-// The records of an election as they are stored under "lead/", and their codec. Their JSON fields
-// are read by older and newer versions, so they keep the names of the first version.
+// The election's records in the key-value store, under "lead/", and their encoding as JSON.
+//
+// Older and newer versions read the same records, so their JSON fields keep the names that the
+// first version gave them. Called by LeaderElection.
 #include <optional>
 #include <set>
 #include <string>
@@ -10,13 +12,14 @@
 
 namespace basaltchute::election_records {
 
+/// Common prefix of the keys below.
 inline const std::string prefix = "lead/";
-/// Exists while some node leads: bound to that node's lease. Every write of a leader names its
-/// revision as a precondition, which fences former leaders.
+/// Exists while some node leads, and is bound to that node's lease. Every write of a leader has
+/// this key's revision as a precondition, which fences off former leaders.
 inline const std::string leaderKey = "lead/holder";
-/// The last fencing token that was handed out, and the format of the stored state.
+/// The last fencing token that was taken, and the format of the stored state.
 inline const std::string tokenCounterKey = "lead/token";
-/// Nodes that must not campaign, so that a leader can go on without their pledges.
+/// The nodes that must not campaign, so that the leader needs no pledge from them.
 inline const std::string absentNodesKey = "lead/absent";
 
 /// The value of leaderKey.
@@ -24,10 +27,10 @@
     std::string node;
     std::string incarnation;  // of the node's process
     FencingToken token = 0;
-    std::optional<kv_store::LeaseId> lease;  // that the key is bound to
+    std::optional<kv_store::LeaseId> lease;  // the lease that the key is bound to
 };
 [[nodiscard]] std::string encode(const LeaderRecord& record);
-/// Nothing if the text is malformed; node and token are required.
+/// Empty if the text is malformed; node and token are required.
 [[nodiscard]] std::optional<LeaderRecord> decodeLeader(const std::string& text);
 
 /// The value of tokenCounterKey.
@@ -35,18 +38,19 @@
     FencingToken token = 0;
     unsigned format = 1;  // of the stored state
 };
-/// `node`: who took the token. From format 2 on the token has another field name, so that versions
-/// which would lose what is stored find the counter malformed and do not campaign.
+/// `node` is the node that took the token. From format 2 on the token is stored under another field
+/// name: a version that would lose data of the newer format finds the counter malformed and does
+/// not campaign.
 [[nodiscard]] std::string encode(const TokenCounter& counter, const std::string& node);
-/// Nothing if the text is malformed.
+/// Empty if the text is malformed.
 [[nodiscard]] std::optional<TokenCounter> decodeTokenCounter(const std::string& text);
-/// The node that took the last token; nothing if an older version wrote the record, which does not
-/// name it.
+/// The node that took the last token; empty if an older version wrote the record, which does not
+/// contain the node.
 [[nodiscard]] std::optional<std::string> decodeLastElected(const std::string& text);
 
 /// The value of absentNodesKey.
 [[nodiscard]] std::string encodeAbsentNodes(const std::set<std::string>& nodes);
-/// Nothing if the text is malformed: then nobody may rely on any node's absence or presence.
+/// Empty if the text is malformed: then no node may be taken as absent, nor as not absent.
 [[nodiscard]] std::optional<std::set<std::string>> decodeAbsentNodes(const std::string& text);
 
 }  // namespace basaltchute::election_records
--- a/src/leader_election/fake_election_peers.h
+++ b/src/leader_election/fake_election_peers.h
@@ -1,10 +1,10 @@
 #pragma once
-// A scripted environment of a LeaderElection, for tests only.
+// Fake listener and peers of a LeaderElection, for tests only.
 #include "leader_election/leader_election.h"
 
 namespace basaltchute::testing {
 
-/// Records elections, and answers for the other nodes as the test says.
+/// Records whether the node was elected, and answers for the other nodes as the test sets it.
 class FakeElectionPeers : public LeaderElectionListener, public ElectionPeers {
   public:
     bool elected = false;
--- a/src/leader_election/leader_election.h
+++ b/src/leader_election/leader_election.h
@@ -1,20 +1,22 @@
 #pragma once
-// Election of the one controller that may act.
+// Leader election: elects the one controller that may act.
 //
-// A leader holds a lease of the key-value store and the leader key that is bound to it. It may act
-// until `leaseValidUntil`, by its own steady clock, which ends before the store can end the lease:
-// it counts from when the last keep-alive that succeeded was *sent*, less the drift of two clocks
-// and a margin. Each election takes a new fencing token, higher than all before.
+// The leader holds a lease in the key-value store and the leader key, which is bound to that lease.
+// It may act until `leaseValidUntil_` by its own steady clock. That time is earlier than any time
+// at which the store can end the lease: it counts from when the last successful keep-alive was
+// *sent*, and an allowance for clock drift and a safety margin are subtracted. Each election takes
+// a new fencing token, higher than all earlier ones.
 //
-// While no node reaches the store nobody can be elected, so the leader may go on if every other
-// node pledges not to campaign for a while (a *leadership pledge*: a lease extension by unanimous
-// followers). Nodes that have been silent are recorded in the store as absent, by the leader that
-// goes on without their pledge: a recorded node does not campaign until a leader has heard from it
-// and removes it from the record.
+// While no node reaches the store, nobody can be elected. The leader may then go on if every other
+// node pledges not to campaign for some time (a *leadership pledge*: the followers extend the lease
+// unanimously). Nodes that have been silent are recorded in the store as absent by the leader,
+// which then needs no pledge from them: a node recorded as absent does not campaign until a leader
+// has heard from it and has removed it from the record.
 //
-// State: the part of this node in the election, its lease, the pledges it gave, and who leads as
-// far as is known. Guarantee: at any moment at most one node finds leaseValid() true. Called by the
-// Controller, which starts and ends a LeaderTerm by it; all on the one event loop.
+// State: this node's role in the election, its lease, the pledges that it gave, and the last known
+// leader. Guarantee: at any moment leaseValid() is true on at most one node. Owned by the
+// Controller, which creates a LeaderTerm when elected and ends it when the leadership is lost. All
+// calls are made on one event loop.
 #include <optional>
 #include <set>
 #include <string>
@@ -26,84 +28,88 @@
 
 namespace basaltchute {
 
-/// A node that leads, or did when it was last heard of.
+/// The last known leader; it may have lost the leadership since.
 struct LeaderHint {
     std::string node;
     FencingToken token = 0;
 };
 
-/// Receives the begin and the end of this node's leadership.
+/// Is notified when this node's leadership begins and ends.
 class LeaderElectionListener {
   public:
     virtual ~LeaderElectionListener() = default;
-    /// This node leads. `fence`: to be a precondition of every write of the term, so that writes
-    /// of a former leader fail.
+    /// This node was elected. `fence` must be a precondition of every write of the term, so that
+    /// writes of a former leader fail.
     virtual void onElected(FencingToken token, kv_store::Precondition fence) = 0;
-    /// The lease is no longer valid. Ends every duty of the leader before it returns; only then is
-    /// the lease revoked, which lets others lead.
+    /// The lease is no longer valid. The listener ends all work of the leader before it returns;
+    /// only then is the lease revoked, which lets other nodes lead.
     virtual Task<void> onLeadershipLost() = 0;
 };
 
-/// What the election needs to know and ask of the other nodes.
+/// What the election needs to know about the other nodes, and to ask of them.
 class ElectionPeers {
   public:
     virtual ~ElectionPeers() = default;
-    /// Asks every other node but `absent` for a pledge not to campaign for `duration`; true if all
-    /// give it.
+    /// Asks every other node except those in `absent` to pledge not to campaign for `duration`.
+    /// Returns true if all of them do.
     virtual Task<bool> requestPledges(FencingToken token, Duration duration,
                                       const std::set<std::string>& absent) = 0;
     /// Whether that node has said, since this process started, that it does not lead.
     [[nodiscard]] virtual bool isKnownFollower(const std::string& node) const = 0;
-    /// The other nodes from which nothing came for at least `span`.
+    /// The other nodes from which nothing was received for at least `span`.
     [[nodiscard]] virtual std::set<std::string> nodesSilentFor(Duration span) const = 0;
 };
 
-/// Campaigns, leads or follows for one node; see the top of this file.
+/// Runs the election for one node, which follows, campaigns or leads. See the top of this file.
 class LeaderElection {
   public:
-    /// All that is passed by reference must outlive the election. `incarnation`: of this process.
+    /// Everything passed by reference must outlive the election. `incarnation` identifies this
+    /// process of the node.
     LeaderElection(EventLoop& loop, kv_store::Client& client, const settings::Settings& settings,
                    std::string incarnation, LeaderElectionListener& listener, ElectionPeers& peers);
-    /// Takes part until the scope is cancelled or resignPermanently() was called.
+    /// Takes part in elections until the scope is cancelled or resignPermanently() is called.
     Task<void> run(Scope& scope);
 
-    /// Whether this node may act as the leader. Ask right before anything is sent: the process may
-    /// have been starved meanwhile.
+    /// Whether this node may act as the leader. Check it right before anything is sent, because
+    /// the process may not have been scheduled for a while.
     [[nodiscard]] bool leaseValid() const { return leading_ && loop_.now() < leaseValidUntil_; }
-    /// Between onElected() and onLeadershipLost(), also if the lease has just run out.
+    /// True between onElected() and onLeadershipLost(), even if the lease has just run out.
     [[nodiscard]] bool leading() const { return leading_; }
-    /// Of the last election that this node won; 0 if none.
+    /// Fencing token of the last election that this node won; 0 if it never won one.
     [[nodiscard]] FencingToken token() const { return token_; }
-    /// Who leads as far as this node knows, itself included.
+    /// The last known leader, which may be this node; empty if none is known.
     [[nodiscard]] const std::optional<LeaderHint>& knownLeader() const { return knownLeader_; }
-    /// Whether the state service answered this node's last question.
+    /// Whether the last request of the election to the state service succeeded.
     [[nodiscard]] bool storeReachable() const { return storeReachable_; }
-    /// A node said that it leads. This one steps down if that one's token is higher.
+    /// Records that another node says it leads. Steps down if that node's token is higher.
     void observeLeader(const LeaderHint& hint);
-    /// A leader asks for a leadership pledge. If true, this node does not campaign for `duration`.
+    /// Handles a leader's request for a leadership pledge. If it returns true, this node does not
+    /// campaign for `duration`.
     [[nodiscard]] bool grantPledge(FencingToken token, Duration duration);
-    /// Ends the leadership, if any. `reason`: for the log.
+    /// Ends the leadership, if this node leads. `reason` is only logged.
     void stepDown(const std::string& reason);
-    /// Steps down and takes part no more: the process is about to end.
+    /// Steps down and takes part in no further election: the process is about to end.
     void resignPermanently();
-    /// Format of the stored state: nodes whose version does not know it cannot be elected.
-    [[nodiscard]] unsigned storedFormat() const { return format_; }
-    /// Records that the state may hold what only `format` knows. To be called before any of that is
-    /// written; true once the record is durable. A format is never lowered.
+    /// Format of the stored state. A node whose version does not support it cannot be elected.
+    [[nodiscard]] unsigned storedFormat() const { return storedFormat_; }
+    /// Records that the stored state may contain what only `format` supports. Must be called before
+    /// any such data is written. Returns true once the record is durable. A format is never
+    /// lowered.
     Task<bool> raiseStoredFormat(unsigned format, Scope& scope);
-    /// Highest format that this version knows: 1, the first; 2, job dependencies and record pages.
+    /// Newest format that this version supports: 1 is the first one, 2 added job dependencies and
+    /// record pages.
     static constexpr unsigned newestSupportedFormat = 2;
     /// TTL of the leader's lease.
     [[nodiscard]] static Duration leaseTtlFor(const settings::Settings& settings);
 
   private:
-    /// The records as a campaign has read them.
-    struct StoredState {
+    /// The stored records as a campaign has read them.
+    struct StoredRecords {
         election_records::TokenCounter counter;
         std::set<std::string> absentNodes;
         kv_store::Revision counterRevision = 0, absentNodesRevision = 0;  // 0: no such record
     };
-    /// What a campaign writes.
+    /// The records that a campaign writes.
     struct Candidacy {
         election_records::LeaderRecord leader;
         election_records::TokenCounter counter;
@@ -114,24 +120,25 @@
 
     /// Returns once no leader key is stored.
     Task<void> follow(Scope& scope);
-    /// Learns who leads from the stored leader key, and waits until that may have changed.
-    Task<void> followLeader(const kv_store::KeyValue& leader, kv_store::Revision listedAt,
+    /// Takes the known leader from the stored leader key and waits until that key may have changed.
+    Task<void> followLeader(const kv_store::KeyValue& leader, kv_store::Revision listRevision,
                             Scope& scope);
-    /// True if this node was elected.
+    /// Returns true if this node was elected.
     Task<bool> campaign(Scope& scope);
     Task<bool> tryCampaign(Scope& scope);
-    /// Nothing if this node must not campaign by what is stored.
-    Task<std::optional<StoredState>> readStoredState(Scope& scope);
-    /// The stored counter; nothing (and a line in the log) if this version must not lead by it.
+    /// Empty if the stored records forbid this node to campaign, or could not be read.
+    Task<std::optional<StoredRecords>> readStoredRecords(Scope& scope);
+    /// The stored token counter. Empty, with an error in the log, if it is malformed or this
+    /// version does not support the stored format.
     [[nodiscard]] static std::optional<election_records::TokenCounter> readCounter(
         const kv_store::KeyValue* entry);
-    [[nodiscard]] Candidacy prepareCandidacy(const StoredState& stored,
+    [[nodiscard]] Candidacy prepareCandidacy(const StoredRecords& stored,
                                              const kv_store::LeaseResult& lease) const;
     Task<kv_store::CommitResult> commitCandidacy(const Candidacy& candidacy,
-                                                 const StoredState& stored, Scope& scope);
-    /// The revision of the leader key if its value is exactly `record`.
+                                                 const StoredRecords& stored, Scope& scope);
+    /// The revision of the leader key if its value equals `record`.
     Task<std::optional<kv_store::Revision>> findOwnLeaderKey(std::string record, Scope& scope);
-    void beginTerm(const Candidacy& candidacy, const StoredState& stored,
+    void beginTerm(const Candidacy& candidacy, const StoredRecords& stored,
                    kv_store::Revision revision);
     Task<void> lead(Scope& scope);
     /// Renews the lease until it runs out or this node steps down.
@@ -140,10 +147,12 @@
     Task<void> extendLeaseByPledges();
     void extendLease(TimePoint sentAt, Duration ttl);
     [[nodiscard]] bool mayCampaign() const;
-    /// No node acts by a pledge that a former process of this node gave.
+    /// True if no leader can still rely on a pledge that a former process of this node gave.
     [[nodiscard]] bool noEarlierPledgeOutstanding() const;
-    /// Records who is silent: those nodes may not campaign, so their pledges are not needed.
+    /// Records the silent nodes as absent: they may not campaign, so no pledge of theirs is needed.
     Task<void> recordAbsentNodes(std::set<std::string> silent, Scope& scope);
+    /// The nodes silent for `span` that may be recorded as absent; empty if they are not a
+    /// minority.
     [[nodiscard]] std::set<std::string> silentMinority(Duration span) const;
 
     EventLoop& loop_;
@@ -152,22 +161,23 @@
     Duration leaseTtl_;
     LeaderElectionListener& listener_;
     ElectionPeers& peers_;
-    Event steppedDown_;
+    Event stepDownEvent_;
     bool leading_ = false, storeReachable_ = false;
-    bool resign_ = false;   // the present term is to end
-    bool retired_ = false;  // and no other one is to follow
+    bool stepDownRequested_ = false;    // the current term is to end
+    bool resignedPermanently_ = false;  // no further term is to begin
     FencingToken token_ = 0;
     kv_store::LeaseId leaseId_ = 0;
     kv_store::Revision leaderKeyRevision_ = 0, tokenCounterRevision_ = 0;
-    unsigned format_ = 1;
+    unsigned storedFormat_ = 1;
     TimePoint leaseValidUntil_{};
     TimePoint startedAt_, pledgedUntil_{};
     bool campaigning_ = false;
-    std::vector<std::string> otherNodes_;  // configured, beside this one
-    /// Who was elected last by the token counter, if it says so.
+    std::vector<std::string> otherNodes_;  // all configured nodes except this one
+    /// The node that was elected last, if the token counter names it.
     std::optional<std::string> lastElected_;
-    std::set<std::string> absentNodes_;  // durably recorded, so that they cannot campaign
-    /// What the record was last written with; nothing if the outcome of that write is unknown.
+    std::set<std::string> absentNodes_;  // durably recorded as absent, so they cannot campaign
+    /// The content last written to the absent-nodes record; empty if the outcome of the last write
+    /// is unknown.
     std::optional<std::set<std::string>> writtenAbsentNodes_;
     kv_store::Revision absentNodesRevision_ = 0;
     bool recordingAbsentNodes_ = false;
--- a/src/leader_election/wire_format_test.cpp
+++ b/src/leader_election/wire_format_test.cpp
@@ -1,5 +1,5 @@
-// The exact records and requests of an election: the leader's key, the counter of tokens with the
-// stored format, and the absent nodes.
+// Checks the exact stored records and requests of an election: the leader key, the token counter
+// with the stored format, and the absent nodes.
 #include <gtest/gtest.h>
 
 #include "leader_election/fake_election_peers.h"
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 using Requests = std::vector<std::string>;
 
-/// Peers of a node whose every election has the first write as its fence.
+/// Expects each election to have the revision of the test's first write as its fence.
 class Peers : public testing::FakeElectionPeers {
   public:
     void onElected(FencingToken token, kv_store::Precondition fence) override {
@@ -24,7 +24,7 @@
 class LeaderElectionWireFormat : public ::testing::Test {
   protected:
     testing::World world;
-    /// What is stored under "lead/", as the items of a list.
+    /// The records stored under "lead/", as the JSON items of a listing.
     std::string storedItems;
     std::uint64_t revision = 20;
     Peers peers;
@@ -53,7 +53,7 @@
         world.scope.spawn(election->run(world.scope));
     }
     void TearDown() override { world.end(world.scope); }
-    /// The transactions sent so far.
+    /// The transaction requests sent since the requests were last taken.
     Requests transactions() {
         Requests out;
         for (auto& request : service.takeRequests())
