--- a/src/controller/leader_term.h
+++ b/src/controller/leader_term.h
@@ -68,7 +68,8 @@
     http::Response handleHeartbeat(const worker_api::StatusReport& report);
     /// Answers a node's request for the right to answer heartbeats while this leader is silent;
     /// nothing while the term is not ready. Nothing new is delegated unless
-    /// `peersSupportDelegations`: every node that may lead next takes delegations into account.
+    /// `peersSupportDelegations`: all connected peers support delegations, and would take this one
+    /// into account if they lead next.
     std::optional<lease_delegation::Delegation> handleDelegationRequest(
         const lease_delegation::DelegationRequest& request, bool peersSupportDelegations);
     /// Until when this node may go on answering its zone's agents after its leadership has ended,
@@ -121,7 +122,7 @@
     /// Carries out what the cluster asks for: writes, commands and probes.
     void applyEffects();
     /// True once records may be written that only format 2 of the stored state has. Raises the
-    /// stored format for that if all nodes can read it.
+    /// stored format for that if all nodes can read it and the operators' settings allow it.
     Task<bool> ensurePagedFormat();
     /// Calls ensurePagedFormat() for records that can be written in that format only. After a
     /// failure it is called again with a later write.
