--- a/src/controller/leader_term.cpp
+++ b/src/controller/leader_term.cpp
@@ -205,7 +205,7 @@
             worker_api::CommandSender::Target target = commandTarget(machine);
             result =
                 co_await commandSender_.send(std::move(target), std::move(request), commandTimeout,
-                                             /*insist=*/false, scope_);
+                                             /*relayIfUnanswered=*/false, scope_);
         }
         if (scope_.cancelled()) co_return;
         const http::RequestOutcome& outcome = result.outcome;
@@ -242,8 +242,9 @@
     for (std::size_t attempt = 0; attempt < maxProbes && !scope_.cancelled(); ++attempt) {
         http::Request request{"GET", "/inspect", ""};
         worker_api::CommandSender::Target target = commandTarget(machine);
-        const auto result = co_await commandSender_.send(std::move(target), std::move(request),
-                                                         probeTimeout, /*insist=*/true, scope_);
+        const auto result =
+            co_await commandSender_.send(std::move(target), std::move(request), probeTimeout,
+                                         /*relayIfUnanswered=*/true, scope_);
         if (scope_.cancelled()) co_return;
         const http::RequestOutcome& outcome = result.outcome;
         if (outcome.answered && outcome.response.status == 200 &&
@@ -260,8 +261,8 @@
 Task<void> LeaderTerm::probeInboundPartition(MachineIndex machine) {
     http::Request request{"GET", "/inspect", ""};
     worker_api::CommandSender::Target target = commandTarget(machine);
-    const auto result = co_await commandSender_.send(std::move(target), std::move(request),
-                                                     probeTimeout, /*insist=*/true, scope_);
+    const auto result = co_await commandSender_.send(
+        std::move(target), std::move(request), probeTimeout, /*relayIfUnanswered=*/true, scope_);
     const http::RequestOutcome& outcome = result.outcome;
     if (!scope_.cancelled() && outcome.answered && outcome.response.status == 200 &&
         applyReportInResponse(outcome.response.body))
