--- a/src/runtime/loop.cpp
+++ b/src/runtime/loop.cpp
@@ -19,7 +19,7 @@
     };
 };
 
-Detached drive(Task<void> task) {
+Detached runDetached(Task<void> task) {
     try {
         co_await task;
     } catch (const std::exception& e) {
@@ -76,7 +76,7 @@
 EventLoop::~EventLoop() = default;
 
 void EventLoop::spawn(Task<void> task) {
-    drive(std::move(task));
+    runDetached(std::move(task));
 }
 
 void EventLoop::add(int fd, FdHandler& handler) {
--- a/src/runtime/semaphore.cpp
+++ b/src/runtime/semaphore.cpp
@@ -13,8 +13,8 @@
     Waiter waiter(loop_);
     const auto position = waiters_.insert(waiters_.end(), &waiter);
     co_await loop_.wait(waiter.granted, until, scope);
-    // The permit may have been granted in the round in which the wait timed out. It has left the
-    // free ones then and belongs to this coroutine all the same.
+    // The permit may be granted in the same round in which the wait times out. It belongs to this
+    // coroutine then, although the wait reports the timeout.
     if (waiter.hasPermit) co_return Permit(*this);
     waiters_.erase(position);
     co_return Permit();
