--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -109,8 +109,8 @@
 
     // Demand
     void measureDemand(TimePoint now);
-    /// For each team with a limit, which share of the cores that its jobs of each rank want fits
-    /// within the limit; the highest rank comes first.
+    /// For each team with a limit, which share of the cores that its jobs of each priority want
+    /// fits within the limit; the highest priority comes first.
     void measureTeamLimits();
     /// The share of the job's cores that its team's limit lets run, from 0 to 1.
     [[nodiscard]] double shareWithinLimit(const Job& job) const;
@@ -173,7 +173,7 @@
     /// Unresponsive machines that were removed within the last lease: when, and in which zone.
     std::deque<std::pair<TimePoint, std::string>> recentlyRemoved_;
     std::map<std::string, ClassDemand> classes_;
-    std::map<std::string, std::map<Priority, double>> shareWithinLimit_;  // by team and rank
+    std::map<std::string, std::map<Priority, double>> shareWithinLimit_;  // by team and priority
     CapacityTarget target_;
     bool wantsWarmSpot_ = false;  // some class of spot work wants warm capacity
     std::map<MachineIndex, TimePoint> surplusSince_;
--- a/src/autoscaler/demand.cpp
+++ b/src/autoscaler/demand.cpp
@@ -65,16 +65,16 @@
     const auto& teams = cluster_.settings().teams;
     if (std::none_of(teams.begin(), teams.end(), [](const auto& t) { return t.coresMax > 0; }))
         return;
-    std::map<std::string, std::map<Priority, double>> wanted;
+    std::map<std::string, std::map<Priority, double>> wantedCores;
     for (const Job* job : cluster_.openJobs())
-        wanted[job->spec.team][job->effectivePriority] +=
+        wantedCores[job->spec.team][job->effectivePriority] +=
             job->spec.demand.cores * (job->spec.tasks - job->doneCount);
-    for (const auto& t : teams) {
-        if (t.coresMax <= 0) continue;
-        double left = t.coresMax;
-        for (const auto& [rank, cores] : wanted[t.name]) {
-            shareWithinLimit_[t.name][rank] = cores > left ? left / cores : 1;
-            left = std::max(0.0, left - cores);
+    for (const auto& team : teams) {
+        if (team.coresMax <= 0) continue;
+        double coresLeft = team.coresMax;
+        for (const auto& [priority, cores] : wantedCores[team.name]) {
+            shareWithinLimit_[team.name][priority] = cores > coresLeft ? coresLeft / cores : 1;
+            coresLeft = std::max(0.0, coresLeft - cores);
         }
     }
 }
@@ -82,8 +82,8 @@
 double Autoscaler::shareWithinLimit(const Job& job) const {
     const auto team = shareWithinLimit_.find(job.spec.team);
     if (team == shareWithinLimit_.end()) return 1;
-    const auto rank = team->second.find(job.effectivePriority);
-    return rank == team->second.end() ? 1 : rank->second;
+    const auto share = team->second.find(job.effectivePriority);
+    return share == team->second.end() ? 1 : share->second;
 }
 
 void Autoscaler::measureDemand(TimePoint now) {
