--- a/src/scheduler/upgrade_test.cpp
+++ b/src/scheduler/upgrade_test.cpp
@@ -6,8 +6,8 @@
 #include "scheduler/cluster.h"
 #include "testing/world.h"
 
-// The version in production and this one on each other's data. src/jobs/golden/production.json
-// holds what a build of that version wrote (tools/golden/write.cpp).
+// Tests that this version reads the records of the version in production, and the other way round.
+// src/jobs/golden/production.json was written by a build of that version (tools/golden/write.cpp).
 
 namespace basaltchute::scheduler {
 namespace {
@@ -31,24 +31,26 @@
     return out;
 }
 
-/// What the version in production reads of a job's records: its rules, written down once more.
-struct OldJob {
-    std::string description;  // without what it does not know
-    std::uint64_t tasks = 0, per = 0;
-    std::int64_t at = 0;
-    bool cancelled = false, withdrawing = false;
+/// What the version in production reads from a job's records, by a second implementation of its
+/// rules.
+struct ProductionJob {
+    std::string description;  // without the fields that it does not know
+    std::uint64_t tasks = 0, tasksPerRecord = 0;
+    std::int64_t submittedAt = 0;
+    bool cancelled = false, cancelling = false;
     struct Task {
-        bool done = false, guaranteed = false;
+        bool done = false, reserved = false;
         std::uint64_t attempt = 0;
         std::string machine;
         bool operator==(const Task&) const = default;
     };
     std::vector<Task> state;
 };
-/// Nothing if that version would call one of them malformed.
-std::optional<std::map<std::string, OldJob>> readByOldRules(
+/// Reads the jobs as the version in production does. Returns nothing if that version would reject
+/// one of the records as malformed.
+std::optional<std::map<std::string, ProductionJob>> readAsProduction(
     const std::map<std::string, std::string>& records) {
-    std::map<std::string, OldJob> jobs;
+    std::map<std::string, ProductionJob> jobs;
     for (const auto& [key, data] : records) {
         if (!key.starts_with("jobs/")) continue;
         const auto doc = json::parse(data);
@@ -63,16 +65,16 @@
             if (spec == nullptr || !at || !per || *per == 0) return std::nullopt;
             auto parsed = jobs::parseSubmission(json::text(*spec));
             if (!std::holds_alternative<JobSpec>(parsed)) return std::nullopt;
-            OldJob j;
+            ProductionJob j;
             j.tasks = std::get<JobSpec>(parsed).tasks;
             json::Document known;
             known.CopyFrom(*spec, known.GetAllocator());
             known.RemoveMember("waitsOn");
             j.description = json::text(known);
-            j.per = *per;
-            j.at = static_cast<std::int64_t>(*at);
+            j.tasksPerRecord = *per;
+            j.submittedAt = static_cast<std::int64_t>(*at);
             j.cancelled = json::boolean(*doc, "cancelled").value_or(false);
-            j.withdrawing = json::boolean(*doc, "withdrawing").value_or(false);
+            j.cancelling = json::boolean(*doc, "withdrawing").value_or(false);
             j.state.resize(j.tasks);
             jobs[rest] = std::move(j);
         } else {
@@ -80,8 +82,8 @@
         }
         const auto found = jobs.find(rest.substr(0, slash));
         if (found == jobs.end()) return std::nullopt;
-        OldJob& j = found->second;
-        if (record >= (j.tasks + j.per - 1) / j.per) return std::nullopt;
+        ProductionJob& j = found->second;
+        if (record >= (j.tasks + j.tasksPerRecord - 1) / j.tasksPerRecord) return std::nullopt;
         const auto* done = json::array(*doc, "done");
         const auto* bound = json::array(*doc, "bound");
         if (done == nullptr || bound == nullptr) return std::nullopt;
@@ -91,11 +93,11 @@
                 j.state[t].done = true;
         for (const auto& b : bound->GetArray()) {
             if (!b.IsArray() || b.Size() < 2 || b[0].GetUint() >= j.tasks) return std::nullopt;
-            OldJob::Task& t = j.state[b[0].GetUint()];
+            ProductionJob::Task& t = j.state[b[0].GetUint()];
             t.attempt = b[1].GetUint64();
             if (b.Size() < 3) continue;
             t.machine = b[2].GetString();
-            t.guaranteed = b.Size() > 3 && b[3].IsTrue();
+            t.reserved = b.Size() > 3 && b[3].IsTrue();
         }
     }
     return jobs;
@@ -104,27 +106,28 @@
 class UpgradeTest : public ::testing::Test {
   protected:
     FakeClock clock;
-    settings::Settings settings = smaller();
+    settings::Settings settings = settingsWithSmallValues();
     std::unique_ptr<Cluster> cluster;
     std::map<std::string, std::string> records = goldenRecords();
     std::map<std::string, Worker> workers;
     FencingToken token = 7;
 
-    static settings::Settings smaller() {
+    static settings::Settings settingsWithSmallValues() {
         auto s = testing::someSettings();
         s.valueBytes = 2048;
         return s;
     }
-    void takeOver(bool parted) {
+    void takeOver(bool withRecordPages) {
         cluster = std::make_unique<Cluster>(settings, ++token);
         cluster->setCatalogue(testing::someCatalogue());
         for (const auto& [k, data] : records)
             ASSERT_TRUE(cluster->loadRecord(k, data, clock.now(), clock.wall())) << k;
         cluster->finishLoading(clock.now());
-        if (parted) cluster->enableRecordPages();
+        if (withRecordPages) cluster->enableRecordPages();
     }
-    /// What runs by the records is there, and says so.
-    void report() {
+    /// Each machine sends a heartbeat that reports the tasks which the cluster has allocated to it
+    /// as running, and executes the commands in the response.
+    void exchangeHeartbeats() {
         for (MachineIndex i = 0; i < cluster->machines().size(); ++i) {
             const auto& m = cluster->machines()[i];
             Worker& w = workers.try_emplace(m.name, m.name).first->second;
@@ -144,15 +147,16 @@
             w.report.token = token;
         }
     }
-    /// So many of the writes that are due, then the process ends.
-    void write(std::size_t most) {
+    /// Commits the changed records, at most `maxWrites` of them, as if the process ended after
+    /// that.
+    void commitAtMost(std::size_t maxWrites) {
         while (true) {
             const auto dirty = cluster->takeEffects().dirtyRecords;
             if (dirty.empty()) return;
             for (const auto& [key, urgency] : dirty) {
                 const auto e = cluster->encode(key);
                 if (!e) continue;
-                if (most-- == 0) return;
+                if (maxWrites-- == 0) return;
                 EXPECT_TRUE(e->data.size() <= settings.valueBytes) << key << ' ' << e->data.size();
                 records[key] = e->data;
                 cluster->onRecordCommitted(key, e->version);
@@ -165,8 +169,8 @@
                 if (static_cast<double>(random() % 1000) < share * 1000)
                     w.set(t, TaskStatus::exited, ExitCause::done);
     }
-    /// All that the leader holds for durable is read back as it is.
-    void compare(Cluster& before) {
+    /// Expects that the new leader has restored everything that was durable under the previous one.
+    void expectDurableStateRestored(Cluster& before) {
         for (const char* id : {"run-000001", "run-000002", "run-000003", "run-000004", "run-000005",
                                "run-000006", "run-000007"}) {
             const Job& was = *before.find(id);
@@ -182,7 +186,7 @@
                 if (s.durableVersion < s.version) continue;
                 const JobTask &a = was.tasks[t], &b = is.tasks[t];
                 ASSERT_EQ(a.state, b.state) << id << '/' << t;
-                // Of a cancelled job no attempt is ever made again.
+                // A cancelled job never makes another attempt.
                 if (a.state == TaskState::done || was.cancelled) continue;
                 ASSERT_EQ(a.attempt, b.attempt) << id << '/' << t;
                 if (a.state != TaskState::bound) continue;
@@ -193,7 +197,7 @@
     }
 };
 
-TEST_F(UpgradeTest, WhatProductionWroteIsReadAsItWasMeant) {
+TEST_F(UpgradeTest, RecordsAndFramesWrittenByProductionAreReadCorrectly) {
     takeOver(false);
     EXPECT_EQ(cluster->jobCount(), 7U);
     EXPECT_EQ(cluster->find("run-000001")->waitingCount(), 2U);
@@ -220,20 +224,22 @@
         EXPECT_EQ(m.hello->node, "rig-1");
         EXPECT_EQ(m.hello->incarnation, "a-process");
         EXPECT_TRUE(m.hello->supportsTransfers);
-        EXPECT_EQ(m.hello->storedFormat, 1U) << "nothing that it does not know may be written";
+        EXPECT_EQ(m.hello->storedFormat, 1U)
+            << "records of a newer format must not be written while it serves";
     }
 }
 
-TEST_F(UpgradeTest, WhatIsWrittenWhileProductionServesIsReadByItsRules) {
-    // Old blocks stay as large as they are, new jobs have small ones, and no key is new to it.
+TEST_F(UpgradeTest, RecordsWrittenBeforeRecordPagesAreEnabledAreReadableByProduction) {
+    // Existing blocks keep their size, new jobs get small ones, and no kind of key is used that the
+    // version in production does not know.
     settings.valueBytesNow = 16 * 1024;
     takeOver(false);
     std::mt19937 random(5);
-    JobSpec fresh = testing::spec("run-000009", 120);
-    fresh.demand = {0.1, 0, 0.1};
-    cluster->submit(fresh, clock.now(), clock.wall());
+    JobSpec newJob = testing::spec("run-000009", 120);
+    newJob.demand = {0.1, 0, 0.1};
+    cluster->submit(newJob, clock.now(), clock.wall());
     for (int round = 0; round < 12; ++round) {
-        report();
+        exchangeHeartbeats();
         finishSome(random, 0.1);
         if (round == 6) cluster->cancel(*cluster->find("run-000003"), clock.now());
         clock.advance(1s);
@@ -243,14 +249,14 @@
     for (const auto& [key, data] : records) EXPECT_TRUE(key.starts_with("jobs/")) << key;
     for (const char* key : {"jobs/run-000009", "jobs/run-000009/1"})
         EXPECT_LE(records.at(key).size(), 2048U);
-    const auto old = readByOldRules(records);
+    const auto old = readAsProduction(records);
     ASSERT_TRUE(old);
     for (const auto& [id, j] : *old) {
         const Job& job = *cluster->find(id);
         EXPECT_EQ(j.tasks, job.spec.tasks);
-        EXPECT_EQ(j.at, job.submittedWallTime.count());
+        EXPECT_EQ(j.submittedAt, job.submittedWallTime.count());
         EXPECT_EQ(j.cancelled, job.cancelCommitted) << id;
-        EXPECT_EQ(j.withdrawing, job.cancelled && !job.cancelCommitted) << id;
+        EXPECT_EQ(j.cancelling, job.cancelled && !job.cancelCommitted) << id;
         for (std::uint32_t t = 0; t < job.spec.tasks; ++t) {
             const JobTask& task = job.tasks[t];
             ASSERT_EQ(j.state[t].done, task.state == TaskState::done) << id << '/' << t;
@@ -258,75 +264,77 @@
             ASSERT_EQ(j.state[t].attempt, task.attempt) << id << '/' << t;
             const bool bound = task.state == TaskState::bound;
             ASSERT_EQ(j.state[t].machine, bound ? cluster->machines()[task.machine].name : "");
-            ASSERT_EQ(j.state[t].guaranteed, bound && task.reserved);
+            ASSERT_EQ(j.state[t].reserved, bound && task.reserved);
         }
     }
     EXPECT_EQ(old->size(), 8U);
-    // And by production's rules what it wrote itself says the same as before.
-    EXPECT_TRUE(readByOldRules(goldenRecords()));
+    // The records that production itself wrote are valid by these rules, too.
+    EXPECT_TRUE(readAsProduction(goldenRecords()));
 }
 
-TEST_F(UpgradeTest, LargeRecordsGoOnChangingAfterTheLimitHasFallen) {
+TEST_F(UpgradeTest, LargeRecordsCanStillChangeAfterTheSizeLimitIsLowered) {
     takeOver(true);
     std::mt19937 random(7);
     for (int round = 0; round < 10; ++round) {
-        report();
+        exchangeHeartbeats();
         finishSome(random, 0.2);
         clock.advance(1s);
         cluster->place(clock.now());
-        write(SIZE_MAX);
+        commitAtMost(SIZE_MAX);
     }
     cluster->cancel(*cluster->find("run-000002"), clock.now());
     clock.advance(1s);
     cluster->advanceTo(clock.now());
-    write(SIZE_MAX);
+    commitAtMost(SIZE_MAX);
     EXPECT_TRUE(cluster->find("run-000002")->cancelDurable());
-    EXPECT_TRUE(cluster->find("run-000004")->cancelDurable()) << "it was being cancelled";
-    EXPECT_GT(records.at("jobs/run-000002").size(), 16'000U) << "as production left it";
+    EXPECT_TRUE(cluster->find("run-000004")->cancelDurable())
+        << "its cancellation had begun under production";
+    EXPECT_GT(records.at("jobs/run-000002").size(), 16'000U)
+        << "the record is still the one that production wrote";
     EXPECT_LT(records.at("parts/run-000002").size(), 30U);
     for (int round = 0; round < 60 && !cluster->find("run-000003")->doneDurable(); ++round) {
-        report();
+        exchangeHeartbeats();
         finishSome(random, 0.5);
         clock.advance(1s);
         cluster->place(clock.now());
-        write(SIZE_MAX);
+        commitAtMost(SIZE_MAX);
     }
     EXPECT_TRUE(cluster->find("run-000003")->doneDurable());
     const auto before = std::move(cluster);
     takeOver(true);
-    compare(*before);
+    expectDurableStateRestored(*before);
     EXPECT_TRUE(cluster->find("run-000002")->cancelDurable());
     EXPECT_TRUE(cluster->find("run-000003")->doneDurable());
 }
 
 TEST_F(UpgradeTest, ATakeOverAfterAnyWriteFindsAllRecords) {
-    // Every write of a block that goes into parts may be the last one of its leader.
+    // While a block is split into pages, the leader may end after any of the writes.
     for (unsigned seed = 1; seed <= 60; ++seed) {
         records = goldenRecords();
         workers.clear();
         std::mt19937 random(seed);
         takeOver(true);
-        for (int life = 0; life < 6; ++life) {
+        for (int leaderIndex = 0; leaderIndex < 6; ++leaderIndex) {
             for (int round = 0; round < 3; ++round) {
-                report();
+                exchangeHeartbeats();
                 finishSome(random, 0.05);
                 if (random() % 4 == 0)
                     cluster->cancel(*cluster->find(random() % 2 == 0 ? "run-000002" : "run-000003"),
                                     clock.now());
                 clock.advance(1s);
                 cluster->place(clock.now());
-                if (round < 2) write(SIZE_MAX);
+                if (round < 2) commitAtMost(SIZE_MAX);
             }
-            write(random() % 12);
+            commitAtMost(random() % 12);
             const auto before = std::move(cluster);
             takeOver(true);
-            compare(*before);
-            if (HasFatalFailure()) FAIL() << "seed " << seed << ", life " << life;
+            expectDurableStateRestored(*before);
+            if (HasFatalFailure()) FAIL() << "seed " << seed << ", leader " << leaderIndex;
         }
     }
 }
 
-TEST_F(UpgradeTest, AHundredThousandTasksInOldBlocksAreSplitIntoPages) {
+TEST_F(UpgradeTest, OldBlocksOfAHundredThousandTasksAreSplitIntoPages) {
     records.clear();
     auto before = settings;
     before.valueBytes = before.valueBytesNow = 16 * 1024;
@@ -346,23 +354,23 @@
         old.place(clock.now(), 64);
         testing::commitAll(old, records);
     }
-    const std::size_t blocks = records.size();
-    ASSERT_GT(blocks, 5U);
+    const std::size_t blockCount = records.size();
+    ASSERT_GT(blockCount, 5U);
     takeOver(true);
     std::mt19937 random(3);
     for (int round = 0; round < 4; ++round) {
-        report();
+        exchangeHeartbeats();
         finishSome(random, 0.5);
-        write(SIZE_MAX);
+        commitAtMost(SIZE_MAX);
     }
-    EXPECT_GT(records.size(), blocks);
+    EXPECT_GT(records.size(), blockCount);
     const auto was = std::move(cluster);
     takeOver(true);
     EXPECT_EQ(cluster->find("run-000001")->doneCount, was->find("run-000001")->doneCount);
     EXPECT_GT(cluster->find("run-000001")->doneCount, 1000U);
 }
 
-TEST_F(UpgradeTest, ADescriptionThatExceedsAValueIsInSeveralRecordsBeforeTheJobIsAccepted) {
+TEST_F(UpgradeTest, ADescriptionLargerThanOneValueIsStoredInSeveralRecordsBeforeTheJobIsAccepted) {
     records.clear();
     takeOver(true);
     std::vector<JobId> needs;
@@ -373,7 +381,7 @@
         needs.push_back(id);
     }
     testing::commitAll(*cluster, records);
-    records.clear();  // of these nothing more is looked at
+    records.clear();  // the dependencies themselves do not matter from here on
     JobSpec s = testing::spec("run-9", 40);
     s.dependencies = needs;
     s.image = "caf\xC3\xA9 \"quoted\" \n";
@@ -385,8 +393,9 @@
             const auto encoded = cluster->encode(key);
             if (!encoded) continue;
             EXPECT_LE(encoded->data.size(), settings.valueBytes) << key;
-            const bool beside = key.find("/s") != std::string::npos;
-            EXPECT_TRUE(!beside || !job.accepted()) << "the job itself comes after " << key;
+            const bool isDescriptionPart = key.find("/s") != std::string::npos;
+            EXPECT_TRUE(!isDescriptionPart || !job.accepted())
+                << "the job's own record must be committed after " << key;
             records[key] = encoded->data;
             cluster->onRecordCommitted(key, encoded->version);
             ++writes;
@@ -397,11 +406,11 @@
     const Job& read = *cluster->find("run-9");
     EXPECT_EQ(read.spec.dependencies, needs);
     EXPECT_EQ(read.spec.image, s.image);
-    EXPECT_TRUE(read.blocked) << "none of what it needs is on record here, so none is done";
+    EXPECT_TRUE(read.blocked) << "none of its dependencies is on record here, so none is done";
 }
 
-TEST_F(UpgradeTest, AValueThatIsRefusedIsNeverWrittenAsItIsAgain) {
-    // The limit fell below what the settings say.
+TEST_F(UpgradeTest, AValueRefusedAsTooLargeIsNeverWrittenAgainUnchanged) {
+    // The state service's limit is below the one in the settings.
     records.clear();
     takeOver(true);
     Worker w("n-1");
@@ -417,7 +426,8 @@
             const auto encoded = cluster->encode(key);
             if (!encoded) continue;
             if (encoded->data.size() > limit) {
-                EXPECT_TRUE(refused.insert({key, encoded->data}).second) << "twice: " << key;
+                EXPECT_TRUE(refused.insert({key, encoded->data}).second)
+                    << "a refused value was encoded again unchanged: " << key;
                 cluster->onRecordTooLarge(key, encoded->data.size());
                 continue;
             }
