--- a/src/scheduler/fault_interactions_test.cpp
+++ b/src/scheduler/fault_interactions_test.cpp
@@ -2,8 +2,8 @@
 
 #include "scheduler/cluster_fixture.h"
 
-// Interactions of two faults, as far as they are decided from reports and records:
-// docs/meetings.md.
+// Tests of two faults at a time, for the pairs whose outcome depends only on reports and records.
+// See docs/meetings.md.
 
 namespace basaltchute::scheduler {
 namespace {
@@ -15,19 +15,20 @@
         for (const Command& o : commands) out.push_back(kindOf(o));
         return out;
     }
-    /// A copy of a report that was sent before.
-    std::vector<Command> copy(const worker_api::StatusReport& report) {
+    /// Delivers a report that was built earlier and returns the commands in the response.
+    std::vector<Command> deliver(const worker_api::StatusReport& report) {
         return cluster->onHeartbeat(report, clock.now());
     }
-    void pass(Duration span) {
-        for (Duration d{}; d < span; d += 500ms) {
+    /// Advances the clock in steps of 500 ms, and the cluster with it.
+    void advanceBy(Duration span) {
+        for (Duration elapsed{}; elapsed < span; elapsed += 500ms) {
             clock.advance(500ms);
             cluster->advanceTo(clock.now());
         }
     }
 };
 
-TEST_F(FaultInteractionTest, TasksThatEndFarApartAreDoneOnceAcrossChangesOfLeader) {
+TEST_F(FaultInteractionTest, TasksThatEndMinutesApartAreCountedDoneOnceAcrossChangesOfLeader) {
     Worker first("n-1"), second("n-2");
     exchangeHeartbeat(first);
     exchangeHeartbeat(second);
@@ -40,27 +41,28 @@
     }
     ASSERT_EQ(first.report.tasks.size(), 2U);
     ASSERT_EQ(second.report.tasks.size(), 2U);
-    // One result is on record and is forgotten by its worker, another one is reported to a leader
-    // that ends before it has written it.
+    // One result is on record and its worker has forgotten it. Another one is reported to a leader
+    // that ends before committing it.
     first.set(0, TaskStatus::exited, ExitCause::done);
     heartbeat(first);
     commit();
     exchangeHeartbeat(first);
     ASSERT_EQ(first.report.tasks.size(), 1U);
     first.set(0, TaskStatus::exited, ExitCause::done);
-    EXPECT_TRUE(heartbeat(first).empty()) << "not before it is on record";
+    EXPECT_TRUE(heartbeat(first).empty())
+        << "a result must not be forgotten before it is on record";
     takeOver();
     Job& job = *cluster->find("run-1");
     EXPECT_EQ(job.doneCount, 1U);
-    pass(4s);
+    advanceBy(4s);
     EXPECT_TRUE(heartbeat(first).empty());
-    EXPECT_EQ(job.doneCount, 2U) << "it comes again";
+    EXPECT_EQ(job.doneCount, 2U) << "the worker reports the result again";
     commit();
     EXPECT_EQ(kindsOf(heartbeat(first)), std::vector{CommandKind::forget});
     takeOver();
-    // Minutes later the others end, one of them under one more leader.
+    // The other two tasks end minutes later, the last of them under yet another leader.
     for (int minute = 0; minute < 3; ++minute) {
-        pass(5s);
+        advanceBy(5s);
         heartbeat(first);
         EXPECT_TRUE(heartbeat(second).empty());
         place();
@@ -82,37 +84,39 @@
     EXPECT_TRUE(cluster->find("run-1")->doneDurable());
 }
 
-TEST_F(FaultInteractionTest, AnOldReportThatANewLeaderReceivesFirstProvesNothing) {
-    Worker w("n-1"), other("n-2");
-    exchangeHeartbeat(w);
-    const worker_api::StatusReport empty = w.report;  // before anything was there
+TEST_F(FaultInteractionTest, AnOldReportThatANewLeaderReceivesFirstReleasesNoTask) {
+    Worker worker("n-1"), other("n-2");
+    exchangeHeartbeat(worker);
+    // Reported before the task was launched.
+    const worker_api::StatusReport emptyReport = worker.report;
     submit(testing::spec("run-1"));
     place();
     commit();
-    exchangeHeartbeat(w);
-    const worker_api::StatusReport running = w.next();
+    exchangeHeartbeat(worker);
+    const worker_api::StatusReport running = worker.next();
     takeOver();
-    EXPECT_TRUE(copy(empty).empty());
-    Job& known = *cluster->find("run-1");
-    EXPECT_EQ(known.boundCount, 1U) << "it does not mention the task, and is older than its launch";
-    pass(500ms);
+    EXPECT_TRUE(deliver(emptyReport).empty());
+    Job& restored = *cluster->find("run-1");
+    EXPECT_EQ(restored.boundCount, 1U)
+        << "the report lacks the task only because it is older than the launch";
+    advanceBy(500ms);
     place();
-    EXPECT_EQ(known.tasks[0].attempt, 1U);
-    copy(running);
-    EXPECT_EQ(known.runningCount, 1U);
-    copy(empty);
-    EXPECT_EQ(known.runningCount, 1U) << "older than the last";
-    heartbeat(w);
-    EXPECT_EQ(known.runningCount, 1U);
+    EXPECT_EQ(restored.tasks[0].attempt, 1U);
+    deliver(running);
+    EXPECT_EQ(restored.runningCount, 1U);
+    deliver(emptyReport);
+    EXPECT_EQ(restored.runningCount, 1U) << "the report is older than the latest one";
+    heartbeat(worker);
+    EXPECT_EQ(restored.runningCount, 1U);
 }
 
-TEST_F(FaultInteractionTest, ADuplicateFromAnEarlierIncarnationDoesNotBringItsTasksBack) {
-    Worker w("n-1"), other("n-2");
-    submitAndRun(w, testing::spec("run-1"));
-    const worker_api::StatusReport before = w.next();
-    // The incarnation ends, and the task goes on elsewhere.
-    w.newSession();
-    heartbeat(w);
+TEST_F(FaultInteractionTest, ADuplicateReportFromAnEarlierIncarnationDoesNotRestoreItsTasks) {
+    Worker worker("n-1"), other("n-2");
+    submitAndRun(worker, testing::spec("run-1"));
+    const worker_api::StatusReport before = worker.next();
+    // The incarnation ends, and the task is started again on n-2.
+    worker.newSession();
+    heartbeat(worker);
     exchangeHeartbeat(other);
     cluster->setDraining(cluster->indexOf("n-1"), true);
     place();
@@ -121,25 +125,27 @@
     exchangeHeartbeat(other);
     ASSERT_EQ(other.report.tasks.size(), 1U);
     takeOver();
-    copy(before);
+    deliver(before);
     Job& job = *cluster->find("run-1");
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
     EXPECT_EQ(job.tasks[0].attempt, 2U);
     EXPECT_EQ(cluster->machines()[cluster->indexOf("n-1")].allocations.size(), 1U)
-        << "counted until n-1 speaks for itself";
-    heartbeat(w);
+        << "the task is counted on n-1 until the present incarnation reports";
+    heartbeat(worker);
     EXPECT_TRUE(cluster->machines()[cluster->indexOf("n-1")].allocations.empty());
-    EXPECT_TRUE(heartbeat(other).empty()) << "what runs is not touched";
+    EXPECT_TRUE(heartbeat(other).empty()) << "the running attempt gets no command";
     EXPECT_EQ(job.runningCount, 1U);
 }
 
-TEST_F(FaultInteractionTest, AReportFromAnIncarnationWhoseLeaseHasEndedDoesNotOpenItsMachine) {
-    // Held back in a cut, and newer than any that came before it: what it lists has been killed.
-    Worker w("n-1"), other("n-2");
-    Job& job = submitAndRun(w, testing::spec("run-1"));
-    pass(settings.lease + 2s);
+TEST_F(FaultInteractionTest,
+       AReportFromAnIncarnationWhoseLeaseHasEndedDoesNotMakeItsMachineUsable) {
+    // The report was delayed by a network partition and is newer than any received before it. The
+    // task that it lists was killed when its lease ended.
+    Worker worker("n-1"), other("n-2");
+    Job& job = submitAndRun(worker, testing::spec("run-1"));
+    advanceBy(settings.lease + 2s);
     EXPECT_EQ(job.boundCount, 0U);
-    heartbeat(w);
+    heartbeat(worker);
     const worker_api::Machine& m = cluster->machines()[cluster->indexOf("n-1")];
     EXPECT_TRUE(m.allocations.empty());
     EXPECT_FALSE(cluster->isResponsive(m, clock.now()));
@@ -150,67 +156,68 @@
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
 }
 
-TEST_F(FaultInteractionTest, ADuplicateAfterAMachineWasDeletedDoesNotBringItBack) {
-    Worker w("n-1"), other("n-2");
-    Job& job = submitAndRun(w, testing::spec("run-1"));
-    const worker_api::StatusReport last = w.next();
+TEST_F(FaultInteractionTest, ADuplicateReportDoesNotRestoreADeletedMachine) {
+    Worker worker("n-1"), other("n-2");
+    Job& job = submitAndRun(worker, testing::spec("run-1"));
+    const worker_api::StatusReport last = worker.next();
     cluster->onMachineDeleted(cluster->indexOf("n-1"), clock.now());
     exchangeHeartbeat(other);
     place();
     commit();
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
-    EXPECT_TRUE(copy(last).empty());
+    EXPECT_TRUE(deliver(last).empty());
     EXPECT_EQ(cluster->machines()[cluster->indexOf("n-1")].presence, worker_api::Presence::gone);
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
 }
 
 TEST_F(FaultInteractionTest,
        AFormerLeadersDelayedLaunchIsStoppedThoughItsCancellationWasAcknowledged) {
-    Worker w("n-1");
-    exchangeHeartbeat(w);
+    Worker worker("n-1");
+    exchangeHeartbeat(worker);
     submit(testing::spec("run-1"));
     place();
     commit();
-    const auto held = cluster->takeDirectCommands(cluster->indexOf("n-1"), clock.now());
-    ASSERT_EQ(kindsOf(held), std::vector{CommandKind::launch});
-    takeOver();  // before it arrives
+    const auto delayedCommands = cluster->takeDirectCommands(cluster->indexOf("n-1"), clock.now());
+    ASSERT_EQ(kindsOf(delayedCommands), std::vector{CommandKind::launch});
+    takeOver();  // before the launch arrives
     Job& job = *cluster->find("run-1");
     cluster->cancel(job, clock.now());
     commit();
     EXPECT_TRUE(job.cancelDurable());
     cluster->acknowledgeCancellation(job, clock.now());
-    const auto stops = heartbeat(w);
-    EXPECT_EQ(kindsOf(stops), std::vector{CommandKind::stop}) << "it may be there";
+    const auto stops = heartbeat(worker);
+    EXPECT_EQ(kindsOf(stops), std::vector{CommandKind::stop})
+        << "the delayed launch may have arrived";
     EXPECT_FALSE(job.tasksPerZone.empty());
-    w.report.token = cluster->token() - 1;  // that answer was lost
-    w.execute(held);                        // the machine goes on
-    ASSERT_EQ(w.report.tasks.size(), 1U);
-    const auto again = heartbeat(w);
+    worker.report.token = cluster->token() - 1;  // the response was lost
+    worker.execute(delayedCommands);             // the machine resumes and gets the delayed launch
+    ASSERT_EQ(worker.report.tasks.size(), 1U);
+    const auto again = heartbeat(worker);
     ASSERT_EQ(kindsOf(again), std::vector{CommandKind::stop});
-    w.execute(again);
-    heartbeat(w);
-    EXPECT_TRUE(job.tasksPerZone.empty()) << "proven";
+    worker.execute(again);
+    heartbeat(worker);
+    EXPECT_TRUE(job.tasksPerZone.empty()) << "the report proves that nothing of the job is left";
 }
 
 TEST_F(FaultInteractionTest,
-       LongTasksOnMachinesThatTheNewLeaderCannotReachStayUntilTheirIncarnationEnds) {
+       TasksOnAMachineThatTheNewLeaderCannotReachStayUntilItsIncarnationEnds) {
     Worker partitioned("n-1"), other("n-2");
     submitAndRun(partitioned, testing::spec("run-1", 2));
     takeOver();
     Job& job = *cluster->find("run-1");
     exchangeHeartbeat(other);
     const FencingToken formerToken = partitioned.report.token;
-    for (Duration d{}; d < settings.lease; d += 2s) {
-        // Its reports arrive; no answer does.
+    for (Duration elapsed{}; elapsed < settings.lease; elapsed += 2s) {
+        // Reports from n-1 arrive, but no response reaches it.
         cluster->onHeartbeat(partitioned.next(), clock.now());
         partitioned.report.token = formerToken;
-        pass(2s);
+        advanceBy(2s);
         exchangeHeartbeat(other);
         place();
         EXPECT_EQ(job.boundCount, 2U);
-        EXPECT_EQ(job.runningCount, 2U) << "polls say so";
+        EXPECT_EQ(job.runningCount, 2U) << "the reports list them as running";
     }
-    partitioned.newSession();  // its lease has ended, by its own clock
+    partitioned.newSession();  // its lease has ended by its own clock
     cluster->onHeartbeat(partitioned.next(), clock.now());
     EXPECT_EQ(job.boundCount, 0U);
     cluster->setDraining(cluster->indexOf("n-1"), true);
@@ -219,27 +226,27 @@
     EXPECT_EQ(job.tasks[0].attempt, 2U);
 }
 
-TEST_F(FaultInteractionTest, AnInboundPartitionedMachineGetsNoMoreWorkUntilItAnswers) {
+TEST_F(FaultInteractionTest, AnInboundPartitionedMachineGetsNoMoreWorkUntilItRespondsToACommand) {
     Worker partitioned("n-1"), other("n-2");
     exchangeHeartbeat(partitioned);
     Job& job = submit(testing::spec("run-1"));
     place();
     commit();
     EXPECT_EQ(kindsOf(heartbeat(partitioned)), std::vector{CommandKind::launch});
-    pass(2s);
+    advanceBy(2s);
     EXPECT_EQ(kindsOf(heartbeat(partitioned)), std::vector{CommandKind::launch})
-        << "one answer may be lost";
-    pass(2s);
+        << "a single response may be lost";
+    advanceBy(2s);
     EXPECT_TRUE(heartbeat(partitioned).empty());
-    EXPECT_EQ(job.boundCount, 0U) << "no launch for it is under way";
+    EXPECT_EQ(job.boundCount, 0U) << "no launch can still be under way, so the task is released";
     place();
-    EXPECT_EQ(job.boundCount, 0U) << "and no more work goes there";
+    EXPECT_EQ(job.boundCount, 0U) << "an inbound partitioned machine gets no work";
     exchangeHeartbeat(other);
     place();
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
     commit();
     exchangeHeartbeat(other);
-    // Asked, it answers: it is used again at once.
+    // It responds to a direct request, so it is used again at once.
     submit(testing::spec("run-2", 2));
     cluster->onStatusReport(partitioned.next(), Cluster::ReportSource::commandResponse,
                             clock.now());
@@ -248,12 +255,13 @@
     EXPECT_GT(cluster->machines()[cluster->indexOf("n-1")].allocations.size(), 0U);
 }
 
-TEST_F(FaultInteractionTest, AMachineWhoseLeaseExpiresThoughItIsAnsweredIsInboundPartitioned) {
+TEST_F(FaultInteractionTest,
+       AMachineWhoseLeaseExpiresAlthoughItsReportsWereAnsweredIsInboundPartitioned) {
     Worker partitioned("n-1"), other("n-2");
     Job& job = submitAndRun(partitioned, testing::spec("run-1"));
-    for (Duration d{}; d < settings.lease; d += 2s) {
+    for (Duration elapsed{}; elapsed < settings.lease; elapsed += 2s) {
         cluster->onHeartbeat(partitioned.next(), clock.now());
-        pass(2s);
+        advanceBy(2s);
     }
     partitioned.newSession();
     cluster->onHeartbeat(partitioned.next(), clock.now());
@@ -262,16 +270,16 @@
     exchangeHeartbeat(other);
     place();
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
-    pass(settings.lease + 1s);
+    advanceBy(settings.lease + 1s);
     submit(testing::spec("run-2", 4));
     exchangeHeartbeat(partitioned);
     place();
     EXPECT_GT(cluster->machines()[cluster->indexOf("n-1")].allocations.size(), 0U)
-        << "tried again after a lease";
+        << "the machine is tried again after the length of a lease";
 }
 
 TEST_F(FaultInteractionTest,
-       LongTasksOnMachinesThatNeverReportedToANewLeaderWaitForTheLongestDelegation) {
+       TasksOnAMachineThatNeverReportedToTheNewLeaderStayForTheLongestDelegation) {
     const lease_delegation::DelegationLimits terms =
         lease_delegation::DelegationLimits::from(settings);
     Worker unresponsive("n-1"), other("n-2");
@@ -281,182 +289,192 @@
                                           {{"rig-1", "a"}}, clock.now());
     cluster->setDelegator(delegator);
     Job& job = *cluster->find("run-1");
-    const auto place2 = [&](Duration span) {
-        pass(span);
+    const auto advanceAndPlace = [&](Duration span) {
+        advanceBy(span);
         exchangeHeartbeat(other);
         place();
     };
-    place2(settings.lease + 2s);
+    advanceAndPlace(settings.lease + 2s);
     EXPECT_EQ(job.tasks[0].attempt, 1U)
-        << "somebody may have answered it in a former leader's name";
-    place2(terms.maxDuration);
+        << "a delegate of a former leader may have renewed the lease";
+    advanceAndPlace(terms.maxDuration);
     EXPECT_EQ(job.tasks[0].attempt, 2U);
 }
 
-TEST_F(FaultInteractionTest, AnOutboundPartitionedMachineIsUsedLastAndWritesItsCheckpoints) {
+TEST_F(FaultInteractionTest, AnOutboundPartitionedMachineIsUsedLastAndItsTasksWriteCheckpoints) {
     Worker partitioned("n-1"), other("n-2");
-    JobSpec saves = testing::spec("run-1");
-    saves.checkpointIntervalS = 10;
-    saves.checkpointDurationS = 1;
-    Job& job = submitAndRun(partitioned, saves);
+    JobSpec checkpointingSpec = testing::spec("run-1");
+    checkpointingSpec.checkpointIntervalS = 10;
+    checkpointingSpec.checkpointDurationS = 1;
+    Job& job = submitAndRun(partitioned, checkpointingSpec);
     Job& cancelled = submit(testing::spec("run-2"));
     place();
     commit();
     exchangeHeartbeat(partitioned);
     exchangeHeartbeat(partitioned);
     ASSERT_EQ(cancelled.runningCount, 1U);
-    const MachineIndex at = cluster->indexOf("n-1");
-    const auto inspect = [&] {
+    const MachineIndex partitionedIndex = cluster->indexOf("n-1");
+    const auto reportInCommandResponse = [&] {
         cluster->onStatusReport(partitioned.next(), Cluster::ReportSource::commandResponse,
                                 clock.now());
     };
-    // A command to stop is lost. No more reports come from now on.
+    // A stop command is lost, and from now on no report arrives.
     cluster->cancel(cancelled, clock.now());
     commit();
-    ASSERT_EQ(kindsOf(cluster->takeDirectCommands(at, clock.now())),
+    ASSERT_EQ(kindsOf(cluster->takeDirectCommands(partitionedIndex, clock.now())),
               std::vector{CommandKind::stop});
-    cluster->onDirectCommandEnded(at, true);
-    pass(settings.heartbeatInterval * 5 / 4 + 2s);
-    inspect();
-    EXPECT_TRUE(cluster->machines()[at].outboundPartitioned);
-    EXPECT_TRUE(cluster->takeEffects().machinesToCommand.contains(at))
-        << "it receives commands: the stop is sent once more";
-    const auto stops = cluster->takeDirectCommands(at, clock.now());
+    cluster->onDirectCommandEnded(partitionedIndex, true);
+    advanceBy(settings.heartbeatInterval * 5 / 4 + 2s);
+    reportInCommandResponse();
+    EXPECT_TRUE(cluster->machines()[partitionedIndex].outboundPartitioned);
+    EXPECT_TRUE(cluster->takeEffects().machinesToCommand.contains(partitionedIndex))
+        << "the machine receives commands, so the stop is sent again";
+    const auto stops = cluster->takeDirectCommands(partitionedIndex, clock.now());
     ASSERT_EQ(kindsOf(stops), std::vector{CommandKind::stop});
     partitioned.execute(stops);
-    cluster->onDirectCommandEnded(at, false);
-    inspect();
-    EXPECT_TRUE(cancelled.tasksPerZone.empty()) << "proven long before its lease ends";
-    // There is capacity, and its image, but what is placed there is lost with the lease: any other
-    // is taken.
+    cluster->onDirectCommandEnded(partitionedIndex, false);
+    reportInCommandResponse();
+    EXPECT_TRUE(cancelled.tasksPerZone.empty())
+        << "the response proves that the task is gone long before the lease ends";
+    // n-1 has capacity and the image, but a task placed there is lost when the lease ends, so any
+    // other machine is preferred.
     exchangeHeartbeat(other);
-    Job& elsewhere = submit(testing::spec("run-3", 2));
+    Job& otherJob = submit(testing::spec("run-3", 2));
     place();
-    EXPECT_EQ(elsewhere.boundCount, 2U);
-    for (const auto& t : elsewhere.tasks) EXPECT_EQ(cluster->machines()[t.machine].name, "n-2");
-    Job& waits = submit(testing::spec("run-4"));
-    JobSpec lasting = testing::spec("run-5");
-    lasting.shape = Shape::service;
-    Job& replica = submit(lasting);
+    EXPECT_EQ(otherJob.boundCount, 2U);
+    for (const auto& t : otherJob.tasks) EXPECT_EQ(cluster->machines()[t.machine].name, "n-2");
+    Job& waitingJob = submit(testing::spec("run-4"));
+    JobSpec serviceSpec = testing::spec("run-5");
+    serviceSpec.shape = Shape::service;
+    Job& replica = submit(serviceSpec);
     place();
-    EXPECT_EQ(waits.boundCount, 0U) << "it would be lost";
-    ASSERT_EQ(replica.boundCount, 1U) << "better than none";
+    EXPECT_EQ(waitingJob.boundCount, 0U) << "a batch task there would be lost with the lease";
+    ASSERT_EQ(replica.boundCount, 1U) << "a replica there is better than none";
     EXPECT_EQ(cluster->machines()[replica.tasks[0].machine].name, "n-1");
     EXPECT_EQ(cluster->findInconsistency(), "");
-    // What saves is stopped as late as that allows, before the lease ends.
-    for (Duration d{}; d < settings.lease && !job.tasks[0].stopping; d += 1s) {
-        pass(1s);
-        inspect();
+    // A task that writes checkpoints is stopped as late as its checkpoint allows, but before the
+    // lease ends.
+    for (Duration elapsed{}; elapsed < settings.lease && !job.tasks[0].stopping; elapsed += 1s) {
+        advanceBy(1s);
+        reportInCommandResponse();
     }
     EXPECT_TRUE(job.tasks[0].stopping);
-    EXPECT_GT(cluster->machines()[at].lastAnsweredAt + settings.lease, clock.now() + 2s);
-    // It reports again.
+    EXPECT_GT(cluster->machines()[partitionedIndex].lastAnsweredAt + settings.lease,
+              clock.now() + 2s);
+    // Its reports arrive again.
     heartbeat(partitioned);
-    EXPECT_FALSE(cluster->machines()[at].outboundPartitioned);
+    EXPECT_FALSE(cluster->machines()[partitionedIndex].outboundPartitioned);
     EXPECT_EQ(cluster->findInconsistency(), "");
 }
 
-TEST_F(FaultInteractionTest, ANewLeaderCheckpointsAtOnceWhatAnOutboundPartitionedMachineRuns) {
-    // When its last report was answered only the former leader knew: its lease may end at any
-    // moment.
+TEST_F(FaultInteractionTest,
+       ANewLeaderStopsTasksOnAnOutboundPartitionedMachineAtOnceSoThatTheyWriteCheckpoints) {
+    // Only the former leader knew when it last answered a report of n-1, so the lease of n-1 may
+    // end at any moment.
     Worker partitioned("n-1"), other("n-2");
-    JobSpec saves = testing::spec("run-1");
-    saves.checkpointIntervalS = 10;
-    saves.checkpointDurationS = 1;
-    submitAndRun(partitioned, saves);
+    JobSpec checkpointingSpec = testing::spec("run-1");
+    checkpointingSpec.checkpointIntervalS = 10;
+    checkpointingSpec.checkpointDurationS = 1;
+    submitAndRun(partitioned, checkpointingSpec);
     takeOver();
     exchangeHeartbeat(other);
-    pass(settings.heartbeatInterval * 5 / 4 + 2s);
+    advanceBy(settings.heartbeatInterval * 5 / 4 + 2s);
     cluster->onStatusReport(partitioned.next(), Cluster::ReportSource::commandResponse,
                             clock.now());
-    pass(500ms);
+    advanceBy(500ms);
     EXPECT_TRUE(cluster->machines()[cluster->indexOf("n-1")].outboundPartitioned)
-        << "it has not reported since";
+        << "no report has arrived since the take-over";
     EXPECT_TRUE(cluster->find("run-1")->tasks[0].stopping);
     const auto stops = cluster->takeDirectCommands(cluster->indexOf("n-1"), clock.now());
     EXPECT_EQ(kindsOf(stops), std::vector{CommandKind::stop});
 }
 
-TEST_F(FaultInteractionTest, DuplicatesThatArriveForMinutesKeepNobodyWaitingForADeadMachine) {
+TEST_F(FaultInteractionTest, RepeatedDuplicateReportsDoNotKeepADeadMachinesTasksAllocated) {
     Worker dead("n-1"), other("n-2");
     Job& job = submitAndRun(dead, testing::spec("run-1"));
     const worker_api::StatusReport last = dead.report;
     TimePoint released{};
-    for (Duration d{}; d < settings.lease * 2 && released == TimePoint{}; d += 1s) {
-        copy(last);
-        pass(1s);
+    for (Duration elapsed{}; elapsed < settings.lease * 2 && released == TimePoint{};
+         elapsed += 1s) {
+        deliver(last);
+        advanceBy(1s);
         if (job.boundCount == 0) released = clock.now();
     }
-    EXPECT_NE(released, TimePoint{}) << "a lease after its last news, however many copies came";
+    EXPECT_NE(released, TimePoint{})
+        << "the task is released a lease after the last new report, whatever duplicates arrive";
     exchangeHeartbeat(other);
     place();
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
 }
 
 TEST_F(FaultInteractionTest, AHeartbeatOvertakenByADirectResponseStillRenewsItsLease) {
-    // The worker waits for the answer to a report while it is asked directly: what it said last is
-    // newer than that report, whose answer renews its lease all the same.
-    Worker w("n-1");
-    Job& job = submitAndRun(w, testing::spec("run-1"));
-    pass(10s);
-    const worker_api::StatusReport sent = w.next();
-    cluster->onStatusReport(w.next(), Cluster::ReportSource::commandResponse, clock.now());
-    pass(1s);
-    copy(sent);
-    pass(settings.lease - 2s);
-    EXPECT_EQ(job.boundCount, 1U) << "its lease counts from when that report was sent";
-    pass(4s);
+    // While the worker waits for the response to a heartbeat, it responds to a direct command. That
+    // report is newer than the heartbeat, but the response to the heartbeat still renews the lease.
+    Worker worker("n-1");
+    Job& job = submitAndRun(worker, testing::spec("run-1"));
+    advanceBy(10s);
+    const worker_api::StatusReport sent = worker.next();
+    cluster->onStatusReport(worker.next(), Cluster::ReportSource::commandResponse, clock.now());
+    advanceBy(1s);
+    deliver(sent);
+    advanceBy(settings.lease - 2s);
+    EXPECT_EQ(job.boundCount, 1U) << "the lease counts from when the heartbeat was sent";
+    advanceBy(4s);
     EXPECT_EQ(job.boundCount, 0U);
 }
 
-TEST_F(FaultInteractionTest, TasksNamedInAnOldReportAreCountedButBreakNoLimitAndEndWithTheirLease) {
-    // A report of before the task was stopped, saved and put back, as a new leader's first word.
-    // Its machine is long gone.
+TEST_F(FaultInteractionTest,
+       TasksListedInAnOldReportAreCountedWithoutExceedingLimitsUntilTheirLeaseEnds) {
+    // The first report that a new leader receives dates from before the task was stopped,
+    // checkpointed and returned to the queue. Its machine has long been deleted.
     settings.teams[0].coresMax = 4;
     cluster = makeCluster(5);
     JobSpec spec = testing::spec("run-1");
     spec.demand.cores = 4;
-    Worker gone("n-1"), other("n-2");
-    Job& job = submitAndRun(gone, spec);
-    const worker_api::StatusReport old = gone.next();
+    Worker deletedMachine("n-1"), other("n-2");
+    Job& job = submitAndRun(deletedMachine, spec);
+    const worker_api::StatusReport oldReport = deletedMachine.next();
     cluster->onMachineDeleted(cluster->indexOf("n-1"), clock.now());
     commit();
     EXPECT_EQ(job.boundCount, 0U);
     takeOver();
-    copy(old);
+    deliver(oldReport);
     exchangeHeartbeat(other);
     place();
-    Job& now = *cluster->find("run-1");
+    Job& restoredJob = *cluster->find("run-1");
     commit();
-    EXPECT_NE(cluster->machines()[now.tasks[0].machine].name, "n-2") << "it may be there";
+    EXPECT_NE(cluster->machines()[restoredJob.tasks[0].machine].name, "n-2")
+        << "the task may still run on n-1";
     EXPECT_EQ(cluster->findInconsistency(), "");
-    for (Duration d{}; d < settings.lease + 2s; d += 1s) {
-        copy(old);
+    for (Duration elapsed{}; elapsed < settings.lease + 2s; elapsed += 1s) {
+        deliver(oldReport);
         exchangeHeartbeat(other);
-        pass(1s);
+        advanceBy(1s);
         place();
     }
-    EXPECT_EQ(cluster->machines()[now.tasks[0].machine].name, "n-2");
-    EXPECT_EQ(now.tasks[0].attempt, 2U) << "not the one that the old report names";
+    EXPECT_EQ(cluster->machines()[restoredJob.tasks[0].machine].name, "n-2");
+    EXPECT_EQ(restoredJob.tasks[0].attempt, 2U)
+        << "the attempt in the old report is not used again";
 }
 
-TEST_F(FaultInteractionTest, AMachineInNoListIsInAnyZoneUntilItReports) {
-    // Rented, up within two seconds and given work by a leader that ends.
+TEST_F(FaultInteractionTest, AMachineNotYetListedMayBeInAnyZoneUntilItReports) {
+    // The machine was rented, was up within two seconds and got work from a leader that then ended.
     JobSpec spec = testing::spec("run-1", 2);
     spec.spread = true;
-    Worker fresh("n-1"), a("n-2"), b("n-3", "b");
-    exchangeHeartbeat(fresh);
+    Worker newMachine("n-1"), inZoneA("n-2"), inZoneB("n-3", "b");
+    exchangeHeartbeat(newMachine);
     submit(spec);
     place();
     commit();
-    exchangeHeartbeat(fresh);
+    exchangeHeartbeat(newMachine);
     takeOver();
     Job& job = *cluster->find("run-1");
-    exchangeHeartbeat(a);
-    exchangeHeartbeat(b);
+    exchangeHeartbeat(inZoneA);
+    exchangeHeartbeat(inZoneB);
     place();
-    EXPECT_EQ(job.boundCount, 1U) << "one is in a or in b: neither may take another one";
-    exchangeHeartbeat(fresh);
+    EXPECT_EQ(job.boundCount, 1U)
+        << "the bound task is in zone a or in zone b, so neither may take another";
+    exchangeHeartbeat(newMachine);
     place();
     ASSERT_EQ(job.boundCount, 2U);
     EXPECT_EQ(job.tasksPerZone, (std::map<std::string, std::uint32_t>{{"a", 1}, {"b", 1}}));
