--- a/src/scheduler/cluster_test.cpp
+++ b/src/scheduler/cluster_test.cpp
@@ -4,35 +4,38 @@
 
 #include "scheduler/cluster_fixture.h"
 
+// Tests of the cluster's main rules: bindings and results on record, leases and incarnations,
+// cancellation, take-over, placement, preemption and quarantine.
+
 namespace basaltchute::scheduler {
 namespace {
 
-TEST_F(ClusterTest, AnIncarnationLivesForALeaseThoughItIsKnownByAResponseOnly) {
-    // Found in the lab: the worker's node stood still, its lease ran out, and the leader learnt of
-    // its new incarnation by a probe. Work launched there was started elsewhere too, half a second
-    // later, when the lease of the former incarnation had surely ended. Since then nothing is
-    // launched where reports are overdue; one that begins before they are is known by a response
-    // still.
-    Worker w("n-1"), other("n-2");
-    exchangeHeartbeat(w);
+TEST_F(ClusterTest, TasksOnAnIncarnationKnownOnlyFromACommandResponseStayForAWholeLease) {
+    // A worker's node was paused, its lease expired, and the leader learnt of the new incarnation
+    // from the response to a probe. It launched a task there and half a second later, when the
+    // lease of the former incarnation had surely ended, started the task elsewhere as well. Nothing
+    // is launched any more on a machine whose reports are overdue. A new incarnation that begins
+    // before they are overdue is still known from a response only.
+    Worker worker("n-1"), other("n-2");
+    exchangeHeartbeat(worker);
     clock.advance(settings.heartbeatInterval);
-    w.newSession();
-    cluster->onStatusReport(w.next(), Cluster::ReportSource::commandResponse, clock.now());
+    worker.newSession();
+    cluster->onStatusReport(worker.next(), Cluster::ReportSource::commandResponse, clock.now());
     Job& job = submit(testing::spec("run-1", 1));
     place();
     commit();
-    w.execute(cluster->takeDirectCommands(cluster->indexOf("n-1"), clock.now()));
-    ASSERT_EQ(w.report.tasks.size(), 1U);
+    worker.execute(cluster->takeDirectCommands(cluster->indexOf("n-1"), clock.now()));
+    ASSERT_EQ(worker.report.tasks.size(), 1U);
     exchangeHeartbeat(other);
     // The former incarnation's lease has ended by any clock.
     clock.advance(settings.lease - settings.heartbeatInterval + 1500ms);
     cluster->advanceTo(clock.now());
-    EXPECT_EQ(job.boundCount, 1U) << "it lives on, and nothing has arrived since";
+    EXPECT_EQ(job.boundCount, 1U) << "the new incarnation has its own lease, which has not ended";
     EXPECT_EQ(job.tasks[0].machine, cluster->indexOf("n-1"));
-    // Its reports are overdue by now: it is probed, answers with one more incarnation, and gets
-    // nothing.
-    w.newSession();
-    cluster->onStatusReport(w.next(), Cluster::ReportSource::commandResponse, clock.now());
+    // Its reports are overdue by now. It responds to a probe with yet another incarnation and gets
+    // no task.
+    worker.newSession();
+    cluster->onStatusReport(worker.next(), Cluster::ReportSource::commandResponse, clock.now());
     exchangeHeartbeat(other);
     place();
     EXPECT_EQ(job.tasks[0].machine, cluster->indexOf("n-2"));
@@ -42,47 +45,47 @@
 }
 
 TEST_F(ClusterTest, LaunchesOnlyBindingsThatAreOnRecord) {
-    Worker w("n-1");
-    exchangeHeartbeat(w);
+    Worker worker("n-1");
+    exchangeHeartbeat(worker);
     submit(testing::spec("run-1"));
     place();
-    EXPECT_TRUE(heartbeat(w).empty()) << "the binding is not written yet";
+    EXPECT_TRUE(heartbeat(worker).empty()) << "the binding is not written yet";
     commit();
-    const auto commands = heartbeat(w);
+    const auto commands = heartbeat(worker);
     ASSERT_EQ(commands.size(), 1U);
     EXPECT_EQ(kindOf(commands[0]), CommandKind::launch);
     EXPECT_EQ(attemptOf(commands[0]).attempt, 1U);
 }
 
-TEST_F(ClusterTest, AcceptanceAndBindingsAreOneWrite) {
-    Worker w("n-1");
-    exchangeHeartbeat(w);
+TEST_F(ClusterTest, AcceptanceAndBindingsAreCommittedInOneWrite) {
+    Worker worker("n-1");
+    exchangeHeartbeat(worker);
     cluster->submit(testing::spec("run-1"), clock.now(), clock.wall());
     place();
-    EXPECT_TRUE(heartbeat(w).empty()) << "neither is on record yet";
+    EXPECT_TRUE(heartbeat(worker).empty()) << "neither is on record yet";
     const auto dirty = cluster->takeEffects().dirtyRecords;
     for (const auto& d : dirty) EXPECT_EQ(d.first, dirty[0].first);
     const auto encoded = cluster->encode(dirty[0].first);
     ASSERT_TRUE(encoded);
     cluster->onRecordCommitted(dirty[0].first, encoded->version);
-    EXPECT_EQ(heartbeat(w).size(), 1U);
+    EXPECT_EQ(heartbeat(worker).size(), 1U);
 }
 
 TEST_F(ClusterTest, RepeatsALaunchThatTheWorkerDroppedWithTheSameAttempt) {
-    Worker w("n-1");
-    exchangeHeartbeat(w);
+    Worker worker("n-1");
+    exchangeHeartbeat(worker);
     submit(testing::spec("run-1"));
     place();
     commit();
-    heartbeat(w);  // the answer is lost
-    const auto again = heartbeat(w);
+    heartbeat(worker);  // the response is lost
+    const auto again = heartbeat(worker);
     ASSERT_EQ(again.size(), 1U);
     EXPECT_EQ(attemptOf(again[0]).attempt, 1U);
 }
 
 TEST_F(ClusterTest, DoesNotMoveATaskWhileItMayStillRun) {
-    Worker w("n-1"), other("n-2");
-    Job& job = submitAndRun(w, testing::spec("run-1"));
+    Worker worker("n-1"), other("n-2");
+    Job& job = submitAndRun(worker, testing::spec("run-1"));
     const TimePoint last = clock.now();
     while (clock.now() - last < settings.lease) {
         clock.advance(1s);
@@ -103,33 +106,34 @@
 }
 
 TEST_F(ClusterTest, ANewIncarnationProvesThatNothingRuns) {
-    Worker w("n-1");
-    Job& job = submitAndRun(w, testing::spec("run-1"));
-    w.newSession();
-    heartbeat(w);
+    Worker worker("n-1");
+    Job& job = submitAndRun(worker, testing::spec("run-1"));
+    worker.newSession();
+    heartbeat(worker);
     EXPECT_EQ(job.tasks[0].state, TaskState::waiting);
     EXPECT_EQ(job.runningCount, 0U);
 }
 
 TEST_F(ClusterTest, ADelayedReportFromAnEndedIncarnationChangesNothing) {
-    Worker w("n-1"), other("n-2");
-    Job& job = submitAndRun(w, testing::spec("run-1"));
+    Worker worker("n-1"), other("n-2");
+    Job& job = submitAndRun(worker, testing::spec("run-1"));
     clock.advance(20s);
     exchangeHeartbeat(other);
     cluster->advanceTo(clock.now());
     place();
     commit();
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
-    EXPECT_TRUE(heartbeat(w).empty());  // sent before the cut, delivered after the lease
+    EXPECT_TRUE(heartbeat(worker).empty());  // sent before the partition, delivered after the lease
     EXPECT_EQ(cluster->machines()[job.tasks[0].machine].name, "n-2");
 }
 
-TEST_F(ClusterTest, AnEarlierAttemptsResultDoesNotHideWhereTheNextOneMayBe) {
-    // A report that was held back brings the result of an attempt that was given up, while the next
-    // one is on a machine. Called done, its record no longer said where: a successor counted it
-    // nowhere, and the cancellation was acknowledged as if nothing of it were left.
-    Worker w("n-1"), other("n-2");
-    Job& job = submitAndRun(w, testing::spec("run-1"));
+TEST_F(ClusterTest, AnEarlierAttemptsResultDoesNotHideWhereTheNextAttemptMayRun) {
+    // A delayed report brings the result of an attempt that was given up, while the next attempt is
+    // on a machine. When the task was then marked as done, its record no longer named that machine:
+    // a new leader counted the task nowhere and acknowledged a cancellation as if nothing of it
+    // were left.
+    Worker worker("n-1"), other("n-2");
+    Job& job = submitAndRun(worker, testing::spec("run-1"));
     clock.advance(20s);
     exchangeHeartbeat(other);
     cluster->advanceTo(clock.now());
@@ -138,20 +142,20 @@
     exchangeHeartbeat(other);
     exchangeHeartbeat(other);
     ASSERT_EQ(other.report.tasks.size(), 1U);
-    w.set(0, TaskStatus::exited, ExitCause::done);
-    heartbeat(w);
+    worker.set(0, TaskStatus::exited, ExitCause::done);
+    heartbeat(worker);
     commit();
     EXPECT_EQ(job.doneCount, 0U);
     takeOver();
-    Job& known = *cluster->find("run-1");
-    EXPECT_EQ(known.boundCount, 1U);
-    EXPECT_FALSE(known.tasksPerZone.empty()) << "it may be on n-2";
+    Job& restored = *cluster->find("run-1");
+    EXPECT_EQ(restored.boundCount, 1U);
+    EXPECT_FALSE(restored.tasksPerZone.empty()) << "the next attempt may run on n-2";
     other.set(0, TaskStatus::exited, ExitCause::done);
     heartbeat(other);
-    EXPECT_EQ(known.doneCount, 1U);
+    EXPECT_EQ(restored.doneCount, 1U);
 }
 
-TEST_F(ClusterTest, AJobWhoseRecordCannotBeReadIsKnownAndStartsNothing) {
+TEST_F(ClusterTest, AJobWithAnUnreadableRecordIsKnownAsSuchAndStartsNothing) {
     submit(testing::spec("run-1"));
     submit(testing::spec("run-2"));
     cluster = makeCluster(6);
@@ -165,75 +169,78 @@
     EXPECT_TRUE(cluster->isUnreadable("run-1"));
     EXPECT_FALSE(cluster->isUnreadable("run-2"));
     EXPECT_FALSE(cluster->isUnreadable("run-3"));
-    Worker w("n-1");
-    exchangeHeartbeat(w);
+    Worker worker("n-1");
+    exchangeHeartbeat(worker);
     place();
     EXPECT_EQ(cluster->find("run-1"), nullptr);
     EXPECT_EQ(cluster->find("run-2")->boundCount, 1U);
 }
 
 TEST_F(ClusterTest, ForgetsAResultOnlyOnceItIsOnRecord) {
-    Worker w("n-1");
-    Job& job = submitAndRun(w, testing::spec("run-1"));
-    w.set(0, TaskStatus::exited, ExitCause::done);
-    EXPECT_TRUE(heartbeat(w).empty());
+    Worker worker("n-1");
+    Job& job = submitAndRun(worker, testing::spec("run-1"));
+    worker.set(0, TaskStatus::exited, ExitCause::done);
+    EXPECT_TRUE(heartbeat(worker).empty());
     EXPECT_TRUE(job.allDone());
-    EXPECT_FALSE(job.doneDurable()) << "no user may see it yet";
+    EXPECT_FALSE(job.doneDurable()) << "no user may see the result before it is on record";
     commit();
     EXPECT_TRUE(job.doneDurable());
-    const auto commands = heartbeat(w);
+    const auto commands = heartbeat(worker);
     ASSERT_EQ(commands.size(), 1U);
     EXPECT_EQ(kindOf(commands[0]), CommandKind::forget);
 }
 
 TEST_F(ClusterTest, AnUnansweredDirectLaunchStaysAllocatedAndIsNeverForgotten) {
-    Worker w("n-1");
-    exchangeHeartbeat(w);
+    Worker worker("n-1");
+    exchangeHeartbeat(worker);
     Job& job = submit(testing::spec("run-1"));
     place();
     commit();
-    const auto m = *cluster->machines().find("n-1");
-    ASSERT_EQ(cluster->takeDirectCommands(m, clock.now()).size(), 1U);
-    cluster->onDirectCommandEnded(m, true);  // sent, no answer: it may arrive minutes later
+    const auto machineIndex = *cluster->machines().find("n-1");
+    ASSERT_EQ(cluster->takeDirectCommands(machineIndex, clock.now()).size(), 1U);
+    // The launch was sent but got no response: it may arrive minutes later.
+    cluster->onDirectCommandEnded(machineIndex, true);
     cluster->cancel(job, clock.now());
     commit();
-    // Made known and ended in one go, so that the late launch is a repetition.
-    auto commands = heartbeat(w);
+    // The worker gets the launch and the stop together, so that a late launch is only a duplicate.
+    auto commands = heartbeat(worker);
     ASSERT_EQ(commands.size(), 2U);
     EXPECT_EQ(kindOf(commands[0]), CommandKind::launch);
     EXPECT_EQ(kindOf(commands[1]), CommandKind::stop);
-    EXPECT_EQ(cluster->machines()[m].allocations.size(), 1U);
-    w.execute(commands);
+    EXPECT_EQ(cluster->machines()[machineIndex].allocations.size(), 1U);
+    worker.execute(commands);
     for (int i = 0; i < 3; ++i)
-        EXPECT_TRUE(heartbeat(w).empty()) << "forgotten, it could start again";
-    EXPECT_TRUE(cluster->machines()[m].allocations.empty());
+        EXPECT_TRUE(heartbeat(worker).empty())
+            << "if the worker forgot the task, the late launch could start it again";
+    EXPECT_TRUE(cluster->machines()[machineIndex].allocations.empty());
 }
 
 TEST_F(ClusterTest, ADirectReportDoesNotDisproveALaunchInAHeartbeatResponse) {
-    Worker w("n-1");
-    exchangeHeartbeat(w);
+    Worker worker("n-1");
+    exchangeHeartbeat(worker);
     Job& job = submit(testing::spec("run-1"));
     place();
     commit();
-    heartbeat(w);  // the launch is on its way in this answer
+    heartbeat(worker);  // this response carries the launch
     cluster->cancel(job, clock.now());
     commit();
-    const auto m = *cluster->machines().find("n-1");
-    cluster->onStatusReport(w.next(), Cluster::ReportSource::commandResponse, clock.now());
-    EXPECT_EQ(cluster->machines()[m].allocations.size(), 1U);
-    heartbeat(w);  // a beat is sent only after the earlier answer was executed or dropped
-    EXPECT_TRUE(cluster->machines()[m].allocations.empty());
+    const auto machineIndex = *cluster->machines().find("n-1");
+    cluster->onStatusReport(worker.next(), Cluster::ReportSource::commandResponse, clock.now());
+    EXPECT_EQ(cluster->machines()[machineIndex].allocations.size(), 1U);
+    heartbeat(worker);  // sent only after the earlier response was executed or lost
+    EXPECT_TRUE(cluster->machines()[machineIndex].allocations.empty());
 }
 
-TEST_F(ClusterTest, ACancellationIsCommittedOnceWhatMayStillRunEndsInTime) {
-    // With a zone lent for longer than users are promised, a task there could outlive its answer.
+TEST_F(ClusterTest, ACancellationIsCommittedOnceRemainingTasksAreSureToEndInTime) {
+    // In a zone delegated for longer than the time promised to users, a task could still run after
+    // its cancellation was acknowledged.
     const lease_delegation::DelegationLimits terms =
         lease_delegation::DelegationLimits::from(settings);
     lease_delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}},
                                           clock.now());
     cluster->setDelegator(delegator);
-    Worker w("n-1");
-    Job& job = submitAndRun(w, testing::spec("run-1"));
+    Worker worker("n-1");
+    Job& job = submitAndRun(worker, testing::spec("run-1"));
     cluster->cancel(job, clock.now());
     commit();
     EXPECT_FALSE(job.cancelDurable()) << "rig-1 may hold a former leader's delegation";
@@ -242,12 +249,12 @@
     commit();
     EXPECT_FALSE(job.cancelDurable());
     EXPECT_NE(records.at("jobs/run-1").find("withdrawing"), std::string::npos)
-        << "no successor starts it again";
+        << "a new leader must not start the job again";
     EXPECT_GT(cluster->timeUntilAcknowledgeable(job, clock.now()), 0s);
     EXPECT_LE(cluster->latestDelegationEnd("a", clock.now()), clock.now() + settings.cancelWithin);
     EXPECT_EQ(cluster->latestDelegationEnd("b", clock.now()), TimePoint::max());
-    w.execute(heartbeat(w));
-    heartbeat(w);  // gone: that is proof
+    worker.execute(heartbeat(worker));
+    heartbeat(worker);  // reports that the task is gone
     cluster->advanceTo(clock.now());
     commit();
     EXPECT_TRUE(job.cancelDurable());
@@ -256,19 +263,19 @@
     EXPECT_TRUE(cluster->find("run-1")->cancelDurable());
 }
 
-TEST_F(ClusterTest, APendingCancellationOutlivesATakeOverAndIsAcknowledgedWhenItMayBe) {
+TEST_F(ClusterTest, APendingCancellationSurvivesATakeOverAndIsThenAcknowledgedWhenAllowed) {
     const lease_delegation::DelegationLimits terms =
         lease_delegation::DelegationLimits::from(settings);
     lease_delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}},
                                           clock.now());
     cluster->setDelegator(delegator);
-    Worker w("n-1");
-    submitAndRun(w, testing::spec("run-1"));
+    Worker worker("n-1");
+    submitAndRun(worker, testing::spec("run-1"));
     cluster->cancel(*cluster->find("run-1"), clock.now());
     clock.advance(1s);
     cluster->advanceTo(clock.now());
     commit();
-    takeOver();  // the successor delegates nothing
+    takeOver();  // the new leader delegates nothing
     Job& job = *cluster->find("run-1");
     EXPECT_TRUE(cluster->openJobs().empty());
     cluster->advanceTo(clock.now());
@@ -281,8 +288,8 @@
         lease_delegation::DelegationLimits::from(settings);
     lease_delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}},
                                           clock.now());
-    Worker w("n-1");
-    exchangeHeartbeat(w);
+    Worker worker("n-1");
+    exchangeHeartbeat(worker);
     Job& job = submit(testing::spec("run-1"));
     cluster->cancel(job, clock.now());
     commit();
@@ -290,50 +297,51 @@
     cluster->setDelegator(delegator);
     cluster->advanceTo(clock.now());
     EXPECT_EQ(cluster->latestDelegationEnd("a", clock.now()), TimePoint::max())
-        << "nothing of it is anywhere";
+        << "no task of the job can be on any machine";
     clock.advance(1h);
-    w.report.tasks.push_back({"run-1", 0, 1, TaskStatus::running, ExitCause::other, false});
-    heartbeat(w);
+    worker.report.tasks.push_back({"run-1", 0, 1, TaskStatus::running, ExitCause::other, false});
+    heartbeat(worker);
     EXPECT_LT(cluster->latestDelegationEnd("a", clock.now()), clock.now());
 }
 
-TEST_F(ClusterTest, AnUnresponsiveMachinesTasksStayWhereADelegateMayHaveAnsweredForTheLeader) {
+TEST_F(ClusterTest, AnUnresponsiveMachinesTasksStayWhileADelegateMayHaveRenewedItsLease) {
     const lease_delegation::DelegationLimits terms =
         lease_delegation::DelegationLimits::from(settings);
     lease_delegation::Delegator delegator(terms, 1, {"rig-0", "b"}, 1h, {{"rig-1", "a"}},
                                           clock.now());
     cluster->setDelegator(delegator);
-    Worker w("n-1");
-    Job& job = submitAndRun(w, testing::spec("run-1"));
+    Worker worker("n-1");
+    Job& job = submitAndRun(worker, testing::spec("run-1"));
     const auto unresponsiveFor = [&](Duration span) {
-        for (Duration d{}; d < span; d += 1s) {
+        for (Duration elapsed{}; elapsed < span; elapsed += 1s) {
             clock.advance(1s);
             cluster->advanceTo(clock.now());
         }
     };
     unresponsiveFor(settings.lease + 2s);
-    EXPECT_EQ(job.boundCount, 1U) << "a lease is not enough";
+    EXPECT_EQ(job.boundCount, 1U) << "the end of one lease is not enough";
     unresponsiveFor(terms.maxDuration - 3s);
     EXPECT_EQ(job.boundCount, 1U);
     unresponsiveFor(3s);
-    EXPECT_EQ(job.boundCount, 0U) << "a lease after the longest delegation is";
+    EXPECT_EQ(job.boundCount, 0U)
+        << "the task is released one lease after the end of the longest delegation";
 }
 
-TEST_F(ClusterTest, ACancelStopsWhatRunsAndTheStatusNeverGoesBack) {
-    Worker w("n-1");
-    Job& job = submitAndRun(w, testing::spec("run-1"));
+TEST_F(ClusterTest, ACancelledJobsStatusNeverChangesBack) {
+    Worker worker("n-1");
+    Job& job = submitAndRun(worker, testing::spec("run-1"));
     cluster->cancel(job, clock.now());
     EXPECT_FALSE(job.cancelDurable());
     commit();
     EXPECT_TRUE(job.cancelDurable());
-    w.set(0, TaskStatus::exited, ExitCause::done);  // it finished before the stop came
-    heartbeat(w);
+    worker.set(0, TaskStatus::exited, ExitCause::done);  // it finished before the stop arrived
+    heartbeat(worker);
     EXPECT_TRUE(job.cancelDurable());
     takeOver();
     EXPECT_TRUE(cluster->find("run-1")->cancelDurable());
 }
 
-TEST_F(ClusterTest, TakeOverWithAnUnresponsiveMachineWaitsOutItsLeaseOnly) {
+TEST_F(ClusterTest, AfterTakeOverOnlyAnUnresponsiveMachinesTasksWaitForItsLease) {
     Worker a("n-1"), b("n-2");
     exchangeHeartbeat(a);
     exchangeHeartbeat(b);
@@ -349,7 +357,7 @@
     takeOver();
     Job& job = *cluster->find("run-1");
     exchangeHeartbeat(a);  // n-2 stays unresponsive
-    EXPECT_EQ(job.runningCount, 2U) << "what reports is adopted at once";
+    EXPECT_EQ(job.runningCount, 2U) << "the tasks that n-1 reports are adopted at once";
     submit(testing::spec("run-2"));
     a.set(0, TaskStatus::exited, ExitCause::done);
     heartbeat(a);
@@ -361,65 +369,65 @@
     EXPECT_EQ(job.boundCount, 0U);
 }
 
-TEST_F(ClusterTest, AfterTakeOverAnUnlistedBindingIsFreeOnceTheWorkerKnowsTheToken) {
-    Worker w("n-1");
-    exchangeHeartbeat(w);
+TEST_F(ClusterTest, AfterTakeOverABindingThatIsNotReportedIsReleasedOnceTheWorkerKnowsTheToken) {
+    Worker worker("n-1");
+    exchangeHeartbeat(worker);
     submit(testing::spec("run-1"));
     place();
-    commit();  // bound on record, launched by nobody
+    commit();  // bound on record, but not launched
     takeOver();
     Job& job = *cluster->find("run-1");
-    EXPECT_TRUE(heartbeat(w).empty());
-    EXPECT_EQ(job.boundCount, 1U) << "an order of the former leader may still arrive";
-    heartbeat(w);
+    EXPECT_TRUE(heartbeat(worker).empty());
+    EXPECT_EQ(job.boundCount, 1U) << "a command of the former leader may still arrive";
+    heartbeat(worker);
     EXPECT_EQ(job.boundCount, 0U);
     place();
     EXPECT_EQ(job.tasks[0].attempt, 2U) << "an attempt is never used twice";
 }
 
-TEST_F(ClusterTest, AReportedTaskWithoutABindingIsAdoptedWhereItIs) {
-    Worker w("n-1");
+TEST_F(ClusterTest, AReportedTaskWithoutABindingIsAdoptedOnItsMachine) {
+    Worker worker("n-1");
     submit(testing::spec("run-1"));
-    w.report.tasks.push_back({"run-1", 0, 3, TaskStatus::running, ExitCause::other, false});
-    EXPECT_TRUE(heartbeat(w).empty());
+    worker.report.tasks.push_back({"run-1", 0, 3, TaskStatus::running, ExitCause::other, false});
+    EXPECT_TRUE(heartbeat(worker).empty());
     const Job& job = *cluster->find("run-1");
     EXPECT_EQ(job.tasks[0].attempt, 3U);
     EXPECT_EQ(job.runningCount, 1U);
 }
 
 TEST_F(ClusterTest, UnknownTasksAreStopped) {
-    Worker w("n-1");
-    w.report.tasks.push_back({"run-9", 0, 1, TaskStatus::running, ExitCause::other, false});
-    const auto commands = heartbeat(w);
+    Worker worker("n-1");
+    worker.report.tasks.push_back({"run-9", 0, 1, TaskStatus::running, ExitCause::other, false});
+    const auto commands = heartbeat(worker);
     ASSERT_EQ(commands.size(), 1U);
     EXPECT_EQ(kindOf(commands[0]), CommandKind::stop);
 }
 
-TEST_F(ClusterTest, LimitsCountWhatPossiblyRuns) {
-    Worker w("n-1"), v("n-2"), x("n-3");
+TEST_F(ClusterTest, TeamLimitsCountTasksThatMayStillRun) {
+    Worker worker("n-1"), other("n-2"), newWorker("n-3");
     JobSpec s = testing::spec("run-1", 4);
     s.team = "blue";  // at most 16 cores
-    exchangeHeartbeat(w);
-    exchangeHeartbeat(v);
+    exchangeHeartbeat(worker);
+    exchangeHeartbeat(other);
     submit(s);
     place();
     commit();
-    exchangeHeartbeat(w);
-    exchangeHeartbeat(v);
-    clock.advance(8s);  // both unresponsive, neither lease has run out
-    exchangeHeartbeat(x);
+    exchangeHeartbeat(worker);
+    exchangeHeartbeat(other);
+    clock.advance(8s);  // both are unresponsive, and neither lease has ended
+    exchangeHeartbeat(newWorker);
     s.id = "run-2";
     Job& second = submit(s);
     place();
     EXPECT_EQ(second.boundCount, 0U);
 }
 
-TEST_F(ClusterTest, SpreadCountsWhatPossiblyRuns) {
-    Worker w("n-1", "a"), v("n-2", "a");
+TEST_F(ClusterTest, SpreadLimitsTheTasksOfAJobPerZone) {
+    Worker worker("n-1", "a"), other("n-2", "a");
     JobSpec s = testing::spec("run-1", 3);
     s.spread = true;
-    exchangeHeartbeat(w);
-    exchangeHeartbeat(v);
+    exchangeHeartbeat(worker);
+    exchangeHeartbeat(other);
     Job& job = submit(s);
     place();
     EXPECT_EQ(job.boundCount, 2U) << "two of three, rounded up, in one zone";
@@ -429,7 +437,7 @@
     EXPECT_EQ(job.boundCount, 3U);
 }
 
-TEST_F(ClusterTest, KeepsToZoneTypeAndKindOfMachine) {
+TEST_F(ClusterTest, PlacesOnlyInTheRequiredZoneAndNotOnSpotUnlessAllowed) {
     Worker spot("n-1", "a", true), zoneA("n-2", "a");
     exchangeHeartbeat(spot);
     exchangeHeartbeat(zoneA);
@@ -446,131 +454,133 @@
 }
 
 TEST_F(ClusterTest, AGangStartsTogetherOrNotAtAll) {
-    Worker w("n-1");
-    exchangeHeartbeat(w);
+    Worker worker("n-1");
+    exchangeHeartbeat(worker);
     JobSpec s = testing::spec("run-1", 3);
     s.shape = Shape::gang;
     Job& job = submit(s);
     place();
     EXPECT_EQ(job.boundCount, 0U);
-    Worker v("n-2");
-    exchangeHeartbeat(v);
+    Worker other("n-2");
+    exchangeHeartbeat(other);
     place();
     EXPECT_EQ(job.boundCount, 3U);
     commit();
-    EXPECT_EQ(heartbeat(w).size() + heartbeat(v).size(), 3U);
+    EXPECT_EQ(heartbeat(worker).size() + heartbeat(other).size(), 3U);
 }
 
-TEST_F(ClusterTest, ProductionPreemptsLowerWorkWithTimeForACheckpointAndNothingElse) {
-    Worker w("n-1");
+TEST_F(ClusterTest, ProductionPreemptsOnlyAsManyLowerTasksAsNeededAndLeavesTimeForACheckpoint) {
+    Worker worker("n-1");
     JobSpec low = testing::spec("run-1", 2);
     low.checkpointIntervalS = 10;
     low.checkpointDurationS = 5;
-    Job& victim = submitAndRun(w, low);
+    Job& preempted = submitAndRun(worker, low);
     JobSpec same = testing::spec("run-2");
     submit(same);
     place();
-    EXPECT_TRUE(heartbeat(w).empty()) << "equal priority is not preempted";
+    EXPECT_TRUE(heartbeat(worker).empty()) << "equal priority is not preempted";
     JobSpec high = testing::spec("run-3");
     high.priority = Priority::production;
     submit(high);
     place();
-    const auto commands = heartbeat(w);
+    const auto commands = heartbeat(worker);
     ASSERT_EQ(commands.size(), 1U) << "one task is enough";
     EXPECT_EQ(kindOf(commands[0]), CommandKind::stop);
     EXPECT_GE(std::get<StopTask>(commands[0]).gracePeriod, 5s);
-    w.execute(commands);
-    heartbeat(w);
+    worker.execute(commands);
+    heartbeat(worker);
     place();
     EXPECT_EQ(cluster->find("run-3")->boundCount, 1U);
-    EXPECT_EQ(victim.boundCount, 1U);
+    EXPECT_EQ(preempted.boundCount, 1U);
 }
 
-TEST_F(ClusterTest, WorkStoppedBeforeItsLaunchWasSentFreesItsCapacityAtOnce) {
-    // Such tasks were to be stopped for good: never launched, never reported, never released.
-    Worker w("n-1");
-    exchangeHeartbeat(w);
+TEST_F(ClusterTest, ATaskPreemptedBeforeItsLaunchWasSentFreesItsCapacityAtOnce) {
+    // Such tasks once stayed marked as stopping for ever: never launched, so never reported and
+    // never released.
+    Worker worker("n-1");
+    exchangeHeartbeat(worker);
     Job& low = submit(testing::spec("run-1", 2));
     place();
     JobSpec high = testing::spec("run-2", 2);
     high.priority = Priority::production;
-    Job& winner = submit(high);
+    Job& preempting = submit(high);
     place();
     place();
-    EXPECT_EQ(winner.boundCount, 2U);
+    EXPECT_EQ(preempting.boundCount, 2U);
     EXPECT_EQ(low.waitingCount(), 2U);
     commit();
-    exchangeHeartbeat(w);
-    EXPECT_EQ(w.report.tasks.size(), 2U);
-    EXPECT_EQ(w.report.tasks[0].job, "run-2");
+    exchangeHeartbeat(worker);
+    EXPECT_EQ(worker.report.tasks.size(), 2U);
+    EXPECT_EQ(worker.report.tasks[0].job, "run-2");
 }
 
-TEST_F(ClusterTest, AGangThatLosesAMemberToAHigherRankStopsWhole) {
-    Worker w("n-1"), v("n-2");
+TEST_F(ClusterTest, AGangThatLosesATaskToAHigherPriorityIsStoppedEntirely) {
+    Worker worker("n-1"), other("n-2");
     JobSpec gang = testing::spec("run-1", 4);
     gang.shape = Shape::gang;
-    exchangeHeartbeat(w);
-    exchangeHeartbeat(v);
+    exchangeHeartbeat(worker);
+    exchangeHeartbeat(other);
     submit(gang);
     place();
     commit();
     for (int i = 0; i < 2; ++i) {
-        exchangeHeartbeat(w);
-        exchangeHeartbeat(v);
+        exchangeHeartbeat(worker);
+        exchangeHeartbeat(other);
     }
     JobSpec high = testing::spec("run-2");
     high.priority = Priority::production;
     submit(high);
     place();
-    EXPECT_EQ(heartbeat(w).size() + heartbeat(v).size(), 4U);
+    EXPECT_EQ(heartbeat(worker).size() + heartbeat(other).size(), 4U);
 }
 
 TEST_F(ClusterTest, ALargeArrayOnFaultyMachinesIsNotCrashLooping) {
-    // With dozens faulty at once a large array fails on several and was taken for its owner's
-    // mistake; the machines went on failing everybody's tasks.
-    std::vector<Worker> all;
-    for (int i = 0; i < 6; ++i) all.emplace_back("n-" + std::to_string(i));
-    exchangeHeartbeat(all[4]);
-    exchangeHeartbeat(all[5]);
+    // With dozens of machines faulty at once, a large array fails on several of them. It was then
+    // treated as a crash-looping job, and the machines went on failing the tasks of all jobs.
+    std::vector<Worker> workers;
+    for (int i = 0; i < 6; ++i) workers.emplace_back("n-" + std::to_string(i));
+    exchangeHeartbeat(workers[4]);
+    exchangeHeartbeat(workers[5]);
     Job& job = submit(testing::spec("run-1", 12));
     place();
     commit();
-    for (int i = 0; i < 5; ++i) {  // the sound ones run for a while
-        for (std::size_t w = 4; w < 6; ++w) exchangeHeartbeat(all[w]);
+    for (int i = 0; i < 5; ++i) {  // the two healthy machines run their tasks for a while
+        for (std::size_t healthy = 4; healthy < 6; ++healthy) exchangeHeartbeat(workers[healthy]);
         clock.advance(4s);
     }
-    for (auto& w : all) exchangeHeartbeat(w);
+    for (auto& worker : workers) exchangeHeartbeat(worker);
     place();
     commit();
-    for (auto& w : all) exchangeHeartbeat(w);
-    for (auto& w : all) exchangeHeartbeat(w);
+    for (auto& worker : workers) exchangeHeartbeat(worker);
+    for (auto& worker : workers) exchangeHeartbeat(worker);
     clock.advance(1s);
     for (std::size_t i = 0; i < 4; ++i) {
-        for (std::size_t t = 0; t < 2; ++t) all[i].set(t, TaskStatus::exited, ExitCause::error);
-        exchangeHeartbeat(all[i]);
+        for (std::size_t t = 0; t < 2; ++t) workers[i].set(t, TaskStatus::exited, ExitCause::error);
+        exchangeHeartbeat(workers[i]);
     }
     EXPECT_LE(job.backOffUntil, clock.now());
     for (std::size_t i = 0; i < 6; ++i)
-        EXPECT_EQ(cluster->machines()[cluster->indexOf(all[i].report.machine)].quarantined, i < 4)
+        EXPECT_EQ(cluster->machines()[cluster->indexOf(workers[i].report.machine)].quarantined,
+                  i < 4)
             << i;
 }
 
 TEST_F(ClusterTest, AJobThatRunsForAWhileBeforeItFailsQuarantinesNoMachine) {
-    // Its tasks that had not failed yet once counted as running well, and each machine on which
-    // the others failed as faulty.
-    std::vector<Worker> all;
-    for (int i = 0; i < 6; ++i) all.emplace_back("n-" + std::to_string(i));
-    for (auto& w : all) exchangeHeartbeat(w);
+    // The tasks that had not failed yet once counted as healthy, so that each machine on which the
+    // others failed was considered faulty.
+    std::vector<Worker> workers;
+    for (int i = 0; i < 6; ++i) workers.emplace_back("n-" + std::to_string(i));
+    for (auto& worker : workers) exchangeHeartbeat(worker);
     Job& broken = submit(testing::spec("run-1", 12));
     place();
     commit();
     for (int i = 0; i < 6; ++i) {
-        for (auto& w : all) exchangeHeartbeat(w);
+        for (auto& worker : workers) exchangeHeartbeat(worker);
         clock.advance(4s);
     }
-    for (auto& w : all) {
-        for (std::size_t t = 0; t < 2; ++t) w.set(t, TaskStatus::exited, ExitCause::error);
-        exchangeHeartbeat(w);
+    for (auto& worker : workers) {
+        for (std::size_t t = 0; t < 2; ++t) worker.set(t, TaskStatus::exited, ExitCause::error);
+        exchangeHeartbeat(worker);
         clock.advance(500ms);
     }
     EXPECT_TRUE(broken.crashLooping);
@@ -578,93 +588,95 @@
     for (const auto& m : cluster->machines()) EXPECT_FALSE(m.quarantined) << m.name;
 }
 
-TEST_F(ClusterTest, AResultIsForgottenOnceItIsOnRecordHoweverOftenThatChanges) {
-    // The record of a large array has always changed again, so its results stayed in the reports
-    // until those were too large to be taken, and the worker lost its lease and all it ran.
-    Worker w("n-1");
+TEST_F(ClusterTest, AResultIsForgottenOnceItIsOnRecordEvenIfTheRecordHasChangedAgain) {
+    // The record of a large array always changes again before it is committed. Results that waited
+    // for an unchanged record stayed in the reports until these were too large to be accepted, and
+    // the worker lost its lease and all its tasks.
+    Worker worker("n-1");
     JobSpec s = testing::spec("run-1", 20);
     s.demand = {0.25, 0, 0.5};
-    Job& job = submitAndRun(w, s);
-    w.set(0, TaskStatus::exited, ExitCause::done);
-    heartbeat(w);
+    Job& job = submitAndRun(worker, s);
+    worker.set(0, TaskStatus::exited, ExitCause::done);
+    heartbeat(worker);
     const auto resultVersion = cluster->encode("jobs/run-1")->version;
-    w.set(1, TaskStatus::exited, ExitCause::done);
-    heartbeat(w);  // the record changes again before the first result is on record
+    worker.set(1, TaskStatus::exited, ExitCause::done);
+    heartbeat(worker);  // the record changes again before the first result is on record
     cluster->onRecordCommitted("jobs/run-1", resultVersion);
     ASSERT_LT(job.layout.head().durableVersion, job.layout.head().version);
-    const auto commands = heartbeat(w);
+    const auto commands = heartbeat(worker);
     ASSERT_EQ(commands.size(), 1U) << "the second result is not on record yet";
     EXPECT_EQ(kindOf(commands[0]), CommandKind::forget);
     EXPECT_EQ(attemptOf(commands[0]).task, 0U);
 }
 
 TEST_F(ClusterTest, AMachineWhoseReportIsNearlyFullGetsNoMoreTasks) {
-    Worker w("n-1");
-    w.report.bytes = 47 * 1024;
-    exchangeHeartbeat(w);
+    Worker worker("n-1");
+    worker.report.bytes = 47 * 1024;
+    exchangeHeartbeat(worker);
     JobSpec s = testing::spec("run-1", 100);
     s.demand = {0.01, 0, 0.01};
     Job& job = submit(s);
     place();
     EXPECT_GT(job.boundCount, 0U);
-    EXPECT_LT(job.boundCount, 20U) << "what is bound will be reported as well";
-    w.report.bytes = 60 * 1024;
+    EXPECT_LT(job.boundCount, 20U) << "the bound tasks will take space in the report as well";
+    worker.report.bytes = 60 * 1024;
     commit();
-    exchangeHeartbeat(w);
+    exchangeHeartbeat(worker);
     const auto bound = job.boundCount;
     place();
     EXPECT_EQ(job.boundCount, bound);
-    w.report.bytes = 1024;
-    exchangeHeartbeat(w);
+    worker.report.bytes = 1024;
+    exchangeHeartbeat(worker);
     place();
     EXPECT_EQ(job.waitingCount(), 0U);
 }
 
 TEST_F(ClusterTest, APreemptedJobDoesNotTakeTheReclaimedCapacityBack) {
-    // Tasks bound at low priority gave way before their launch, took the same capacity back in the
-    // same pass, and so on in each: 600,000 bindings for 47,000 starts on one day.
-    Worker w("n-1");
-    exchangeHeartbeat(w);
+    // Tasks bound at low priority were preempted before their launch and bound to the same capacity
+    // again in the same placement pass, and so on in each pass: 600,000 bindings for 47,000 starts
+    // on one day.
+    Worker worker("n-1");
+    exchangeHeartbeat(worker);
     JobSpec opportunistic = testing::spec("run-1", 64);
     opportunistic.priority = Priority::low;
     opportunistic.demand = {0.25, 0, 0.5};
     Job& low = submit(opportunistic);
     place();  // 32 of them fill the machine
     commit();
-    exchangeHeartbeat(w);
-    exchangeHeartbeat(w);
+    exchangeHeartbeat(worker);
+    exchangeHeartbeat(worker);
     JobSpec more = testing::spec("run-2");
     more.demand = {8, 0, 16};
     Job& high = submit(more);
     std::uint64_t attempts = 0;
-    const auto count = [&] {
+    const auto totalAttempts = [&] {
         std::uint64_t sum = 0;
         for (const auto& t : low.tasks) sum += t.attempt;
         return sum;
     };
     place();
-    attempts = count();
+    attempts = totalAttempts();
     for (int i = 0; i < 5; ++i) {
         clock.advance(200ms);
         place();
     }
-    EXPECT_EQ(count(), attempts) << "nothing is bound into capacity that is being reclaimed";
-    exchangeHeartbeat(w);  // told to stop
-    for (auto& t : w.report.tasks) t.status = TaskStatus::exited, t.cause = ExitCause::stopped;
-    exchangeHeartbeat(w);
+    EXPECT_EQ(totalAttempts(), attempts) << "no task is bound to capacity that is being reclaimed";
+    exchangeHeartbeat(worker);  // the worker receives the stop commands
+    for (auto& t : worker.report.tasks) t.status = TaskStatus::exited, t.cause = ExitCause::stopped;
+    exchangeHeartbeat(worker);
     place();
     EXPECT_EQ(high.boundCount, 1U);
 }
 
-TEST_F(ClusterTest, WorkWithoutAnObjectiveGoesAfterWorkThatCanMeetOne) {
-    // Idle runs without an objective counted as the oldest, filled all idle capacity for long, and
-    // an opportunistic team's short jobs waited behind them until they were late: 0.29 of them in
-    // time.
+TEST_F(ClusterTest, JobsWithoutAnObjectiveArePlacedAfterJobsThatCanMeetOne) {
+    // Jobs without an objective counted as the oldest and filled all idle capacity for
+    // a long time. The short jobs of an opportunistic team waited behind them, and only 0.29 of
+    // those were in time.
     settings.objectives = {{"finished", "c", 400s, 0.9}};
-    JobSpec idle = testing::spec("run-1", 2);
-    idle.jobClass = "other";
-    expectSecondJobPlacedFirst(idle, 300s);
-    clock.advance(700s);  // but its turn comes
+    JobSpec withoutObjective = testing::spec("run-1", 2);
+    withoutObjective.jobClass = "other";
+    expectSecondJobPlacedFirst(withoutObjective, 300s);
+    clock.advance(700s);  // it is still placed eventually
     submit(testing::spec("run-3", 2));
     Worker other("n-2");
     exchangeHeartbeat(other);
@@ -672,34 +684,34 @@
     EXPECT_EQ(cluster->find("run-1")->boundCount, 2U);
 }
 
-TEST_F(ClusterTest, WhatCanStillMeetItsObjectiveGoesBeforeWhatMissedIt) {
+TEST_F(ClusterTest, AJobThatCanStillMeetItsObjectiveIsPlacedBeforeOneThatMissedIt) {
     settings.objectives = {{"wait", "c", 15s, 0.8}};
     expectSecondJobPlacedFirst(testing::spec("run-1", 2), 20s);
 }
 
-TEST_F(ClusterTest, WhenNotAllCanBeInTimeTheLargestJobConcedes) {
-    // In a burst, serving in order of due times made everybody late together.
+TEST_F(ClusterTest, WhenNotAllJobsCanMeetTheirObjectiveTheLargestIsPlacedLast) {
+    // In a burst, placing jobs in the order of their due times made all of them late.
     settings.objectives = {{"wait", "c", 15s, 0.8}};
-    Worker w("n-1");
-    submitAndRun(w, testing::spec("run-1", 2));  // 8 cores for 10 s: 12 come free in 15 s
-    submit(testing::spec("run-2", 4));           // would take 16
+    Worker worker("n-1");
+    submitAndRun(worker, testing::spec("run-1", 2));  // 8 cores for 10 s: 12 become free in 15 s
+    submit(testing::spec("run-2", 4));                // would need 16
     clock.advance(1s);
     submit(testing::spec("run-3", 1));
     submit(testing::spec("run-4", 1));
-    exchangeHeartbeat(w);
+    exchangeHeartbeat(worker);
     place();
-    w.set(0, TaskStatus::exited, ExitCause::done);
-    w.set(1, TaskStatus::exited, ExitCause::done);
-    exchangeHeartbeat(w);
+    worker.set(0, TaskStatus::exited, ExitCause::done);
+    worker.set(1, TaskStatus::exited, ExitCause::done);
+    exchangeHeartbeat(worker);
     place();
     EXPECT_EQ(cluster->find("run-3")->boundCount, 1U);
     EXPECT_EQ(cluster->find("run-4")->boundCount, 1U);
     EXPECT_EQ(cluster->find("run-2")->boundCount, 0U);
 }
 
-TEST_F(ClusterTest, KeepsWarmCapacityForReplicasOnMachinesThatHaveTheirImage) {
+TEST_F(ClusterTest, KeepsCapacityFreeForReplicasOnMachinesThatHaveTheirImage) {
     settings.objectives = {{"wait", "web", 1s, 0.9}};
-    Worker w("n-1"), v("n-2"), spot("n-3", "a", true);
+    Worker worker("n-1"), other("n-2"), spot("n-3", "a", true);
     JobSpec web = testing::spec("run-1");
     web.jobClass = "web";
     web.shape = Shape::service;
@@ -707,22 +719,22 @@
     web.spotAllowed = false;
     web.demand = {2, 0, 2};
     web.image = "img-web";
-    submitAndRun(w, web);
-    exchangeHeartbeat(v);
+    submitAndRun(worker, web);
+    exchangeHeartbeat(other);
     Job& batch = submit(testing::spec("run-2", 4));
     place();
     EXPECT_EQ(batch.boundCount, 2U)
-        << "n-2 has not the image and is filled; n-1 keeps its warm capacity";
+        << "n-2 lacks the image and is filled; n-1 has it and keeps its warm capacity free";
     exchangeHeartbeat(spot);
     place();
     EXPECT_EQ(batch.boundCount, 4U);
 }
 
-TEST_F(ClusterTest, AReplicaTakesAMachineWithFewOtherImagesFirst) {
-    // Room on machines with many images went to whoever came; a tenth of the replicas then found
-    // none with their own and started late.
+TEST_F(ClusterTest, AReplicaIsPlacedFirstOnAMachineWithFewOtherImages) {
+    // Capacity on machines with many images was given to any replica. A tenth of the replicas then
+    // found no free machine that had their image and started late.
     settings.objectives = {{"wait", "web", 1s, 0.9}};
-    Worker rich("n-1"), poor("n-2", "b");
+    Worker workerWithTwoImages("n-1"), workerWithOneImage("n-2", "b");
     JobSpec web = testing::spec("run-1", 1);
     web.jobClass = "web";
     web.shape = Shape::service;
@@ -730,74 +742,76 @@
     web.spotAllowed = false;
     web.demand = {2, 0, 2};
     web.image = "img-a";
-    submitAndRun(rich, web);
+    submitAndRun(workerWithTwoImages, web);
     web.id = "run-2";
     web.image = "img-b";
-    submitAndRun(rich, web);
+    submitAndRun(workerWithTwoImages, web);
     web.id = "run-3";
     web.image = "img-a";
     web.zone = "b";
-    submitAndRun(poor, web);
+    submitAndRun(workerWithOneImage, web);
     web.id = "run-4";
     web.zone.reset();
     const Job& next = submit(web);
     place();
     ASSERT_EQ(next.boundCount, 1U);
-    EXPECT_EQ(next.tasks[0].machine, *cluster->machines().find("n-2")) << "although n-1 is fuller";
+    EXPECT_EQ(next.tasks[0].machine, *cluster->machines().find("n-2"))
+        << "n-2 is preferred although n-1 is fuller";
 }
 
 TEST_F(ClusterTest, ATaskOnAnInterruptedSpotMachineWritesItsCheckpointAsLateAsItCan) {
-    Worker w("n-1");
+    Worker worker("n-1");
     JobSpec s = testing::spec("run-1");
     s.checkpointIntervalS = 10;
     s.checkpointDurationS = 4;
-    submitAndRun(w, s);
-    w.report.interruptionNotice = 15s;
-    heartbeat(w);
+    submitAndRun(worker, s);
+    worker.report.interruptionNotice = 15s;
+    heartbeat(worker);
     cluster->advanceTo(clock.now());
-    EXPECT_TRUE(heartbeat(w).empty()) << "it may still finish";
+    EXPECT_TRUE(heartbeat(worker).empty())
+        << "the task may still finish before its checkpoint has to start";
     clock.advance(9s);
-    w.report.interruptionNotice = 6s;
+    worker.report.interruptionNotice = 6s;
     cluster->advanceTo(clock.now());
-    const auto commands = heartbeat(w);
+    const auto commands = heartbeat(worker);
     ASSERT_EQ(commands.size(), 1U);
     EXPECT_GE(std::get<StopTask>(commands[0]).gracePeriod, 4s);
 }
 
 TEST_F(ClusterTest, AMachineThatFailsSeveralJobsIsQuarantined) {
-    Worker w("n-1");
-    exchangeHeartbeat(w);
+    Worker worker("n-1");
+    exchangeHeartbeat(worker);
     submit(testing::spec("run-1"));
     submit(testing::spec("run-2"));
     place();
     commit();
-    exchangeHeartbeat(w);
-    w.set(0, TaskStatus::exited, ExitCause::error);
-    w.set(1, TaskStatus::exited, ExitCause::error);
-    exchangeHeartbeat(w);
+    exchangeHeartbeat(worker);
+    worker.set(0, TaskStatus::exited, ExitCause::error);
+    worker.set(1, TaskStatus::exited, ExitCause::error);
+    exchangeHeartbeat(worker);
     EXPECT_TRUE(cluster->machines()[0].quarantined);
     clock.advance(2min);
-    exchangeHeartbeat(w);
+    exchangeHeartbeat(worker);
     place();
     EXPECT_EQ(cluster->find("run-1")->boundCount, 0U);
 }
 
 TEST_F(ClusterTest, ACrashLoopingJobBacksOffAndQuarantinesNoMachine) {
-    std::vector<Worker> all{Worker("n-1"), Worker("n-2"), Worker("n-3")};
-    for (auto& w : all) exchangeHeartbeat(w);
+    std::vector<Worker> workers{Worker("n-1"), Worker("n-2"), Worker("n-3")};
+    for (auto& worker : workers) exchangeHeartbeat(worker);
     Job& job = submit(testing::spec("run-1"));
     for (int round = 0; round < 6; ++round) {
         clock.advance(11s);
-        for (auto& w : all) exchangeHeartbeat(w);
+        for (auto& worker : workers) exchangeHeartbeat(worker);
         place();
         commit();
-        for (auto& w : all) {
-            exchangeHeartbeat(w);
-            for (std::size_t t = 0; t < w.report.tasks.size(); ++t)
-                w.set(t, TaskStatus::exited, ExitCause::error);
-            exchangeHeartbeat(w);
+        for (auto& worker : workers) {
+            exchangeHeartbeat(worker);
+            for (std::size_t t = 0; t < worker.report.tasks.size(); ++t)
+                worker.set(t, TaskStatus::exited, ExitCause::error);
+            exchangeHeartbeat(worker);
             commit();
-            exchangeHeartbeat(w);
+            exchangeHeartbeat(worker);
         }
     }
     EXPECT_GE(job.failures, 3U);
@@ -805,19 +819,19 @@
     for (const auto& m : cluster->machines()) EXPECT_FALSE(m.quarantined);
 }
 
-TEST_F(ClusterTest, LargeArraysSpillIntoFurtherRecordsAndComeBack) {
-    Worker w("n-1");
-    exchangeHeartbeat(w);
+TEST_F(ClusterTest, LargeArraysAreStoredInSeveralRecordsAndRestored) {
+    Worker worker("n-1");
+    exchangeHeartbeat(worker);
     JobSpec s = testing::spec("run-1", 2000);
     s.demand = {0.01, 0, 0.01};
     submit(s);
     for (int i = 0; i < 12; ++i) {
         place();
         commit();
-        exchangeHeartbeat(w);
+        exchangeHeartbeat(worker);
     }
-    for (std::size_t t = 0; t < 700; ++t) w.set(t, TaskStatus::exited, ExitCause::done);
-    heartbeat(w);
+    for (std::size_t t = 0; t < 700; ++t) worker.set(t, TaskStatus::exited, ExitCause::done);
+    heartbeat(worker);
     commit();
     EXPECT_GT(records.size(), 1U);
     for (const auto& [key, data] : records) EXPECT_LE(data.size(), settings.valueBytes) << key;
@@ -827,88 +841,90 @@
     EXPECT_EQ(cluster->find("run-1")->doneCount, before);
 }
 
-TEST_F(ClusterTest, EveryIndexAgreesWithARecountUnderRandomOperations) {
+TEST_F(ClusterTest, IndexesStayConsistentUnderRandomOperations) {
     settings.objectives = {{"wait", "web", 1s, 0.9}};
     std::mt19937 random(20261201);
-    const auto below = [&](std::size_t n) {
+    const auto randomBelow = [&](std::size_t n) {
         return std::uniform_int_distribution<std::size_t>(0, n - 1)(random);
     };
-    std::vector<Worker> all;
+    std::vector<Worker> workers;
     std::vector<JobId> ids;
     for (int step = 0; step < 3000; ++step) {
-        const std::size_t what = below(20);
-        if (what == 0 || all.size() < 4) {
-            all.emplace_back("n-" + std::to_string(all.size()), below(2) == 0 ? "a" : "b",
-                             below(3) == 0);
-        } else if (what < 3 && ids.size() < 200) {
+        const std::size_t operation = randomBelow(20);
+        if (operation == 0 || workers.size() < 4) {
+            workers.emplace_back("n-" + std::to_string(workers.size()),
+                                 randomBelow(2) == 0 ? "a" : "b", randomBelow(3) == 0);
+        } else if (operation < 3 && ids.size() < 200) {
             JobSpec s = testing::spec("run-" + std::to_string(ids.size()),
-                                      1 + static_cast<std::uint32_t>(below(6)));
-            s.priority = static_cast<Priority>(below(4));
-            s.team = below(2) == 0 ? "red" : "blue";
-            s.demand = {1.0 + static_cast<double>(below(4)), 0,
-                        1.0 + static_cast<double>(below(9))};
-            s.image = "img-" + std::to_string(below(3));
-            s.spread = below(3) == 0;
-            s.sameZone = !s.spread && below(4) == 0;
-            s.spotAllowed = below(2) == 0;
-            s.checkpointIntervalS = below(2) == 0 ? 10 : 0;
-            if (below(4) == 0) {
+                                      1 + static_cast<std::uint32_t>(randomBelow(6)));
+            s.priority = static_cast<Priority>(randomBelow(4));
+            s.team = randomBelow(2) == 0 ? "red" : "blue";
+            s.demand = {1.0 + static_cast<double>(randomBelow(4)), 0,
+                        1.0 + static_cast<double>(randomBelow(9))};
+            s.image = "img-" + std::to_string(randomBelow(3));
+            s.spread = randomBelow(3) == 0;
+            s.sameZone = !s.spread && randomBelow(4) == 0;
+            s.spotAllowed = randomBelow(2) == 0;
+            s.checkpointIntervalS = randomBelow(2) == 0 ? 10 : 0;
+            if (randomBelow(4) == 0) {
                 s.shape = Shape::service;
                 s.jobClass = "web";
                 s.spotAllowed = false;
-            } else if (below(6) == 0) {
+            } else if (randomBelow(6) == 0) {
                 s.shape = Shape::gang;
             }
             if (cluster->submit(s, clock.now(), clock.wall()) == SubmitResult::accepted)
                 ids.push_back(s.id);
-        } else if (what < 6) {
+        } else if (operation < 6) {
             place();
-        } else if (what < 9) {
+        } else if (operation < 9) {
             commit();
-        } else if (what == 9 && !ids.empty()) {
-            cluster->cancel(*cluster->find(ids[below(ids.size())]), clock.now());
-        } else if (what == 10) {
-            clock.advance(std::chrono::milliseconds(200 * below(20)));
+        } else if (operation == 9 && !ids.empty()) {
+            cluster->cancel(*cluster->find(ids[randomBelow(ids.size())]), clock.now());
+        } else if (operation == 10) {
+            clock.advance(std::chrono::milliseconds(200 * randomBelow(20)));
             cluster->advanceTo(clock.now());
-        } else if (what == 11 && below(12) == 0) {
-            cluster->onMachineDeleted(cluster->indexOf(all[below(all.size())].report.machine),
-                                      clock.now());
-        } else if (what == 11 && below(12) == 0) {
+        } else if (operation == 11 && randomBelow(12) == 0) {
+            cluster->onMachineDeleted(
+                cluster->indexOf(workers[randomBelow(workers.size())].report.machine), clock.now());
+        } else if (operation == 11 && randomBelow(12) == 0) {
             commit();
             takeOver();
-        } else if (what == 12 && below(4) == 0) {
-            cluster->setDraining(cluster->indexOf(all[below(all.size())].report.machine),
-                                 below(2) == 0);
+        } else if (operation == 12 && randomBelow(4) == 0) {
+            cluster->setDraining(
+                cluster->indexOf(workers[randomBelow(workers.size())].report.machine),
+                randomBelow(2) == 0);
         } else {
-            Worker& w = all[below(all.size())];
-            if (below(30) == 0) w.newSession();
-            if (below(60) == 0) w.report.interruptionNotice = 20s;
-            for (std::size_t t = 0; t < w.report.tasks.size(); ++t) {
-                if (w.report.tasks[t].status == TaskStatus::exited || below(6) != 0) continue;
-                const std::size_t how = below(10);
-                w.set(t, how == 0 ? TaskStatus::pulling : TaskStatus::exited,
-                      how < 7    ? ExitCause::done
-                      : how == 7 ? ExitCause::error
-                      : how == 8 ? ExitCause::full
-                                 : ExitCause::stopped);
+            Worker& worker = workers[randomBelow(workers.size())];
+            if (randomBelow(30) == 0) worker.newSession();
+            if (randomBelow(60) == 0) worker.report.interruptionNotice = 20s;
+            for (std::size_t t = 0; t < worker.report.tasks.size(); ++t) {
+                if (worker.report.tasks[t].status == TaskStatus::exited || randomBelow(6) != 0)
+                    continue;
+                const std::size_t outcome = randomBelow(10);
+                worker.set(t, outcome == 0 ? TaskStatus::pulling : TaskStatus::exited,
+                           outcome < 7    ? ExitCause::done
+                           : outcome == 7 ? ExitCause::error
+                           : outcome == 8 ? ExitCause::full
+                                          : ExitCause::stopped);
             }
-            exchangeHeartbeat(w);
+            exchangeHeartbeat(worker);
         }
         ASSERT_EQ(cluster->findInconsistency(), "") << "after step " << step;
     }
     EXPECT_GT(cluster->jobCount(), 50U);
 }
 
-TEST_F(ClusterTest, AHeartbeatAndAPlacementCostTheSameInALargeCluster) {
-    // Every placement once looked at every machine and all that was on it: at some hundred
-    // machines a leader's share of a core was gone.
+TEST_F(ClusterTest, HeartbeatsAndPlacementVisitNoMoreMachinesInALargeCluster) {
+    // Each placement pass once visited every machine and all its allocations, which at some hundred
+    // machines used up the leader's share of a core.
     settings.teams.push_back({"green", 0, 0, 0, 0});
-    const auto looksIn = [&](std::size_t machines) {
+    const auto visitsIn = [&](std::size_t machines) {
         cluster = makeCluster(5);
-        std::vector<Worker> all;
+        std::vector<Worker> workers;
         for (std::size_t i = 0; i < machines; ++i) {
-            all.emplace_back("n-" + std::to_string(i), i % 2 == 0 ? "a" : "b", i % 3 == 0);
-            exchangeHeartbeat(all.back());
+            workers.emplace_back("n-" + std::to_string(i), i % 2 == 0 ? "a" : "b", i % 3 == 0);
+            exchangeHeartbeat(workers.back());
         }
         JobSpec filler = testing::spec("run-0", static_cast<std::uint32_t>(machines) * 2 - 4);
         filler.team = "green";
@@ -916,26 +932,28 @@
         place();
         commit();
         for (int round = 0; round < 3; ++round)
-            for (auto& w : all) exchangeHeartbeat(w);
+            for (auto& worker : workers) exchangeHeartbeat(worker);
         EXPECT_EQ(cluster->find("run-0")->runningCount, filler.tasks);
-        place();  // sees what the launches changed
+        place();  // processes the changes from the launches
         std::uint64_t before = cluster->visitedMachines();
-        for (auto& w : all) exchangeHeartbeat(w);
+        for (auto& worker : workers) exchangeHeartbeat(worker);
         place();
-        EXPECT_EQ(cluster->visitedMachines(), before) << "beats that tell nothing new";
+        EXPECT_EQ(cluster->visitedMachines(), before)
+            << "heartbeats without changes visit no machine";
         JobSpec web = testing::spec("run-1", 3);
         web.team = "green";
         submit(web);
         before = cluster->visitedMachines();
         place();
         EXPECT_EQ(cluster->find("run-1")->boundCount, 3U);
-        JobSpec more = testing::spec("run-2", 500);  // all is full: nothing is found, cheaply
+        // The cluster is full: few visits are enough to find that out.
+        JobSpec more = testing::spec("run-2", 500);
         more.team = "green";
         submit(more);
         place();
         return cluster->visitedMachines() - before;
     };
-    const auto small = looksIn(20), large = looksIn(2000);
+    const auto small = visitsIn(20), large = visitsIn(2000);
     EXPECT_LE(large, small + 4);
     EXPECT_LE(large, 30U);
 }
