--- a/src/autoscaler/autoscaler.h
+++ b/src/autoscaler/autoscaler.h
@@ -65,26 +65,27 @@
     double ordinaryForOpportunistic = 0;
 };
 
-/// See the top of this file.
+/// Plans which machines to create, probe and delete. See the top of this file.
 class Autoscaler {
   public:
     /// `now`: the beginning of the leader's term. The cluster must live as long as the autoscaler.
     explicit Autoscaler(scheduler::Cluster& cluster, TimePoint now)
         : cluster_(cluster), startedAt_(now) {}
-    /// A complete list of the machines in the cloud has arrived.
+    /// Takes in a complete list of the machines in the cloud.
     void onMachineList(const std::vector<ListedMachine>& all, TimePoint now);
     /// Decides what to do next. Each of the plan's scale-out requests must be followed by
     /// onScaledOut() or onScaleOutFailed(); until then its machines count as being created.
     ScalingPlan plan(TimePoint now);
-    /// The cloud has created machines, perhaps fewer than requested.
+    /// Records the machines that the cloud has created for a request, perhaps fewer than requested.
     void onScaledOut(const ScaleOutRequest& request, const std::vector<std::string>& names,
                      TimePoint now);
-    /// `refused`: the cloud has created nothing under this request ID and will not do so. Otherwise
-    /// the outcome is unknown, and the request is sent again under the same ID.
+    /// Records that a scale-out request failed. `refused`: the cloud has created nothing under this
+    /// request ID and will not do so. Otherwise the outcome is unknown, and the request is sent
+    /// again under the same ID.
     void onScaleOutFailed(const ScaleOutRequest& request, bool refused, TimePoint now);
-    /// The cloud has deleted the machines.
+    /// Records that the cloud has deleted the machines.
     void onTerminated(const std::vector<std::string>& names, TimePoint now);
-    /// Observed boot times; the caller keeps them in the state service.
+    /// The observed boot times, which the caller keeps in the state service.
     runtime_statistics::RuntimeStatistics& statistics() { return statistics_; }
 
   private:
@@ -92,39 +93,42 @@
     struct BootingMachine {
         Pool pool;
         TimePoint requestedAt;
-        bool starting = true;  // by the cloud's list
+        bool starting = true;  // according to the cloud's list
     };
     /// The work of one job class and what it needs.
     struct ClassDemand {
-        /// An objective wants tasks of this class to start sooner than a new machine is ready, so
-        /// that idle capacity is worth its price.
+        /// Whether an objective requires tasks of this class to start sooner than a new machine is
+        /// ready, so that idle capacity is worth its price.
         bool wantsWarmCapacity = false;
         bool opportunistic = false;
         bool spotAllowed = false;
         Resources perTask;
         double largestImageGb = 0;
-        /// Cores: wanted now, smoothed over time, the most ever wanted, and by the largest job.
+        /// Cores wanted now, the same smoothed over time, the most ever wanted, and those wanted by
+        /// the largest job.
         double currentCores = 0, smoothedCores = 0, peakCores = 0, largestJobCores = 0;
     };
 
     // Demand
     void measureDemand(TimePoint now);
-    /// For each team with a limit, which share of the cores that its jobs of each priority want
-    /// fits within the limit; the highest priority comes first.
+    /// Computes, for each team with a limit and each priority, which share of the cores that its
+    /// jobs of that priority want fits within the limit. Higher priorities are served first.
     void measureTeamLimits();
     /// The share of the job's cores that its team's limit lets run, from 0 to 1.
     [[nodiscard]] double shareWithinLimit(const Job& job) const;
-    /// The time from the request for a machine until a share `q` of the class's tasks that wait for
-    /// it run there, on the machine type that is ready soonest among those on which they fit.
+    /// The quantile `q` (0 to 1) of the time from the request for a machine until a task of the
+    /// class that waits for it runs there, for the machine type that is ready soonest among those
+    /// on which the task fits.
     [[nodiscard]] Duration startupTimeQuantile(const ClassDemand& c, double q) const;
     /// Whether the class has an objective that cannot be met by machines that are requested only
     /// when the work arrives.
     [[nodiscard]] bool needsWarmCapacity(const std::string& jobClass, const ClassDemand& c) const;
     /// Cores that must be added for waiting work with deadlines to start in time.
     [[nodiscard]] double missingCoresForDeadlines(TimePoint now) const;
-    /// Cores that opportunistic work needs, beyond what other work leaves idle, to be done in time:
-    /// either of the work that may use spot machines, or of the work that may not.
-    /// `spotUnavailable`: what runs on ordinary machines for lack of spot machines counts as well.
+    /// Cores that opportunistic work needs to be done in time, in addition to those that other work
+    /// leaves idle. `spotAllowed`: whether to count only the work that may use spot machines, or
+    /// only the work that may not. `spotUnavailable`: also counts work that runs on ordinary
+    /// machines for lack of spot machines.
     [[nodiscard]] double missingCoresForOpportunistic(bool spotAllowed, bool spotUnavailable,
                                                       TimePoint now) const;
     /// Whether the cloud has recently refused every pool of spot machines that spot work could use.
@@ -139,13 +143,13 @@
     // Scaling
     /// Adds the requests for the machines that are missing from the target.
     void scaleOut(TimePoint now, ScalingPlan& plan);
-    /// Drains machines that have been beyond the target for a while.
+    /// Drains machines that have exceeded the target capacity for a while.
     void scaleIn(TimePoint now);
     /// Moves work off draining machines, and deletes those that are empty.
     void evacuateDraining(TimePoint now);
     enum class MachineKind { ordinary, spot, ordinaryForSpotWork };
-    /// Requests machines with so many cores, the cheapest types first. Returns the cores that could
-    /// not be requested.
+    /// Requests machines with `cores` cores in total, the cheapest types first. Returns the cores
+    /// that could not be requested.
     double requestCores(double cores, MachineKind kind, TimePoint now, ScalingPlan& plan);
     std::string nextRequestId();
     /// Whether no request for the pool is open and none has been refused recently.
@@ -158,7 +162,8 @@
     struct Capacity {
         double ordinary = 0, spot = 0;
     };
-    /// `includePending`: also of machines that are booting or have been requested.
+    /// The cores that can be given work. `includePending`: also counts machines that are booting or
+    /// have been requested.
     [[nodiscard]] Capacity capacity(bool includePending) const;
     /// Whether a machine of the type is large enough for the spot work there is. Opportunistic work
     /// counts only if there is no other spot work.
@@ -178,7 +183,7 @@
     bool wantsWarmSpot_ = false;  // some class of spot work wants warm capacity
     std::map<MachineIndex, TimePoint> surplusSince_;
     std::map<std::string, BootingMachine> booting_;  // requested or listed, not up yet
-    std::map<Pool, TimePoint> backOffUntil_;         // after a refusal
+    std::map<Pool, TimePoint> backOffUntil_;         // after the cloud refused a request
     /// Requests whose answers were lost; they are sent again under the same request ID.
     std::map<Pool, ScaleOutRequest> unresolvedRequests_;
     std::map<Pool, ScaleOutRequest> requestsInFlight_;  // at most one for each pool
--- a/src/autoscaler/cloud_client.h
+++ b/src/autoscaler/cloud_client.h
@@ -18,23 +18,25 @@
     /// leadership may have ended while the call waited for its turn. The loop must live as long as
     /// the client.
     CloudClient(EventLoop& loop, const settings::Settings& settings, std::function<bool()> mayAct);
-    /// Nothing if there was no valid answer.
+    /// Reads the catalogue of machine types. Nothing if there was no valid answer.
     Task<std::optional<Catalogue>> fetchCatalogue(Scope& scope);
-    /// All machines, page by page. Nothing if there was no valid answer to one of the pages.
+    /// Lists all machines, page by page. Nothing if there was no valid answer to one of the pages.
     Task<std::optional<std::vector<ListedMachine>>> listMachines(Scope& scope);
-    /// `refused`: nothing was created. `unknown`: machines may have been created; repeating the
-    /// request under the same ID tells.
+    /// The outcome of a request for machines. `refused`: nothing was created. `unknown`: machines
+    /// may have been created; repeating the request under the same ID tells.
     enum class Answer { ok, refused, unknown };
     struct ScaleOutResult {
         Answer answer = Answer::unknown;
         std::vector<std::string> names;  // of the machines created, perhaps fewer than requested
     };
     Task<ScaleOutResult> createMachines(ScaleOutRequest wanted, Scope& scope);
-    /// True once the cloud has confirmed that the machines and everything on them are gone.
+    /// Deletes machines. True once the cloud has confirmed that the machines and everything on them
+    /// are gone.
     Task<bool> deleteMachines(std::vector<std::string> names, Scope& scope);
 
   private:
-    /// `reserve`: calls that must be left in the budget for more urgent ones.
+    /// Sends a call once the rate limit allows it. `reserve`: calls that must be left in the budget
+    /// for more urgent ones.
     Task<http::RequestOutcome> send(http::Request request, Scope& scope, double reserve = 0);
     EventLoop& loop_;
     http::Client http_;
--- a/src/autoscaler/failure_detection.cpp
+++ b/src/autoscaler/failure_detection.cpp
@@ -15,15 +15,15 @@
 
 namespace {
 /// An unresponsive machine whose lease runs out sooner than this is not deleted: its tasks are
-/// released with the lease about as soon.
+/// released about as soon by the end of the lease.
 constexpr Duration minLeaseLeftForRemoval = 10s;
 /// How much later than scheduled a report may arrive.
 constexpr Duration reportDelayAllowance = 1500ms;
 /// Unanswered probes after which a machine with an overdue report is removed.
 constexpr std::uint32_t probesBeforeRemoval = 2;
-/// Machines with unanswered probes from which on the other machines are probed as well.
+/// Once this many machines have unanswered probes, the other machines are probed as well.
 constexpr std::size_t fullProbeThreshold = 3;
-/// Probes in one plan to machines in unreachable zones.
+/// The most probes in one plan to machines in unreachable zones.
 constexpr std::size_t maxUnreachableZoneProbes = 5;
 constexpr std::size_t minSampleSize = 4;
 
@@ -32,13 +32,14 @@
 std::size_t maxFullProbeSize(std::size_t machineCount) {
     return std::max<std::size_t>(300, machineCount / 4);
 }
-/// The most machines in a sample. It grows with the fleet, for the same reason.
+/// The most machines in a sample. It grows with the fleet, so that a large fleet is also probed
+/// within one lease.
 std::size_t maxSampleSize(std::size_t machineCount) {
     return std::max<std::size_t>(24, machineCount / 80);
 }
 
-/// Just below the second between two regular plans: each of them probes a sample, but not the
-/// additional plans that are made when machines are found unresponsive.
+/// Slightly less than the 1 s between two regular plans: each regular plan probes a sample, but the
+/// additional plans that are made when machines are found unresponsive do not.
 constexpr Duration minSampleInterval = 900ms;
 /// A machine heard from within this time is almost certainly alive and is not probed. Also the
 /// least time between two full probes.
@@ -66,7 +67,7 @@
         }
         // Some machines never finish booting, and cost money until they are deleted. But the
         // cloud's list lags, so a machine that is up may still be listed as starting; and just
-        // after a change of leader, a machine that has not reported may only not have found the
+        // after a change of leader, a machine may not have reported because it has not found the
         // new leader yet. Deleting such machines once removed a whole fleet.
         const bool overdue =
             now - it->second.requestedAt > bootTime * 3 + settings.cloudListLag * 2;
@@ -105,14 +106,14 @@
             continue;
         }
         const TimePoint lastHeardAt = m.up() ? m.lastHeardAt : startedAt_;
-        // The time at which the cloud announced to take this spot machine back has passed, and the
-        // machine has been silent since: it has been taken back.
+        // The cloud announced when it would take this spot machine back. That time has passed and
+        // the machine has been silent since, so it has been taken back.
         if (m.interruptionAt && now > *m.interruptionAt + settings.heartbeatInterval &&
             now - m.lastHeardAt > settings.heartbeatInterval * 2) {
             toTerminate_.insert(m.name);
             continue;
         }
-        // A removal is worthwhile only if the machine's tasks would otherwise stay down for longer,
+        // Removing a machine is worthwhile only if its tasks would otherwise stay down for longer,
         // until its lease runs out. A machine without a known address cannot be probed.
         if (m.allocations.empty() || m.address.empty() ||
             cluster_.possiblyRunningUntil(m, now) - now <= minLeaseLeftForRemoval)
@@ -165,9 +166,9 @@
     for (std::size_t i = 0; i < sampleSize; ++i)
         plan.probeSample.push_back(sampleCandidates[i].second);
     // If more than half of a zone's machines seem to fail at once, a network partition or a lack of
-    // CPU time on this node is the likelier cause, whatever the probes say: the machines are well,
-    // and deleting them would be the damage. Machines removed within the last lease count as well,
-    // or a long partition would take the zone's machines a part at a time.
+    // CPU time on this node is the likelier cause, whatever the probes say: the machines are
+    // healthy, and deleting them would do the damage. Machines removed within the last lease count
+    // as well; otherwise a long partition would have the zone's machines removed a few at a time.
     while (!recentlyRemoved_.empty() && now - recentlyRemoved_.front().first > settings.lease)
         recentlyRemoved_.pop_front();
     for (const auto& [at, zone] : recentlyRemoved_) ++zones[zone].unresponsive;
--- a/src/controller/controller.cpp
+++ b/src/controller/controller.cpp
@@ -16,14 +16,17 @@
 const std::string heartbeatPath = "/agent/beat";
 constexpr Duration pledgeTimeout = 500ms;
 constexpr Duration peerStoreTimeout = 500ms;  // of a request relayed to the state service
-/// Of a request relayed to an agent; shorter than the peer waits for this node.
+/// Timeout of a request relayed to an agent; shorter than the time that the peer waits for this
+/// node.
 constexpr Duration peerCommandTimeout = 600ms;
-/// Silence after which a peer's version no longer holds back a new format of the stored state.
+/// A peer that has been silent for this long cannot prevent a new format of the stored state,
+/// whatever version it runs.
 constexpr Duration absentPeerTimeout = 8s;
 constexpr Duration userRequestTimeout = 4s;  // users wait for 5 s
-/// A relayed response about a job that may change is asked for again if it may be older than this.
+/// If a relayed response about a job that may still change can be older than this, the request is
+/// sent again.
 constexpr Duration maxResponseAge = 1s;
-/// From when no leader can be reached until this node reports that it cannot serve users.
+/// How long no leader can be reached before this node reports that it cannot serve users.
 constexpr Duration leaderLossTolerance = 4s;
 constexpr Duration resignationDelay = 100ms;  // for the resignation to reach the state service
 constexpr Duration delegationInterval = 500ms, delegationTimeout = 1s;
@@ -67,8 +70,8 @@
     return {request.method == "POST" ? Action::cancel : Action::wrongMethod, rest.substr(0, slash)};
 }
 
-/// Writes the jobs that wait for others: which ones, and how much time is left until the job could
-/// not be done in time any more.
+/// Writes the jobs that wait for dependencies: for each, its unfinished dependencies and its slack,
+/// the time by which its release may be delayed without missing its deadline.
 void writeBlockedJobs(json::Writer& out, const scheduler::Cluster& cluster, TimePoint now) {
     out.field("held", static_cast<std::uint64_t>(cluster.blockedJobs().size()))
         .key("waiting")
@@ -238,8 +241,8 @@
 
 Task<void> Controller::shutDown() {
     election_.resignPermanently();
-    // The resignation gets a moment to reach the state service, so that the next leader need not
-    // wait for this one's lease to run out.
+    // Gives the resignation time to reach the state service, so that the next leader need not wait
+    // until this node's lease runs out.
     Scope resignationScope(loop_);
     co_await loop_.sleep(resignationDelay, resignationScope);
     co_await abandon();
@@ -311,8 +314,8 @@
             jobs::parseJobState(forwarded.response->status, forwarded.response->body);
         for (auto [other, end] = pendingUserRequests_.equal_range(job); other != end; ++other)
             *other->second = std::max(*other->second, state);
-        // The leader's response may be delayed on its way here, while another response has told
-        // users a newer state of the job. Then the leader is asked again.
+        // The leader's response may have been delayed on its way here while another response showed
+        // users a newer state of the job. In that case the leader is asked again.
         const bool mayStillChange = state == JobState::unknown || state == JobState::open;
         const bool outdated = forwarded.relayed && mayStillChange &&
                               (state < newest || loop_.now() - sentAt > maxResponseAge);
@@ -331,7 +334,7 @@
             co_return ForwardResult{std::move(response), false};
         }
         const auto known = election_.knownLeader();
-        // If this leader has been asked already without an answer, it cannot be reached.
+        // A leader that left the previous attempt unanswered cannot be reached.
         if (!known || known->node == settings_.node || known->token == lastTriedToken) break;
         lastTriedToken = known->token;
         http::Request copy = request;
@@ -348,13 +351,15 @@
                                                          std::string agentAddress) {
     if (request.target != "/commands" && request.target != "/inspect")
         co_return jsonResponse(400, "{}");
-    // Not 502, which the peer would count as a sign that the machine is dead.
+    // Without a permit the status is 500, because the peer would count 502 as a sign that the
+    // machine is dead.
     const auto permit = relayPermits_.tryAcquire();
     if (!permit) co_return jsonResponse(500, R"({"error":"no socket to spare"})");
     http::Client client(loop_, agentAddress, 0);
     const TimePoint sentAt = loop_.now();
     auto outcome = co_await client.request(std::move(request), peerCommandTimeout, scope_);
-    // A node that was itself suspended meanwhile cannot tell whether the agent was unreachable.
+    // If this node was itself suspended during the request, it cannot tell whether the agent was
+    // unreachable.
     const bool thisNodeStalled = loop_.now() - sentAt > peerCommandTimeout + peerCommandTimeout / 4;
     if (!outcome.answered)
         co_return jsonResponse(outcome.sent ? 504 : thisNodeStalled ? 500 : 502, "{}");
@@ -480,9 +485,10 @@
     const bool sameZone = std::any_of(
         settings_.peers.begin(), settings_.peers.end(),
         [&](const auto& p) { return p.name == request.node && p.zone == settings_.zone; });
-    // A transfer is safe only if every node that may lead next takes transfers into account. This
-    // node may itself have been restarted during the partition and not know that of nodes beyond
-    // it; then it was enough if the node that transferred the delegation to it knew.
+    // A transfer is safe only if every node that may lead next takes transfers into account. If
+    // this node was itself restarted during the partition, it does not know that of the nodes on
+    // the other side. It then relies on the check by the node that transferred the delegation to
+    // it.
     if (!sameZone || !(delegate_.wasTransferred() || peers_.allSupportTransfers()))
         return std::nullopt;
     const auto known = election_.knownLeader();
@@ -504,12 +510,13 @@
     const auto known = election_.knownLeader();
     const bool leaderReachable = election_.leaseValid() || (known && peers_.connected(known->node));
     if (leaderReachable) leaderLastReachableAt_ = loop_.now();
-    // A short time without a leader does not count: the load balancer takes longer to return to
-    // a node than an election lasts. While no node leads, all nodes are equally good.
+    // A short time without a leader is tolerated, because the load balancer takes longer to return
+    // to a node than an election lasts. While no node leads, no node serves users better than
+    // another.
     const bool onlyThisNodeCutOff = election_.storeReachable() && known && !leaderReachable;
-    // A node that is cut off from everything but its users has to say so: users who keep their
-    // connection to it would be refused for as long as the partition lasts, and their jobs would be
-    // lost.
+    // A node that is cut off from everything but its users has to report it. Otherwise users who
+    // keep their connection to it would be refused for as long as the partition lasts, and their
+    // jobs would be lost.
     const bool isolated = !leaderReachable && !election_.storeReachable() &&
                           !settings_.peers.empty() &&
                           std::none_of(settings_.peers.begin(), settings_.peers.end(),
--- a/src/controller/controller.h
+++ b/src/controller/controller.h
@@ -1,7 +1,7 @@
 #pragma once
 // One controller: the process that takes part in the election and serves users and agents.
 //
-// Every controller answers HTTP requests. The leader answers by its `LeaderTerm`; the others
+// Every controller answers HTTP requests. The leader answers through its `LeaderTerm`; the others
 // forward requests to the leader over `PeerRpc`, and may answer heartbeats for a silent leader by a
 // delegation (`lease_delegation::Delegate`). Controllers also relay requests for peers that cannot
 // reach the state service or an agent themselves. Created by main() and by the simulator; all of it
@@ -18,11 +18,11 @@
 
 namespace basaltchute::controller {
 
-/// Serves users and agents, and follows or leads; see the top of this file.
+/// Serves users and agents, as the leader or as a follower. See the top of this file.
 class Controller : private LeaderElectionListener, private ElectionPeers {
   public:
-    /// `incarnation`: a random name of this process, which tells it from earlier ones on the same
-    /// node. The loop must outlive the controller.
+    /// `incarnation`: a random name of this process, which distinguishes it from earlier processes
+    /// on the same node. The loop must outlive the controller.
     Controller(EventLoop& loop, settings::Settings settings,
                settings::OperatorSettings operatorSettings, const std::string& incarnation);
     /// Starts listening, connecting to peers, and the election. Throws std::system_error if an
@@ -30,7 +30,8 @@
     void start();
     /// Resigns the leadership, ends every duty and stops the event loop.
     Task<void> shutDown();
-    /// Ends every duty without resigning, as if the process had been killed: its lease runs on.
+    /// Ends every duty without resigning, as if the process had been killed: a leader's lease stays
+    /// valid until it runs out.
     Task<void> abandon() { return scope_.cancelAndWait(); }
 
   private:
@@ -56,13 +57,13 @@
     Task<http::Response> relayPeerRequestToAgent(http::Request request, std::string agentAddress);
     struct ForwardResult {
         std::optional<http::Response> response;  // nothing if none came in time
-        bool relayed = false;  // from another node: it may be as old as the request is
+        bool relayed = false;  // came from another node: may be as old as the request
     };
-    /// Hands a request to the leader, be it this node or another. If another node is elected
+    /// Passes a request to the leader, which may be this node. If another node is elected
     /// meanwhile, the request is sent again, to the new leader.
     Task<ForwardResult> forwardToLeader(http::Request request, Duration timeout);
-    /// Forwards a user's request about a job, and repeats it if the response may be older than what
-    /// users were told of the job meanwhile.
+    /// Forwards a user's request about a job. Sends it again if users may have been told a newer
+    /// state of the job in the meantime than the response shows.
     Task<http::Response> forwardUserRequest(http::Request request, JobId job);
     /// Answers a user's request or a heartbeat as the leader; 503 if this node does not lead.
     Task<http::Response> serveAsLeader(http::Request request);
@@ -72,14 +73,14 @@
     Task<http::Response> handleHeartbeat(http::Request request);
     /// Requests a delegation from the leader at intervals, while it can be reached.
     Task<void> refreshDelegation();
-    /// Requests a transfer of their delegation from the other nodes of this node's zone: this node
-    /// was restarted during a partition and has none.
+    /// Asks the other nodes of this node's zone to transfer their delegation to it. For a node that
+    /// was restarted during a partition and so has no delegation.
     Task<void> requestTransfer();
     /// Transfers this node's delegation to a node of its zone that has none; nothing if it has no
     /// delegation itself, hears its leader, or may not transfer it.
     std::optional<lease_delegation::Delegation> transferDelegation(
         const lease_delegation::DelegationRequest& request);
-    /// Answers a heartbeat in a silent leader's name, without commands; nothing if no delegation
+    /// Answers a heartbeat on behalf of a silent leader, without commands; nothing if no delegation
     /// allows it.
     std::optional<http::Response> answerAsDelegate(const worker_api::StatusReport& report);
     /// For the load balancer: 503 while this node cannot serve users.
@@ -98,11 +99,12 @@
     std::shared_ptr<LeaderTerm> term_;
     lease_delegation::Delegate delegate_;
     Semaphore relayPermits_;            // one for each request relayed to an agent for a peer
-    bool answeringAsDelegate_ = false;  // as last logged
+    bool answeringAsDelegate_ = false;  // as stated by the latest log line
     /// Peers that have said since this process started that they do not lead.
     std::set<std::string> followerPeers_;
-    /// Users' requests that the leader has not answered yet, by job. Each points to the most
-    /// advanced state of the job that any response through this node showed since it was sent.
+    /// Users' requests that the leader has not answered yet, by job. Each entry points to the most
+    /// advanced state of the job that any response through this node has shown since that request
+    /// was sent.
     std::unordered_multimap<JobId, jobs::JobState*> pendingUserRequests_;
     TimePoint leaderLastReachableAt_;
 };
--- a/src/controller/leader_term.cpp
+++ b/src/controller/leader_term.cpp
@@ -11,18 +11,18 @@
 using namespace std::chrono_literals;
 
 namespace {
-/// Until a user whose request is not durable yet is told to try again.
+/// How long a user's request waits to become durable before the user is told to try again.
 constexpr Duration durabilityTimeout = 3s;
 constexpr Duration loadRetryDelay = 200ms;
 constexpr Duration commandTimeout = 2s;
 constexpr Duration probeTimeout = 900ms;
-constexpr std::size_t maxProbes = 3;  // in a row; then a silent machine counts as dead
+constexpr std::size_t maxProbes = 3;  // in a row; a machine that answers none counts as dead
 constexpr Duration autoscalerInterval = 1s;
-/// From an unanswered probe until the next autoscaler pass. Machines that fail together are noticed
-/// within moments of each other; one pass then handles all of them.
+/// Delay between an unanswered probe and the next autoscaler pass. Machines that fail together are
+/// noticed shortly after each other; the delay lets one pass handle all of them.
 constexpr Duration autoscalerBatchDelay = 250ms;
 constexpr Duration schedulerInterval = 250ms;
-/// Between two scheduler passes, so that one pass serves many heartbeats.
+/// Delay between two scheduler passes, so that one pass serves many heartbeats.
 constexpr Duration schedulerBatchDelay = 10ms;
 /// Tasks that one scheduler pass places before heartbeats and users' requests get their turn.
 constexpr std::size_t placementBatchSize = 64;
@@ -99,7 +99,7 @@
 
 Task<void> LeaderTerm::load() {
     while (!scope_.cancelled()) {
-        // Nobody else writes meanwhile: former leaders are fenced by this leader's key.
+        // No other node writes during the load: former leaders are fenced by this leader's key.
         kv_store::ListResult jobRecords = co_await store_.list(jobs::jobKeyPrefix, scope_);
         kv_store::ListResult pageRecords;
         if (jobRecords.status == kv_store::Status::ok)
@@ -159,7 +159,7 @@
 Task<void> LeaderTerm::tryRaiseFormat() {
     raisingFormat_ = true;
     const bool enabled = co_await ensurePagedFormat();
-    // Most likely some node runs an older version: a later write tries again.
+    // Most likely some node runs an older version. applyEffects() below tries again.
     if (!enabled) co_await loop_.sleep(formatRetryDelay, scope_);
     raisingFormat_ = false;
     if (!scope_.cancelled()) applyEffects();
@@ -171,8 +171,8 @@
             co_await loop_.wait(schedulerWoken_, loop_.now() + schedulerInterval, scope_);
         if (scope_.cancelled()) break;
         schedulingRequested_ = false;
-        // The process may have been suspended: a decision made without a valid lease would never
-        // be carried out.
+        // The process may have been suspended for longer than its lease. A decision made without a
+        // valid lease would never be carried out.
         if (!mayAct()) {
             co_await loop_.sleep(schedulerInterval, scope_);
             continue;
@@ -218,7 +218,8 @@
                                       result.mayExecuteLater || (outcome.sent && !answered));
         wakeScheduler();
         if (!answered) {
-            // Often the first sign that a machine is dead, seconds before its heartbeat is late.
+            // An unanswered command is often the first sign that a machine is dead, seconds before
+            // its heartbeat is late.
             if (result.machineUnreachable) cluster_.onProbeUnanswered(machine);
             co_return;
         }
@@ -250,7 +251,7 @@
         if (outcome.answered && outcome.response.status == 200 &&
             applyReportInResponse(outcome.response.body))
             wakeScheduler();
-        // The machine counts as unreachable only if others in its zone answer.
+        // `machineUnreachable` is set only if other machines in the zone answer.
         if (!result.machineUnreachable) break;
         cluster_.onProbeUnanswered(machine);
         probeUnanswered_.notify();
@@ -293,9 +294,9 @@
         const autoscaler::ScalingPlan plan = autoscaler_.plan(loop_.now());
         for (const auto& request : plan.scaleOut) scope_.spawn(scaleOut(request));
         for (const MachineIndex machine : plan.probe) scope_.spawn(probeSilentMachine(machine));
-        // While this node is cut off from a zone, probes go through a peer, and one without an
-        // answer is no evidence that its machine is dead: probing a whole zone once overloaded the
-        // peer, and 140 healthy machines were given up.
+        // While this node is cut off from a zone, probes go through a peer, and an unanswered probe
+        // is no evidence that the machine is dead: probing a whole zone once overloaded the peer,
+        // and 140 healthy machines were taken for dead.
         for (const MachineIndex machine : plan.probeSample)
             if (!commandSender_.directPathFailing(cluster_.machines()[machine].zone))
                 scope_.spawn(probeSilentMachine(machine));
@@ -303,9 +304,10 @@
             const TimePoint requestedAt = loop_.now();
             const bool terminated = co_await cloud_.deleteMachines(plan.terminate, scope_);
             if (scope_.cancelled()) co_return;
-            spdlog::debug("{}: count={} duration={:.2f}s",
-                          terminated ? "machines terminated" : "machines not terminated",
-                          plan.terminate.size(), toSeconds(loop_.now() - requestedAt));
+            spdlog::debug(
+                "{}: count={} duration={:.2f}s",
+                terminated ? "machines terminated" : "machine termination is not confirmed",
+                plan.terminate.size(), toSeconds(loop_.now() - requestedAt));
             if (terminated) {
                 autoscaler_.onTerminated(plan.terminate, loop_.now());
                 wakeScheduler();
@@ -334,7 +336,8 @@
 }
 
 Task<void> LeaderTerm::loadStatistics() {
-    // One record for each machine type. Earlier versions wrote a single one, under statisticsKey.
+    // One record for each machine type. Earlier versions wrote a single record, under
+    // statisticsKey.
     const auto found = co_await store_.list(statisticsKey, scope_);
     for (const auto& item : found.entries) {
         writer_.setKnownRevision(item.key, item.revision);
@@ -406,7 +409,8 @@
         case Kind::isService:
             co_return rejected("is a service, which is never done");
         case Kind::notYetAccepted:
-            co_return serviceUnavailable();  // it is not known yet whether it was accepted
+            // It is not known yet whether the dependency was accepted.
+            co_return serviceUnavailable();
         case Kind::none:
             break;
     }
@@ -445,7 +449,8 @@
         }
         job = cluster_.find(spec.id);
         isNew = true;
-        // Placed before the first write, so that one write holds both acceptance and bindings.
+        // Tasks are placed before the first write, so that one write holds both acceptance and
+        // bindings.
         if (cluster_.hasPlaceableWork() && cluster_.place(loop_.now(), placementBatchSize))
             wakeScheduler();
         applyEffects();
@@ -453,8 +458,8 @@
     const bool accepted = co_await waitUntilDurable([job] { return job->accepted(); });
     if (!accepted) co_return serviceUnavailable();
     spdlog::debug("job accepted: job={}", job->spec.id);
-    // A job that depends on a cancelled one is cancelled from the start. It must not be reported as
-    // pending long after the user was told of that cancellation.
+    // A job that depends on a cancelled job is cancelled on submission. It must not be reported as
+    // pending long after the user was told that the other job is cancelled.
     auto response = co_await query(job->spec.id);
     if (isNew && response.status == 200) response.status = 201;
     co_return response;
@@ -504,11 +509,11 @@
     const lease_delegation::DelegationRequest& request, bool peersSupportDelegations) {
     if (!ready()) return std::nullopt;
     const TimePoint now = loop_.now();
-    const TimePoint cap = peersSupportDelegations
-                              ? cluster_.latestDelegationEnd(delegator_.zoneOf(request.node), now)
-                              : TimePoint{};
-    const auto delegation = delegator_.handleRequest(request, cap, now);
-    wakeScheduler();  // a cancellation or a silent machine may be decided by what the node reports
+    const TimePoint latestEnd =
+        peersSupportDelegations ? cluster_.latestDelegationEnd(delegator_.zoneOf(request.node), now)
+                                : TimePoint{};
+    const auto delegation = delegator_.handleRequest(request, latestEnd, now);
+    wakeScheduler();  // the request may end the wait for a cancellation or a silent machine's lease
     return delegation;
 }
 
--- a/src/controller/leader_term.h
+++ b/src/controller/leader_term.h
@@ -1,5 +1,5 @@
 #pragma once
-// One term of leadership: all that a controller does only while it leads.
+// One term of leadership: everything that a controller does only while it is the leader.
 //
 // Connects the scheduler (`scheduler::Cluster`, which decides and does no input or output) with the
 // outside: loads the stored records and writes changed ones, answers users' requests and agents'
@@ -26,16 +26,16 @@
         worker_api::CommandSender::Relay relay;
         /// Called once all records are loaded: from then on requests can be answered.
         std::function<void()> onLoaded;
-        /// Whether this node is connected to that node.
+        /// Whether this node is connected to the named peer.
         std::function<bool(const std::string&)> peerConnected;
         /// How long ago this node last answered an agent by a delegation.
         Duration timeSinceDelegationUse{};
-        /// Whether every other node can read that format of the stored state. Nodes that have been
-        /// silent for long do not count.
+        /// Whether every peer can read the given format of the stored state. Peers that have been
+        /// silent for long are ignored.
         std::function<bool(unsigned format)> peersSupportFormat;
     };
-    /// All that is passed by reference must outlive the term. `fence`: a precondition of every
-    /// write, which fails once another node was elected.
+    /// Everything passed by reference must outlive the term. `fence` is a precondition of every
+    /// write; it fails once another node has been elected.
     LeaderTerm(EventLoop& loop, const settings::Settings& settings,
                const settings::OperatorSettings& operatorSettings, kv_store::Client& store,
                LeaderElection& election, kv_store::Precondition fence, Hooks hooks);
@@ -43,8 +43,8 @@
     void start();
     /// Cancels every duty and returns when all have ended.
     Task<void> end() { return scope_.cancelAndWait(); }
-    /// Whether this node leads, and still by the election that this term belongs to: if it lost the
-    /// lead and was elected again, what the earlier term knows is outdated.
+    /// Whether this node leads and this is its current term. A term of an earlier election may not
+    /// act even if the node has been elected again, because its state is outdated.
     [[nodiscard]] bool mayAct() const {
         return election_.leaseValid() && election_.token() == cluster_.token();
     }
@@ -66,14 +66,14 @@
     /// Applies an agent's heartbeat and answers it with the commands for that machine; 503 if the
     /// term may not act. Before the records are loaded the answer has no commands.
     http::Response handleHeartbeat(const worker_api::StatusReport& report);
-    /// Answers a node's request for the right to answer heartbeats while this leader is silent;
-    /// nothing while the term is not ready. Nothing new is delegated unless
-    /// `peersSupportDelegations`: all connected peers support delegations, and would take this one
-    /// into account if they lead next.
+    /// Answers a node's request for a delegation, the right to answer heartbeats while this leader
+    /// is silent. Returns nothing while the term is not ready. `peersSupportDelegations`: whether
+    /// all connected peers support delegations, and so would take this one into account if they
+    /// lead next; otherwise nothing new is delegated.
     std::optional<lease_delegation::Delegation> handleDelegationRequest(
         const lease_delegation::DelegationRequest& request, bool peersSupportDelegations);
-    /// Until when this node may go on answering its zone's agents after its leadership has ended,
-    /// by what it delegated to itself.
+    /// Until when this node may go on answering the heartbeats of its zone's agents after its
+    /// leadership has ended, by the delegation that it issued to itself.
     [[nodiscard]] TimePoint selfDelegationEnd() const {
         return delegator_.delegationEndOf(settings_.node);
     }
@@ -92,17 +92,17 @@
     /// Applies the status report in an agent's response; false if the report made this node step
     /// down.
     bool applyReportInResponse(const std::string& body);
-    /// Asks a silent machine for a report, several times in a row, so that a dead machine is told
-    /// from a late one within one or two seconds.
+    /// Asks a silent machine for a report, several times in a row, so that within one or two
+    /// seconds a dead machine can be distinguished from one whose heartbeat is late.
     Task<void> probeSilentMachine(MachineIndex machine);
-    /// Asks a machine for a report whose heartbeats arrive but which does not act on the responses.
-    /// If it does not answer, that does not count as evidence that it is dead.
+    /// Asks for a report from a machine whose heartbeats arrive but which does not act on the
+    /// responses. An unanswered probe does not count as evidence that the machine is dead.
     Task<void> probeInboundPartition(MachineIndex machine);
     Task<void> runAutoscaler();
     /// Tells the cluster which zones are cut off: neither their agents nor their controllers can be
     /// reached.
     void updateUnreachableZones();
-    /// Encodes a job's record, or one of the runtime statistics.
+    /// Encodes the record to store under the key: one of a job, or one with runtime statistics.
     std::optional<kv_store::EncodedRecord> encode(const std::string& key) override;
     void onCommitted(const std::string& key, std::uint64_t version) override;
     void onWriteFailed() override { recordWritten_.notify(); }
@@ -121,11 +121,12 @@
     void wakeScheduler();
     /// Carries out what the cluster asks for: writes, commands and probes.
     void applyEffects();
-    /// True once records may be written that only format 2 of the stored state has. Raises the
-    /// stored format for that if all nodes can read it and the operators' settings allow it.
+    /// Raises the stored state to format 2, which adds job dependencies and record pages, if all
+    /// nodes can read that format and the operators' settings allow it. Returns whether such
+    /// records may be written now.
     Task<bool> ensurePagedFormat();
-    /// Calls ensurePagedFormat() for records that can be written in that format only. After a
-    /// failure it is called again with a later write.
+    /// Calls ensurePagedFormat() because some record can only be written in format 2. After a
+    /// failure it tries again after `formatRetryDelay`.
     Task<void> tryRaiseFormat();
     /// The response that refuses a submission for its dependencies; nothing if they are valid.
     Task<std::optional<http::Response>> checkDependencies(const JobSpec& spec);
@@ -144,7 +145,7 @@
     autoscaler::CloudClient cloud_;
     autoscaler::Autoscaler autoscaler_;
     worker_api::CommandSender commandSender_;
-    std::set<MachineIndex> probedMachines_;  // by probeSilentMachine(), at this moment
+    std::set<MachineIndex> probedMachines_;  // by probeSilentMachine(), at present
     std::function<void()> onLoaded_;
     std::function<bool(const std::string&)> peerConnected_;
     std::function<bool(unsigned)> peersSupportFormat_;
--- a/src/scheduler/allocations.cpp
+++ b/src/scheduler/allocations.cpp
@@ -16,7 +16,7 @@
 using worker_api::Presence;
 
 namespace {
-constexpr Duration leaseMargin = 500ms;  // added to the end of a lease, beside clock drift
+constexpr Duration leaseMargin = 500ms;  // added to a lease, in addition to clock drift
 constexpr Duration interruptionMargin =
     2500ms;  // from the end of a checkpoint until the machine is lost
 constexpr Duration delegationRecheckInterval = 500ms;
@@ -42,8 +42,8 @@
     ++t.attempt;
     ++job.boundCount;
     updateWaitingList(job);
-    // Bindings of low-priority work only use the write rate that other writes leave: a large array
-    // once delayed the bindings of all other jobs.
+    // Bindings of low-priority work are written only at the rate that other writes leave unused: a
+    // large array once delayed the bindings of all other jobs.
     markTaskDirty(job, task,
                   job.effectivePriority == Priority::low ? WritePriority::background
                                                          : WritePriority::immediate);
@@ -111,7 +111,7 @@
     const Allocation* allocation = m.findAllocation(job, task, t.attempt);
     if (allocation != nullptr && !allocation->state.launchSent()) {
         // The launch was never sent, so there is nothing to stop and the machine will report
-        // nothing. Marked as stopping, such a task once kept its resources for good.
+        // nothing. Such a task was once marked as stopping and never released its resources.
         releaseAllocation(t.machine, static_cast<std::size_t>(allocation - m.allocations.data()));
         return;
     }
@@ -139,7 +139,7 @@
     releaseAllAllocations(machine);
     quota_.removeMachine(machine, m);
     // The machine itself stays registered, so that a late report does not bring it back. What was
-    // known of its contents is dropped.
+    // known about its images and tasks is discarded.
     m.cachedImages.clear();
     m.tombstones.clear();
     m.terminalStatuses.clear();
@@ -188,7 +188,7 @@
         if (!isCurrentAllocation(allocation, machine) || task.stopping ||
             spec.checkpointIntervalS <= 0)
             continue;
-        // Stops the task as late as its checkpoint allows, since it may finish before.
+        // The task is stopped as late as its checkpoint allows, since it may finish before that.
         const TimePoint latestStop =
             until - fromSeconds(spec.checkpointDurationS) - interruptionMargin;
         if (now < latestStop)
--- a/src/scheduler/cluster.h
+++ b/src/scheduler/cluster.h
@@ -80,22 +80,22 @@
     }
 
     // Records
-    /// Takes in one stored record. Must be called for each record under both key prefixes of jobs,
-    /// in any order, and before `finishLoading`. Returns false if the record is malformed.
+    /// Loads one stored record. Must be called for each record under both key prefixes of jobs, in
+    /// any order, and before `finishLoading`. Returns false if the record is malformed.
     bool loadRecord(const std::string& key, const std::string& data, TimePoint now,
                     WallMillis wall);
     /// Restores the state from the loaded records. Must be called once, after all of them.
     void finishLoading(TimePoint now);
-    /// Whether some record of the job could not be read. Such a job is known to exist and nothing
-    /// more: none of its tasks is started, and no client may be told that it does not exist.
+    /// Whether some record of the job could not be read. Nothing is known of such a job but that it
+    /// exists: none of its tasks is started, and no client may be told that it does not exist.
     [[nodiscard]] bool isUnreadable(const JobId& id) const { return unreadableJobs_.contains(id); }
-    /// The record to write under the key now. Empty if its contents are written under other keys by
-    /// now, or if it cannot be written yet.
+    /// Encodes the record to write under the key now. Empty if its contents have since moved to
+    /// other keys, or if it cannot be written yet.
     [[nodiscard]] std::optional<kv_store::EncodedRecord> encode(const std::string& key);
-    /// That version of the record is durable.
+    /// Records that the given version of the record is durable.
     void onRecordCommitted(const std::string& key, std::uint64_t version);
-    /// The state service rejected a value of that many bytes. Lowers the size limit and writes the
-    /// record in smaller parts.
+    /// Handles the state service's rejection of a value of `bytes` bytes: lowers the size limit and
+    /// writes the record in smaller parts.
     void onRecordTooLarge(const std::string& key, std::size_t bytes);
     /// Allows records that versions without dependencies and record pages cannot read. Cannot be
     /// undone.
@@ -132,8 +132,8 @@
     /// cancellation is committed, and may then be acknowledged, once every task that may still be
     /// running is certain to end within the time that users are promised (`cancelWithin`).
     void cancel(Job& job, TimePoint now);
-    /// A user is being told that the job is cancelled. From then on whatever may still be running
-    /// must end within `cancelWithin`.
+    /// Records that a user is being told that the job is cancelled. From then on whatever may still
+    /// be running must end within `cancelWithin`.
     void acknowledgeCancellation(Job& job, TimePoint now) {
         if (!job.acknowledgedAt) job.acknowledgedAt = now;
     }
@@ -143,27 +143,27 @@
     [[nodiscard]] Duration timeUntilAcknowledgeable(const Job& job, TimePoint now) const;
 
     // Estimates
-    /// The time from the job's release until its last task is done.
+    /// The estimated time from the job's release until its last task is done.
     [[nodiscard]] Duration estimatedDuration(const JobSpec& spec) const;
-    /// When a blocked job will be released, by the same estimates. A day ahead if its chain of
-    /// dependencies is very long or contains a job that is not on record.
+    /// When a blocked job is expected to be released. A day ahead if its chain of dependencies is
+    /// very long or contains a job that is not on record.
     [[nodiscard]] TimePoint expectedRelease(const Job& job, TimePoint now) const;
     /// How much later a blocked job could be released and still meet its first deadline, by the
     /// estimates. Empty if neither the job nor its dependents have a deadline.
     [[nodiscard]] std::optional<Duration> slack(const Job& job, TimePoint now) const;
-    /// `RuntimeEstimates::arrivalLeadTime`.
+    /// See `RuntimeEstimates::arrivalLeadTime`.
     [[nodiscard]] Duration arrivalLeadTime(const std::string& jobClass) const {
         return estimates_.arrivalLeadTime(jobClass);
     }
-    /// How long one task of the job runs: its owner's estimate times the observed bias of its
-    /// class.
+    /// The estimated run time of one task of the job: its owner's estimate times the observed bias
+    /// of its class.
     [[nodiscard]] Duration estimatedRunTime(const JobSpec& spec) const {
         return estimates_.estimatedRunTime(spec);
     }
 
     // Lease delegation
-    /// Sets what knows of the delegates: controllers that may answer the heartbeats of their zone
-    /// for a silent leader, and so renew leases. The delegator must outlive the cluster.
+    /// Sets the delegator, which knows the delegates: controllers that may answer the heartbeats of
+    /// their zone for a silent leader, and so renew leases. The delegator must outlive the cluster.
     void setDelegator(lease_delegation::Delegator& delegator) { delegator_ = &delegator; }
     /// Until when a delegate in the zone may answer workers. If it did so for longer, a task whose
     /// job's cancellation was acknowledged could outlive the time promised to its user.
@@ -194,19 +194,20 @@
     /// The commands to send to the machine in a direct request now. Empty while another direct
     /// request to it is in flight. `onDirectCommandEnded` must follow if there are any.
     std::vector<worker_api::Command> takeDirectCommands(MachineIndex machine, TimePoint now);
-    /// The direct request has ended. `unanswered`: it was sent but not answered, so that the
-    /// machine may still execute a copy of it.
+    /// Records that a direct request to the machine has ended. `unanswered`: it was sent but not
+    /// answered, so that the machine may still execute a copy of it.
     void onDirectCommandEnded(MachineIndex machine, bool unanswered);
-    /// A probe of an unresponsive machine was not answered.
+    /// Records that a probe of the machine was not answered.
     void onProbeUnanswered(MachineIndex machine) { ++machines_[machine].unansweredProbes; }
-    /// Where the cloud lists a machine. It can be probed there before its first report.
+    /// Sets the address and zone under which the cloud lists the machine, so that it can be probed
+    /// before its first report.
     void setAddress(MachineIndex machine, const std::string& address, const std::string& zone) {
         worker_api::Machine& m = machines_[machine];
         m.listedZone = zone;
         if (!m.up()) m.address = address;
     }
-    /// The cloud has deleted the machine. Everything on it is released, and later reports of it are
-    /// ignored.
+    /// Handles the deletion of the machine by the cloud: releases everything on it, and ignores its
+    /// later reports.
     void onMachineDeleted(MachineIndex machine, TimePoint now);
     /// Sets whether the machine is to be terminated. A draining machine gets no more work.
     void setDraining(MachineIndex machine, bool draining);
@@ -232,8 +233,9 @@
     /// Whether a placement pass could achieve anything that the last one could not.
     [[nodiscard]] bool hasPlaceableWork();
     /// Stops one service replica on a machine that is to be terminated, so that it starts again on
-    /// another one. Only if that one has its image and the capacity: the replica is then away for a
-    /// moment only. Does nothing while something on the machine is still stopping.
+    /// another one. Does so only if that machine has its image and the capacity, so that the
+    /// replica is away for a moment only. Does nothing while something on the machine is still
+    /// stopping.
     void migrateReplica(MachineIndex machine, TimePoint now);
     /// Stops opportunistic tasks that write checkpoints on a machine that is to be terminated.
     void stopOpportunisticTasks(MachineIndex machine);
@@ -302,8 +304,8 @@
     /// Cancels a job because one of its dependencies was cancelled.
     void cancelWithDependency(Job& job, const JobId& dependency);
     void applyInheritedUrgency(Job& job);
-    /// Follow the chain of dependencies for at most `depth` jobs. Beyond that they assume a release
-    /// far in the future.
+    /// These two follow the chain of dependencies for at most `depth` jobs. Beyond that they assume
+    /// a release far in the future.
     [[nodiscard]] TimePoint expectedReleaseUpToDepth(const Job& job, TimePoint now,
                                                      unsigned depth) const;
     [[nodiscard]] TimePoint expectedEndUpToDepth(const Job& job, TimePoint now,
@@ -345,8 +347,8 @@
     void stopTaskOrGang(Job& job, std::uint32_t task);
     void stopTask(Job& job, std::uint32_t task);
     using TaskList = std::vector<std::pair<Job*, std::uint32_t>>;
-    /// Stopping a task may release allocations, so callers that iterate over those collect the
-    /// tasks first and stop them afterwards.
+    /// Stops several tasks. Stopping a task may release allocations, so callers that iterate over
+    /// those collect the tasks first and stop them afterwards.
     void stopTasks(const TaskList& tasks);
 
     // Timers
@@ -363,7 +365,7 @@
     // Reconciliation: the steps of processing a status report
     /// Records the machine's properties, which are unknown until it first reports.
     void onFirstReport(MachineIndex machine, const worker_api::StatusReport& r, TimePoint now);
-    /// The agent has restarted: everything that its former incarnation ran is gone.
+    /// Handles a restart of the agent: everything that its former incarnation ran is gone.
     void onNewIncarnation(MachineIndex machine, TimePoint now);
     /// Accepts results, and nothing else, from a report of an incarnation that has ended.
     void acceptLateResults(MachineIndex machine, const worker_api::StatusReport& r, TimePoint now);
@@ -379,7 +381,7 @@
     worker_api::Allocation& adoptReported(MachineIndex machine, Job& job,
                                           const worker_api::ReportedTask& t);
     void onTaskExited(MachineIndex machine, const worker_api::ReportedTask& t, TimePoint now);
-    /// An attempt ended successfully.
+    /// Records the result of an attempt that ended successfully.
     void recordResult(Job& job, const worker_api::ReportedTask& t, TimePoint now);
     /// Updates the health of the machine and of the job by the reason of an exit.
     void applyExitCause(MachineIndex machine, const worker_api::Allocation& allocation,
@@ -414,7 +416,7 @@
                           std::vector<worker_api::Command>& out);
 
     // Capacity
-    /// The machine's entry in the capacity index has to be recomputed.
+    /// Marks the machine's entry in the capacity index as out of date.
     void markCapacityDirty(MachineIndex machine);
     void markCapacityDirty(const std::vector<MachineIndex>& machines);
     /// Recomputes the entries of the capacity index that are out of date.
@@ -439,7 +441,7 @@
 
     // Placement
     struct PlannedTasks {
-        Resources demand;  // of all of them
+        Resources demand;  // of all planned tasks together
         std::uint32_t tasks = 0;
     };
     /// Tasks of one job that a pass has chosen machines for, but not bound yet.
@@ -486,7 +488,7 @@
     };
     /// The machine's free capacity once everything that has been told to stop has ended.
     [[nodiscard]] Resources capacityOnceStopped(const worker_api::Machine& m) const;
-    /// The same, less what is reclaimed for other jobs or planned for this one.
+    /// capacityOnceStopped(), less what is reclaimed for other jobs or planned for this one.
     [[nodiscard]] Resources capacityOnceStoppedFor(const Job& job, MachineIndex machine,
                                                    const PlannedPlacements& planned) const;
     [[nodiscard]] bool mayPreempt(Priority priority,
--- a/src/scheduler/job_lifecycle.cpp
+++ b/src/scheduler/job_lifecycle.cpp
@@ -14,7 +14,7 @@
 using worker_api::Allocation;
 
 namespace {
-// How long a cancellation may wait for its acknowledgement before it is put on record.
+// A cancellation that cannot be acknowledged within this time is recorded as requested.
 constexpr Duration recordCancellationAfter = 500ms;
 }  // namespace
 
@@ -35,7 +35,7 @@
                     std::find(t.zones.begin(), t.zones.end(), *spec.zone) != t.zones.end());
         });
     if (!fitsSomeType) return SubmitResult::fitsNoMachine;
-    // All tasks in one zone, yet no more than half of them in any zone.
+    // The job asks for all tasks in one zone, and for no more than half of them in any zone.
     if (spec.sameZone && spec.spread && spec.tasks > 1) return SubmitResult::contradictoryPlacement;
     if (quota_.exceedsLimit(spec)) return SubmitResult::overTeamLimit;
     auto job = jobs::makeJob(spec, maxValueBytes_);
@@ -157,14 +157,15 @@
 }
 
 TimePoint Cluster::latestDelegationEnd(const std::string& zone, TimePoint now) const {
-    TimePoint cap = TimePoint::max();
-    if (delegator_ == nullptr) return cap;
+    TimePoint latestEnd = TimePoint::max();
+    if (delegator_ == nullptr) return latestEnd;
     for (const Job* job : pendingCancellations_)
         // A machine that has not reported to this leader (zone "") may be in any zone.
         if (job->tasksPerZone.contains(zone) || job->tasksPerZone.contains(""))
-            cap = std::min(cap, job->acknowledgedAt.value_or(now) +
-                                    delegator_->limits().maxDelegationAfterCancellation());
-    return cap;
+            latestEnd =
+                std::min(latestEnd, job->acknowledgedAt.value_or(now) +
+                                        delegator_->limits().maxDelegationAfterCancellation());
+    return latestEnd;
 }
 
 void Cluster::commitCancellations(TimePoint now) {
@@ -178,7 +179,7 @@
             job.cancelVersion = job.layout.head().version;
         } else if (!job.cancelCommitted && !job.cancelRecorded &&
                    now - job.cancelRequestedAt > recordCancellationAfter) {
-            // The record keeps the next leader from starting the job again.
+            // The record prevents the next leader from starting the job again.
             job.cancelRecorded = true;
             markHeadDirty(job, WritePriority::userRequest);
         }
--- a/src/scheduler/placement.cpp
+++ b/src/scheduler/placement.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// A service replica that is stopped sooner after its start does not count as started.
+// A service replica that is stopped within this time after its start does not count as started.
 constexpr Duration minUptimeBeforeMigration = 40s;
 // Waiting jobs are reconsidered at this interval even if nothing else changes, as their order does.
 constexpr Duration placementRetryInterval = 1s;
@@ -28,7 +28,7 @@
 constexpr double mixedWorkloadCost = 1;      // batch work beside services, or the other way round
 constexpr double nearReservationCost = 0.5;  // for each step closer to bound cells
 constexpr double outboundPartitionedCost = 60;  // only if there is no other capacity
-// For a machine that has all warm images, weighed against the share of it that stays free.
+// Cost of a machine that has all warm images, added to the share of the machine that stays free.
 constexpr double imageLocalityCost = 1.5;
 
 }  // namespace
@@ -102,7 +102,7 @@
     Resources free = capacityIndex_.find(machine)->free;
     if (const auto p = planned.find(machine); p != planned.end()) free -= p->second.demand;
     // Capacity that is being reclaimed is withheld from other jobs of the same or a lower priority.
-    // Otherwise preempted jobs once took each part of it back as it was freed, only to be stopped
+    // Without this, preempted jobs took back each part of it as it was freed, and were stopped
     // again in the next pass.
     const auto [from, to] = reclaimedFor_.equal_range(machine);
     for (auto p = from; p != to; ++p)
@@ -138,8 +138,8 @@
         });
     };
     for (const auto& [key, group] : capacityIndex_.machineGroups()) {
-        // Outbound-partitioned machines lose their lease. A replica then starts again elsewhere at
-        // once, while other tasks would lose their work.
+        // Outbound-partitioned machines lose their lease, so they are used for replicas only: a
+        // replica then starts again elsewhere at once, while other tasks would lose their work.
         if (!meetsConstraints(job, key.type, key.zone, key.spot, planned) ||
             (key.outboundPartitioned && !isService))
             continue;
@@ -215,8 +215,8 @@
 bool Cluster::placeJobsOfPriority(const std::vector<Job*>& waiting, std::size_t& budget,
                                   TimePoint now) {
     TeamQueues queues = queuesByTeam(waiting, now);
-    // Max-min fairness within a priority: the next task is of the team with the least weighted
-    // usage.
+    // Max-min fairness within a priority: the next task is taken from the team with the least
+    // weighted usage.
     const auto usesLess = [&](const auto& a, const auto& b) {
         return quota_.weightedUsage(a.first) < quota_.weightedUsage(b.first);
     };
@@ -279,7 +279,7 @@
     refreshCapacities();
     const auto isStopping = [&](const Allocation& allocation) { return mustStop(allocation); };
     Machine& m = machines_[machine];
-    // One at a time.
+    // Replicas are moved one at a time.
     if (std::any_of(m.allocations.begin(), m.allocations.end(), isStopping)) return;
     for (const auto& allocation : m.allocations) {
         if (allocation.job->spec.shape != Shape::service ||
--- a/src/scheduler/reconciliation.cpp
+++ b/src/scheduler/reconciliation.cpp
@@ -37,7 +37,7 @@
 constexpr std::uint32_t maxCrashLoopDoublings = 8;
 // A machine that acts on none of this many responses in a row does not receive them.
 constexpr std::uint32_t maxIgnoredResponses = 2;
-constexpr Duration maxHeartbeatNetworkDelay = 1500ms;  // of a network without faults
+constexpr Duration maxHeartbeatNetworkDelay = 1500ms;  // in a network without faults
 
 /// Whether a task in that phase has been started on its machine.
 bool hasStarted(TaskPhase phase) {
@@ -85,9 +85,9 @@
     m.backOffUntil = now + machineBackOffAfterFailure;
     markCapacityDirty(machine);
     scheduleTimer(machine, m.backOffUntil);
-    // A job that fails on every machine is at fault itself, unless some of its tasks do run. Then
-    // it has only met several faulty machines, as a large array does when dozens are faulty at
-    // once.
+    // A job that fails on every machine is at fault itself, unless some of its tasks do run. In
+    // that case it has only been placed on several faulty machines, as happens to a large array
+    // when dozens are faulty at once.
     const bool healthy = hasHealthyTask(job, now);
     job.crashLooping = !healthy && job.failedOn.size() >= crashLoopAfterMachines;
     if (job.crashLooping) {
@@ -110,8 +110,8 @@
     const double ranS = toSeconds(now - task.runningSince);
     if (bound && task.attempt == 1 && job.spec.estimatedRuntimeS > 0 && ranS > 0)
         estimates_.recordRun(job.spec.jobClass, job.spec.estimatedRuntimeS, ranS);
-    // The result of any attempt counts, but not while another attempt may be on another machine:
-    // the record would no longer say where, and the next leader would neither account for that
+    // The result of any attempt counts, unless another attempt may be on another machine: the
+    // record would no longer name that machine, and the next leader would neither account for that
     // attempt nor wait for its end. The other attempt ends by itself as soon as it has its image.
     const Allocation* other =
         bound && task.attempt != t.attempt
@@ -172,7 +172,8 @@
     found.state = AllocationState::foundOnMachine();
     if (task.state == TaskState::waiting && t.attempt >= task.attempt && job.open() &&
         !job.blocked) {
-        // It runs although no record says so. It stays there, and its binding is recorded.
+        // The task runs although no record says so. It stays on this machine, and its binding is
+        // recorded.
         task.state = TaskState::bound;
         task.machine = machine;
         task.attempt = t.attempt;
@@ -252,7 +253,8 @@
 void Cluster::onNewIncarnation(MachineIndex machine, TimePoint now) {
     Machine& m = machines_[machine];
     if (m.incarnation != 0) {
-        // Had it received a recent response, the former incarnation would still be alive.
+        // If the machine had received a recent response, its former incarnation would still be
+        // alive.
         if (m.answeredHeartbeats >= maxIgnoredResponses &&
             now - m.lastAnsweredAt < settings_.lease / 2)
             markInboundPartitioned(machine, "lease_expired_despite_responses", now);
@@ -265,14 +267,15 @@
             if (m.allocations[i].state.launchSent()) releaseAllocation(machine, i);
     }
     // A new incarnation holds a lease from its start, before any of its heartbeats is answered.
-    // Once, an incarnation that became known by its answer to a probe was given work while the
-    // lease of the former incarnation still counted; when that one ended, the work was started
-    // elsewhere a second time.
+    // Without this, the lease of the former incarnation still counted: an incarnation that became
+    // known by its answer to a probe was once given work, and when the former lease ended, that
+    // work was started elsewhere a second time.
     m.leaseEnd = std::max(m.leaseEnd, leaseEnd(now));
 }
 
 void Cluster::acceptLateResults(MachineIndex machine, const StatusReport& r, TimePoint now) {
-    // The report was delayed since before the lease ran out, so only its results still count.
+    // The report was sent before the lease ran out and was delayed, so only its results still
+    // count.
     for (const ReportedTask& t : r.tasks)
         if (t.status == TaskStatus::exited && t.cause == ExitCause::done)
             onTaskExited(machine, t, now);
@@ -351,9 +354,9 @@
     const bool isNew =
         std::tie(r.incarnation, r.sequence) > std::tie(m.incarnation, m.heartbeatSequence);
     onStatusReport(r, ReportSource::heartbeat, now);
-    // A report that is not new was sent before the newest one arrived, so it extends the lease from
-    // that time only. Duplicates arrive for minutes, and must not delay the release of a dead
-    // machine's tasks for ever.
+    // A report that is not new was sent before the newest one arrived, so it extends the lease only
+    // from the time when that one arrived. Duplicates may arrive for minutes, and must not keep
+    // delaying the release of a dead machine's tasks.
     m.leaseEnd = std::max(m.leaseEnd, leaseEnd(isNew ? now : m.sequenceSeenAt));
     if (m.presence == Presence::gone || r.incarnation <= m.endedIncarnation ||
         r.incarnation != m.incarnation || r.sequence != m.heartbeatSequence)
