--- a/src/gateway/app/cli.cpp
+++ b/src/gateway/app/cli.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr Duration timeout = 5s;
-constexpr int mostHops = 3;
+constexpr int maxRedirects = 3;
 
 std::string escaped(const std::string& s) {
     std::string out;
@@ -27,19 +27,19 @@
     return out;
 }
 
-http::Request requestOf(const Question& q) {
+http::Request requestOf(const AdminCommand& q) {
     const std::string which = "?queue=" + escaped(q.queue) + "&key=" + escaped(q.key);
     switch (q.what) {
-        case Question::What::ledger:
+        case AdminCommand::Action::ledger:
             return {"GET",
                     "/ledger" + which + "&stage=" + escaped(q.stage) +
                         "&limit=" + std::to_string(q.limit),
                     ""};
-        case Question::What::drain:
+        case AdminCommand::Action::drain:
             return {"POST", "/drain", ""};
-        case Question::What::replay:
+        case AdminCommand::Action::replay:
             return {"POST", "/replay" + which, ""};
-        case Question::What::queues:
+        case AdminCommand::Action::queues:
             break;
     }
     return {"GET", "/queues", ""};
@@ -73,30 +73,30 @@
     }
 }
 
-void print(const Question& q, const json::Document& d) {
-    if (q.what == Question::What::queues) {
+void print(const AdminCommand& q, const json::Document& d) {
+    if (q.what == AdminCommand::Action::queues) {
         table(d["queues"], {"queue", "holder", "entered", "refused", "accepted", "final", "replied",
                             "links", "untaken", "oldestS", "window"});
         std::cout << '\n';
         for (const auto& c : d["counters"].GetObject())
             std::cout << c.name.GetString() << ' ' << cell(d["counters"], c.name.GetString())
                       << '\n';
-    } else if (q.what == Question::What::ledger) {
+    } else if (q.what == AdminCommand::Action::ledger) {
         table(d["lines"], {"ref", "stage", "status", "number", "attempts", "key", "why"});
     }
 }
 
 }  // namespace
 
-int ask(const Question& q) {
+int runAdminCommand(const AdminCommand& q) {
     const SystemClock clock;
     EventLoop loop(clock);
     Scope scope(loop);
     http::RequestOutcome outcome;
     std::string at = q.admin;
-    loop.spawn([](EventLoop& l, Scope& s, const Question& asked, std::string& where,
+    loop.spawn([](EventLoop& l, Scope& s, const AdminCommand& asked, std::string& where,
                   http::RequestOutcome& out) -> Task<void> {
-        for (int hop = 0; hop < mostHops; ++hop) {
+        for (int hop = 0; hop < maxRedirects; ++hop) {
             http::Client client(l, where, 0);
             http::Request request = requestOf(asked);
             out = co_await client.request(std::move(request), timeout, s);
--- a/src/gateway/app/client_listener.cpp
+++ b/src/gateway/app/client_listener.cpp
@@ -24,7 +24,7 @@
 /// One client's connection and its links.
 class ClientListener::Session final : public amqp::Handler {
   public:
-    explicit Session(ClientListener& front) : front_(front) {}
+    explicit Session(ClientListener& clientListener) : clientListener_(clientListener) {}
     std::shared_ptr<amqp::Connection> connection;
 
     void attached(amqp::Connection& c, amqp::LinkId id, const amqp::Attach& a) override {
@@ -32,10 +32,10 @@
         link.theySend = a.theySend;
         link.address = a.theySend ? a.target : a.source;
         link.queue = queueOf(link.address, a.theySend ? queuePrefix : replyStart);
-        const auto queue = front_.settings_.queues.find(link.queue);
+        const auto queue = clientListener_.settings_.queues.find(link.queue);
         const bool whole = a.theySend ? link.address == queuePrefix + link.queue
                                       : link.address.size() > replyPrefix(link.queue).size();
-        if (queue == front_.settings_.queues.end() || !whole)
+        if (queue == clientListener_.settings_.queues.end() || !whole)
             return c.refuse(id, {"amqp:not-found",
                                  "expected queue/<team>/<class> to send to, or "
                                  "reply/<team>/<class>/<name> to read from",
@@ -50,29 +50,31 @@
     void arrived(amqp::Connection& c, amqp::LinkId id, amqp::DeliveryId delivery,
                  amqp::Message message, std::string broken) override {
         const auto it = links_.find(id);
-        if (it == links_.end() || !it->second.tenure) {
+        if (it == links_.end() || !it->second.queueOwner) {
             c.settle(delivery, {amqp::Outcome::released, {}, false});
             return;
         }
-        front_.hooks_.arrived(it->second.tenure, {connection, id, delivery, std::move(message),
-                                                  std::move(broken), front_.loop_.now()});
+        clientListener_.hooks_.arrived(
+            it->second.queueOwner, {connection, id, delivery, std::move(message), std::move(broken),
+                                    clientListener_.loop_.now()});
     }
     void decided(amqp::Connection&, amqp::LinkId, const std::string& tag,
                  amqp::Disposition d) override {
-        front_.hooks_.decided(tag, d);
+        clientListener_.hooks_.decided(tag, d);
     }
     void credited(amqp::Connection&, amqp::LinkId id) override {
         if (const auto it = links_.find(id); it != links_.end())
-            front_.hooks_.credited(it->second.queue);
+            clientListener_.hooks_.credited(it->second.queue);
     }
     void detached(amqp::Connection&, amqp::LinkId id, const amqp::Condition&) override { drop(id); }
     void ended(amqp::Connection&, const amqp::Condition& why) override {
         if (!why.empty())
-            spdlog::debug("client's connection ended: {}: {}", why.name, why.description);
+            spdlog::debug("client connection ended: condition={} description={}", why.name,
+                          why.description);
         while (!links_.empty()) drop(links_.begin()->first);
     }
     void routesChanged() {
-        // A link may go while it is looked at.
+        // settle() may remove a link, so iterate over a copy of the ids.
         std::vector<amqp::LinkId> ids;
         for (const auto& [id, link] : links_) ids.push_back(id);
         for (const auto id : ids)
@@ -84,42 +86,43 @@
         bool theySend = false;
         std::string address;
         QueueName queue;
-        std::shared_ptr<QueueOwner> tenure;  // none while nobody is known to hold the queue
+        std::shared_ptr<QueueOwner> queueOwner;  // none while nobody is known to hold the queue
     };
 
     [[nodiscard]] bool mayUse(const std::string& team) const {
-        if (front_.settings_.anonymous) return true;
-        const auto user = front_.settings_.users.find(connection->user());
-        return user != front_.settings_.users.end() && user->second.teams.contains(team);
+        if (clientListener_.settings_.anonymous) return true;
+        const auto user = clientListener_.settings_.users.find(connection->user());
+        return user != clientListener_.settings_.users.end() && user->second.teams.contains(team);
     }
 
     void settle(amqp::LinkId id, Link& link) {
-        const Route route = front_.hooks_.route(link.queue);
-        if (link.tenure && route.here == link.tenure) return;
-        if (link.tenure) {
-            // Held back until what was under way has been settled: the owner ends in good order.
-            if (link.tenure->closing() && link.tenure->untaken() > 0 && !route.here &&
-                route.elsewhere.empty())
+        const Route route = clientListener_.hooks_.route(link.queue);
+        if (link.queueOwner && route.localOwner == link.queueOwner) return;
+        if (link.queueOwner) {
+            // The queue is being handed over: keep the link until the messages in progress are
+            // settled.
+            if (link.queueOwner->closing() && link.queueOwner->untaken() > 0 && !route.localOwner &&
+                route.remoteAddress.empty())
                 return;
             const amqp::Condition why =
-                route.elsewhere.empty()
+                route.remoteAddress.empty()
                     ? amqp::Condition{"amqp:link:detach-forced", "the queue moves", {}}
-                    : redirection(route.elsewhere);
+                    : redirection(route.remoteAddress);
             drop(id);
             connection->detach(id, why);
             return;
         }
-        if (route.here) {
-            link.tenure = route.here;
+        if (route.localOwner) {
+            link.queueOwner = route.localOwner;
             connection->confirm(id);
             if (link.theySend) {
-                link.tenure->addInlet(connection, id, "");
+                link.queueOwner->addInlet(connection, id, "");
             } else {
-                front_.readers_[link.address].emplace_back(this, id);
-                front_.hooks_.credited(link.queue);
+                clientListener_.readers_[link.address].emplace_back(this, id);
+                clientListener_.hooks_.credited(link.queue);
             }
-        } else if (!route.elsewhere.empty()) {
-            const amqp::Condition why = redirection(route.elsewhere);
+        } else if (!route.remoteAddress.empty()) {
+            const amqp::Condition why = redirection(route.remoteAddress);
             drop(id);
             connection->refuse(id, why);
         }
@@ -137,16 +140,16 @@
         if (it == links_.end()) return;
         const Link link = std::move(it->second);
         links_.erase(it);
-        if (!link.tenure) return;
+        if (!link.queueOwner) return;
         if (!link.theySend) {
-            auto& all = front_.readers_[link.address];
+            auto& all = clientListener_.readers_[link.address];
             std::erase(all, std::pair<Session*, amqp::LinkId>(this, id));
-            if (all.empty()) front_.readers_.erase(link.address);
+            if (all.empty()) clientListener_.readers_.erase(link.address);
         }
-        front_.hooks_.linkGone(*connection, id);
+        clientListener_.hooks_.linkGone(*connection, id);
     }
 
-    ClientListener& front_;
+    ClientListener& clientListener_;
     std::map<amqp::LinkId, Link> links_;
 };
 
@@ -169,9 +172,10 @@
         auto socket = co_await listener_.accept(scope);
         if (!socket) co_return;
         const std::string peer = socket->peerIp();
-        if (sessions_.size() >= settings_.limits.connections || !settings_.networks.hold(peer)) {
+        if (sessions_.size() >= settings_.limits.connections ||
+            !settings_.networks.contains(peer)) {
             ++counters_.connectionsRefused;
-            spdlog::debug("connection from {} refused", peer);
+            spdlog::debug("client connection refused: peer={}", peer);
             continue;
         }
         ++counters_.connections;
@@ -208,10 +212,10 @@
     for (const auto& s : std::list<std::shared_ptr<Session>>(sessions_)) s->routesChanged();
 }
 
-std::optional<ReplyLink> ClientListener::outlet(const std::string& replyTo) const {
+std::optional<ReplyLink> ClientListener::replyLinkFor(const std::string& replyTo) const {
     const auto it = readers_.find(replyTo);
     if (it == readers_.end()) return std::nullopt;
-    // One reader at a time, so that results keep their order: the one that came first.
+    // Only the first reader gets results, so that they keep their order.
     const auto& [session, link] = it->second.front();
     return ReplyLink{session->connection, link};
 }
--- a/src/gateway/app/client_listener.h
+++ b/src/gateway/app/client_listener.h
@@ -10,18 +10,20 @@
 
 namespace basaltchute::gateway {
 
-/// Where a queue is served.
+/// Where a queue is served; both fields are empty while no instance is known to serve it.
 struct Route {
-    std::shared_ptr<QueueOwner> here;  // by this instance, and ready
-    std::string elsewhere;             // the address of the instance that holds it
+    std::shared_ptr<QueueOwner> localOwner;  // set if this instance serves the queue
+    std::string remoteAddress;  // advertised AMQP address of the instance that holds it
 };
 
-/// The listening side: clients send to `queue/<team>/<class>` and read from
+/// Accepts AMQP connections of clients. Clients send to `queue/<team>/<class>` and read from
 /// `reply/<team>/<class>/<name>`. A link for a queue that another instance holds is detached with
-/// a redirection to that one (AMQP 1.0 part 2, 2.8.18); while nobody is known to hold it, the
-/// link's answer waits.
+/// a redirect to that instance (AMQP 1.0 part 2, 2.8.18). While no instance is known to hold the
+/// queue, the attach is left unanswered.
 class ClientListener {
   public:
+    /// Callbacks into the gateway, shared with Consumer. An empty queue name passed to `credited`
+    /// means every queue.
     struct Hooks {
         std::function<Route(const QueueName&)> route;
         std::function<void(const std::shared_ptr<QueueOwner>&, IncomingMessage)> arrived;
@@ -36,12 +38,12 @@
     ClientListener(const ClientListener&) = delete;
     ClientListener& operator=(const ClientListener&) = delete;
     void start(Scope& scope);
-    /// For connections that come from now on.
+    /// Sets the TLS context for new connections; open connections keep theirs.
     void setTls(amqp::TlsHandle tls) { tls_ = std::move(tls); }
-    /// Looks again at links whose queue may have come or gone.
+    /// Confirms, redirects or detaches links after this or another instance gained or lost a queue.
     void routesChanged();
-    /// A client's link that reads replies at this address.
-    [[nodiscard]] std::optional<ReplyLink> outlet(const std::string& replyTo) const;
+    /// The link of the client that reads replies from this address, if there is one.
+    [[nodiscard]] std::optional<ReplyLink> replyLinkFor(const std::string& replyTo) const;
     [[nodiscard]] std::size_t connections() const { return sessions_.size(); }
     [[nodiscard]] std::string address() const { return listener_.address(); }
 
--- a/src/gateway/app/consumer.cpp
+++ b/src/gateway/app/consumer.cpp
@@ -10,9 +10,10 @@
 
 namespace {
 constexpr Duration connectTimeout = 5s;
-constexpr Duration leastPause = 250ms, mostPause = 30s;  // between two connections
-constexpr Duration refusedPause = 5s;                    // of a link
-constexpr std::size_t mostSenders = 200;                 // reply-to addresses kept open
+constexpr Duration minReconnectDelay = 250ms,
+                   maxReconnectDelay = 30s;  // between connection attempts
+constexpr Duration linkRetryDelay = 5s;      // after a link was refused
+constexpr std::size_t maxSenders = 200;      // reply-to addresses kept open
 }  // namespace
 
 Consumer::Consumer(EventLoop& loop, const Settings& settings, const Source& source,
@@ -23,28 +24,28 @@
       hooks_(std::move(hooks)),
       random_(seed),
       wake_(loop),
-      pause_(leastPause) {}
+      reconnectDelay_(minReconnectDelay) {}
 
 void Consumer::start(Scope& scope) {
     scope.spawn(run(scope));
 }
 
-bool Consumer::wanted() const {
+bool Consumer::feedsLocalQueue() const {
     return std::any_of(source_.consume.begin(), source_.consume.end(),
-                       [&](const auto& c) { return hooks_.route(c.first).here != nullptr; });
+                       [&](const auto& c) { return hooks_.route(c.first).localOwner != nullptr; });
 }
 
 Task<void> Consumer::run(Scope& scope) {
     std::uniform_real_distribution<double> jitter(0.5, 1.5);
     while (!scope.cancelled()) {
-        if (!wanted()) {
+        if (!feedsLocalQueue()) {
             co_await loop_.wait(wake_, TimePoint::max(), scope);
             continue;
         }
         co_await connect(scope);
         if (scope.cancelled()) co_return;
-        co_await loop_.sleep(fromSeconds(toSeconds(pause_) * jitter(random_)), scope);
-        pause_ = std::min(pause_ * 2, Duration(mostPause));
+        co_await loop_.sleep(fromSeconds(toSeconds(reconnectDelay_) * jitter(random_)), scope);
+        reconnectDelay_ = std::min(reconnectDelay_ * 2, Duration(maxReconnectDelay));
     }
 }
 
@@ -80,7 +81,7 @@
 
 void Consumer::opened(amqp::Connection&) {
     open_ = true;
-    pause_ = leastPause;
+    reconnectDelay_ = minReconnectDelay;
     spdlog::info("source {}: connected to {}", source_.name, source_.address);
     routesChanged();
 }
@@ -97,9 +98,9 @@
 void Consumer::routesChanged() {
     wake_.notify();
     if (!open_ || !connection_ || connection_->over()) return;
-    if (!wanted()) {
+    if (!feedsLocalQueue()) {
         const bool underWay = std::any_of(receivers_.begin(), receivers_.end(), [](const auto& r) {
-            return r.second.tenure->untaken() > 0;
+            return r.second.queueOwner->untaken() > 0;
         });
         if (!underWay) connection_->close();
         return;
@@ -107,10 +108,10 @@
     std::vector<amqp::LinkId> stale;
     std::set<QueueName> served;
     for (const auto& [id, r] : receivers_) {
-        const auto here = hooks_.route(r.queue).here;
-        if (here == r.tenure)
+        const auto here = hooks_.route(r.queue).localOwner;
+        if (here == r.queueOwner)
             served.insert(r.queue);
-        else if (!(r.tenure->closing() && r.tenure->untaken() > 0))
+        else if (!(r.queueOwner->closing() && r.queueOwner->untaken() > 0))
             stale.push_back(id);
     }
     for (const auto id : stale) {
@@ -118,25 +119,27 @@
         connection_->detach(id);
     }
     for (const auto& [queue, from] : source_.consume) {
-        auto here = hooks_.route(queue).here;
+        auto here = hooks_.route(queue).localOwner;
         if (!here || served.contains(queue)) continue;
-        if (const auto it = refused_.find(from); it != refused_.end() && it->second > loop_.now())
+        if (const auto it = retryLinkAt_.find(from);
+            it != retryLinkAt_.end() && it->second > loop_.now())
             continue;
-        // Its own name for each tenure: a broker may remember a link by its name.
+        // A different link name for each queue owner: a broker may keep state by link name.
         const std::string link =
             settings_.instance + '/' + queue + '/' + std::to_string(here->serial());
         receivers_[connection_->receiveFrom(from, link)] = {queue, std::move(here)};
     }
 }
 
-std::optional<ReplyLink> Consumer::outlet(const std::string& replyTo) {
+std::optional<ReplyLink> Consumer::replyLinkFor(const std::string& replyTo) {
     if (!open_ || !connection_ || connection_->over()) return std::nullopt;
     for (const auto& [id, s] : senders_)
         if (s.address == replyTo)
             return s.confirmed ? std::optional<ReplyLink>({connection_, id}) : std::nullopt;
-    if (const auto it = refused_.find(replyTo); it != refused_.end() && it->second > loop_.now())
+    if (const auto it = retryLinkAt_.find(replyTo);
+        it != retryLinkAt_.end() && it->second > loop_.now())
         return std::nullopt;
-    if (senders_.size() >= mostSenders) {
+    if (senders_.size() >= maxSenders) {
         const amqp::LinkId oldest = senders_.begin()->first;
         drop(oldest);
         connection_->detach(oldest);
@@ -148,7 +151,7 @@
 
 void Consumer::confirmed(amqp::Connection& c, amqp::LinkId id) {
     if (const auto it = receivers_.find(id); it != receivers_.end()) {
-        it->second.tenure->addInlet(c.shared_from_this(), id, source_.name);
+        it->second.queueOwner->addInlet(c.shared_from_this(), id, source_.name);
     } else if (const auto to = senders_.find(id); to != senders_.end()) {
         to->second.confirmed = true;
     }
@@ -161,8 +164,8 @@
         c.settle(delivery, {amqp::Outcome::released, {}, false});
         return;
     }
-    hooks_.arrived(it->second.tenure, {c.weak_from_this(), id, delivery, std::move(message),
-                                       std::move(broken), loop_.now()});
+    hooks_.arrived(it->second.queueOwner, {c.weak_from_this(), id, delivery, std::move(message),
+                                           std::move(broken), loop_.now()});
 }
 
 void Consumer::decided(amqp::Connection&, amqp::LinkId, const std::string& tag,
@@ -186,11 +189,11 @@
         address = source_.consume.at(r->second.queue);
     if (const auto s = senders_.find(id); s != senders_.end()) address = s->second.address;
     if (!address.empty()) {
-        spdlog::warn("source {}: link to {} ended {} {}", source_.name, address, why.name,
-                     why.description);
-        refused_[address] = loop_.now() + refusedPause;
+        spdlog::warn("source link detached: source={} address={} condition={} description={}",
+                     source_.name, address, why.name, why.description);
+        retryLinkAt_[address] = loop_.now() + linkRetryDelay;
     }
-    std::erase_if(refused_, [&](const auto& r) { return r.second <= loop_.now(); });
+    std::erase_if(retryLinkAt_, [&](const auto& r) { return r.second <= loop_.now(); });
     drop(id);
 }
 
--- a/src/gateway/app/consumer.h
+++ b/src/gateway/app/consumer.h
@@ -10,16 +10,17 @@
 
 namespace basaltchute::gateway {
 
-/// The connecting side: consumes one broker's queues while this instance holds queues that they
-/// feed, and sends results to reply-to addresses there.
+/// Connects to one external broker. While this instance holds a queue that the broker feeds, it
+/// consumes messages from there, and it sends results to the reply-to addresses on that broker.
 class Consumer final : public amqp::Handler {
   public:
     Consumer(EventLoop& loop, const Settings& settings, const Source& source,
              ClientListener::Hooks hooks, std::uint64_t seed);
     void start(Scope& scope);
+    /// Connects, or opens links, after this instance gained or lost a queue.
     void routesChanged();
-    /// A confirmed sender to the address, opened if there is none yet.
-    [[nodiscard]] std::optional<ReplyLink> outlet(const std::string& replyTo);
+    /// A confirmed sender link to the address. Opens one and returns nothing if there is none yet.
+    [[nodiscard]] std::optional<ReplyLink> replyLinkFor(const std::string& replyTo);
     [[nodiscard]] const std::string& name() const { return source_.name; }
     [[nodiscard]] bool connected() const { return open_; }
 
@@ -36,13 +37,13 @@
   private:
     struct Receiver {
         QueueName queue;
-        std::shared_ptr<QueueOwner> tenure;
+        std::shared_ptr<QueueOwner> queueOwner;
     };
     struct Sender {
         std::string address;
         bool confirmed = false;
     };
-    [[nodiscard]] bool wanted() const;
+    [[nodiscard]] bool feedsLocalQueue() const;
     Task<void> run(Scope& scope);
     Task<void> connect(Scope& scope);
     void drop(amqp::LinkId id);
@@ -55,10 +56,10 @@
     Event wake_;
     std::shared_ptr<amqp::Connection> connection_;
     bool open_ = false;
-    Duration pause_{};
+    Duration reconnectDelay_{};
     std::map<amqp::LinkId, Receiver> receivers_;
     std::map<amqp::LinkId, Sender> senders_;
-    std::map<std::string, TimePoint> refused_;  // by address: not tried again before
+    std::map<std::string, TimePoint> retryLinkAt_;  // by address: earliest time of the next attach
 };
 
 }  // namespace basaltchute::gateway
--- a/src/gateway/app/gateway.cpp
+++ b/src/gateway/app/gateway.cpp
@@ -15,8 +15,8 @@
 namespace {
 
 constexpr Duration drainTimeout = 40s;
-constexpr Duration farewell = 500ms;                     // for what is written to clients last
-constexpr std::size_t mostLines = 1000, fewLines = 100;  // of the ledger in one answer
+constexpr Duration finalWriteDelay = 500ms;  // lets the last writes reach the clients
+constexpr std::size_t maxLedgerLines = 1000, defaultLedgerLines = 100;  // in one response
 
 amqp::TlsHandle tlsOf(const Settings& settings) {
     if (!settings.tls) return nullptr;
@@ -66,10 +66,10 @@
       settings_(std::move(settings)),
       scope_(loop),
       state_(loop, settings_.state),
-      turnstile_(loop, state_.writeLimiter()),
+      writeLimiter_(loop, state_.writeLimiter()),
       controllers_(loop, settings_, seed),
-      refs_(loop, state_, turnstile_, settings_),
-      members_(loop, state_, turnstile_, settings_, std::move(incarnation),
+      refs_(loop, state_, writeLimiter_, settings_),
+      members_(loop, state_, writeLimiter_, settings_, std::move(incarnation),
                {[this](const QueueName& q, kv_store::Precondition fence) {
                     gained(q, std::move(fence));
                 },
@@ -82,18 +82,19 @@
           controllers_,
           refs_,
           counters_,
-          turnstile_,
+          writeLimiter_,
           [this](const QueueName& q) { return members_.holds(q); },
           [this](const QueueName& q) { members_.fenced(q); },
           [this](const std::string& origin, const std::string& to) -> std::optional<ReplyLink> {
-              if (origin.empty()) return front_ ? front_->outlet(to) : std::nullopt;
+              if (origin.empty())
+                  return clientListener_ ? clientListener_->replyLinkFor(to) : std::nullopt;
               for (const auto& c : consumers_)
-                  if (c->name() == origin) return c->outlet(to);
+                  if (c->name() == origin) return c->replyLinkFor(to);
               return std::nullopt;
           },
           [this] {
               std::size_t links = 1;
-              for (const auto& [q, t] : tenures_) links += t->links();
+              for (const auto& [q, t] : queueOwners_) links += t->links();
               const auto& l = settings_.limits;
               const auto each = l.memoryBytes / l.messageBytes / links;
               return static_cast<int>(
@@ -101,8 +102,8 @@
           }},
       admin_(loop, settings_.admin, {}, [this](http::Request r) { return answer(std::move(r)); }) {
     if (!settings_.listen.empty())
-        front_ = std::make_unique<ClientListener>(loop_, settings_, counters_, tlsOf(settings_),
-                                                  linkHooks());
+        clientListener_ = std::make_unique<ClientListener>(loop_, settings_, counters_,
+                                                           tlsOf(settings_), linkHooks());
     for (const auto& source : settings_.sources)
         consumers_.push_back(
             std::make_unique<Consumer>(loop_, settings_, source, linkHooks(), ++seed));
@@ -126,39 +127,39 @@
                     if (const auto t = weak.lock()) t->linkGone(c, id);
             },
             [this](const QueueName& q) {
-                for (const auto& [name, t] : tenures_)
+                for (const auto& [name, t] : queueOwners_)
                     if (q.empty() || q == name) t->pump();
             }};
 }
 
 void Gateway::start() {
     members_.start(scope_);
-    if (front_) front_->start(scope_);
+    if (clientListener_) clientListener_->start(scope_);
     for (const auto& c : consumers_) c->start(scope_);
     admin_.start(scope_);
 }
 
 std::optional<std::string> Gateway::reload() {
-    if (!front_ || !settings_.tls) return std::nullopt;
+    if (!clientListener_ || !settings_.tls) return std::nullopt;
     auto loaded = amqp::loadTls(*settings_.tls, true);
     if (auto* wrong = std::get_if<std::string>(&loaded)) return std::move(*wrong);
-    front_->setTls(std::get<amqp::TlsHandle>(std::move(loaded)));
+    clientListener_->setTls(std::get<amqp::TlsHandle>(std::move(loaded)));
     return std::nullopt;
 }
 
-std::shared_ptr<QueueOwner> Gateway::tenure(const QueueName& queue) const {
-    const auto it = tenures_.find(queue);
-    return it == tenures_.end() ? nullptr : it->second;
+std::shared_ptr<QueueOwner> Gateway::queueOwner(const QueueName& queue) const {
+    const auto it = queueOwners_.find(queue);
+    return it == queueOwners_.end() ? nullptr : it->second;
 }
 
-// Queues that come and go.
+// Queues gained and lost.
 
 Route Gateway::route(const QueueName& queue) const {
-    const auto t = tenure(queue);
+    const auto t = queueOwner(queue);
     if (t && t->ready() && !t->closing()) return {t, ""};
     if (t) return {};
     const Member* holder = members_.holder(queue);
-    // Who drains is about to give it away: better to wait for whoever comes next.
+    // A draining holder is about to release the queue: wait for the next holder.
     if (holder == nullptr || holder->draining || holder->instance == settings_.instance) return {};
     return {nullptr, holder->advertise};
 }
@@ -168,64 +169,65 @@
     std::erase_if(bySerial_, [](const auto& s) { return s.second.expired(); });
     const auto t = std::make_shared<QueueOwner>(services_, settings_.queues.at(queue),
                                                 std::move(fence), nextSerial_++);
-    tenures_[queue] = t;
+    queueOwners_[queue] = t;
     bySerial_[t->serial()] = t;
     t->start([this] { routesChanged(); });
 }
 
 Task<void> Gateway::yield(QueueName queue) {
-    const auto t = tenure(queue);
+    const auto t = queueOwner(queue);
     if (!t) co_return;
     co_await t->windDown();
     if (scope_.cancelled()) co_return;
-    if (tenure(queue) == t) tenures_.erase(queue);
+    if (queueOwner(queue) == t) queueOwners_.erase(queue);
     routesChanged();
     co_await t->end();
 }
 
 void Gateway::lost(const QueueName& queue) {
-    const auto t = tenure(queue);
+    const auto t = queueOwner(queue);
     if (!t) return;
     ++counters_.queuesLost;
-    tenures_.erase(queue);
-    scope_.spawn(
-        [](std::shared_ptr<QueueOwner> tenure) -> Task<void> { co_await tenure->end(); }(t));
+    queueOwners_.erase(queue);
+    scope_.spawn([](std::shared_ptr<QueueOwner> queueOwner) -> Task<void> {
+        co_await queueOwner->end();
+    }(t));
     routesChanged();
 }
 
 void Gateway::routesChanged() {
     if (scope_.cancelled()) return;
-    if (front_) front_->routesChanged();
+    if (clientListener_) clientListener_->routesChanged();
     for (const auto& c : consumers_) c->routesChanged();
 }
 
-// Messages, by team in turns.
+// Incoming messages, round robin by team.
 
 void Gateway::arrived(const std::shared_ptr<QueueOwner>& t, IncomingMessage arrival) {
     t->arrived(arrival);
-    turns_.push(t->queue().team, {t, std::move(arrival)});
-    takeTurns();
+    incoming_.push(t->queue().team, {t, std::move(arrival)});
+    startWaiting();
 }
-void Gateway::takeTurns() {
-    while (underWay_ < settings_.limits.underWay && !scope_.cancelled()) {
-        auto next = turns_.next();
+void Gateway::startWaiting() {
+    while (inProgress_ < settings_.limits.underWay && !scope_.cancelled()) {
+        auto next = incoming_.next();
         if (!next) return;
-        ++underWay_;
+        ++inProgress_;
         scope_.spawn(take(std::move(*next)));
     }
 }
 Task<void> Gateway::take(Waiting w) {
-    const auto t = w.tenure;
+    const auto t = w.queueOwner;
     co_await t->take(std::move(w.arrival));
-    --underWay_;
-    takeTurns();
+    --inProgress_;
+    startWaiting();
 }
 
-// The end.
+// Drain and shutdown.
 
 void Gateway::drain() {
     if (std::exchange(draining_, true)) return;
-    spdlog::info("draining: queues go to other instances");
+    spdlog::info("drain started");
     scope_.spawn(drainAndEnd());
 }
 
@@ -234,9 +236,11 @@
     const TimePoint until = loop_.now() + drainTimeout;
     while (!members_.idle() && loop_.now() < until && !scope_.cancelled())
         co_await loop_.sleep(50ms, scope_);
-    co_await loop_.sleep(farewell, scope_);
+    co_await loop_.sleep(finalWriteDelay, scope_);
     co_await members_.leave(scope_);
-    spdlog::info(members_.idle() ? "drained" : "not drained in time: the rest goes by its grant");
+    spdlog::info(members_.idle() ? "drain finished"
+                                 : "drain timed out; other instances take the remaining queues "
+                                   "when the lease expires");
     ended_ = true;
 }
 
@@ -249,7 +253,7 @@
     co_await scope_.cancelAndWait();
 }
 
-// The command line's side.
+// The admin interface.
 
 Task<http::Response> Gateway::answer(http::Request r) {
     const std::string path = r.target.substr(0, r.target.find('?'));
@@ -257,10 +261,11 @@
     const bool get = r.method == "GET", post = r.method == "POST";
     if (path == "/queues" && get) co_return queues();
     if (path == "/ledger" && get) {
-        std::size_t most = fewLines;
+        std::size_t most = defaultLedgerLines;
         const std::string& limit = given["limit"];
         std::from_chars(limit.data(), limit.data() + limit.size(), most);
-        co_return ledger(given["queue"], given["key"], given["stage"], std::min(most, mostLines));
+        co_return ledger(given["queue"], given["key"], given["stage"],
+                         std::min(most, maxLedgerLines));
     }
     if (path == "/replay" && post) co_return replay(given["queue"], given["key"]);
     if (path == "/drain" && post) {
@@ -281,7 +286,7 @@
         const Member* holder = members_.holder(name);
         out.open().field("queue", name);
         out.field("holder", holder == nullptr ? "" : holder->instance);
-        if (const auto t = tenure(name)) {
+        if (const auto t = queueOwner(name)) {
             const MessageJournal& b = t->book();
             out.field("ready", t->ready());
             for (const Stage s :
@@ -300,16 +305,17 @@
     out.closeArray().key("counters").open();
     for (const auto& [name, n] : counters_.all()) out.field(name, n);
     out.field("submissionRetries", controllers_.retries());
-    out.field("clients", static_cast<std::uint64_t>(front_ ? front_->connections() : 0));
-    out.field("waiting", static_cast<std::uint64_t>(turns_.size()));
+    out.field("clients",
+              static_cast<std::uint64_t>(clientListener_ ? clientListener_->connections() : 0));
+    out.field("waiting", static_cast<std::uint64_t>(incoming_.size()));
     out.close().close();
     return {200, out.text()};
 }
 
-std::optional<http::Response> Gateway::notHere(const std::string& queue) const {
+std::optional<http::Response> Gateway::notHeldHere(const std::string& queue) const {
     if (!settings_.queues.contains(queue))
         return text(404, "no such queue: expected <team>/<class> of the settings");
-    const auto t = tenure(queue);
+    const auto t = queueOwner(queue);
     if (t && t->ready()) return std::nullopt;
     json::Writer out;
     out.open().field("error", "this instance does not hold the queue");
@@ -321,10 +327,10 @@
 
 http::Response Gateway::ledger(const std::string& queue, const std::string& key,
                                const std::string& stage, std::size_t most) const {
-    if (auto refusal = notHere(queue)) return std::move(*refusal);
+    if (auto refusal = notHeldHere(queue)) return std::move(*refusal);
     const auto wanted = stageOf(stage);
     if (!stage.empty() && !wanted) return text(400, "stage: expected a stage of the ledger");
-    const MessageJournal& book = tenure(queue)->book();
+    const MessageJournal& book = queueOwner(queue)->book();
     std::map<std::string, const JournalEntry*> lines;
     if (!key.empty()) {
         if (const JournalEntry* e = book.find(key)) lines[e->ref] = e;
@@ -332,7 +338,7 @@
         book.each([&](const JournalEntry& e) {
             if (wanted && e.stage != *wanted) return;
             lines[e.ref] = &e;
-            if (lines.size() > most) lines.erase(lines.begin());  // the newest stay
+            if (lines.size() > most) lines.erase(lines.begin());  // keeps the newest
         });
     }
     json::Writer out;
@@ -350,8 +356,8 @@
 }
 
 http::Response Gateway::replay(const std::string& queue, const std::string& key) {
-    if (auto refusal = notHere(queue)) return std::move(*refusal);
-    if (const auto wrong = tenure(queue)->replay(key)) return text(409, *wrong);
+    if (auto refusal = notHeldHere(queue)) return std::move(*refusal);
+    if (const auto wrong = queueOwner(queue)->replay(key)) return text(409, *wrong);
     return {200, R"({"replayed":true})"};
 }
 
--- a/src/gateway/app/gateway_test.cpp
+++ b/src/gateway/app/gateway_test.cpp
@@ -37,7 +37,7 @@
     }
     const JournalEntry* entry(const std::string& key) {
         Gateway* g = s.holder(checks);
-        return g == nullptr ? nullptr : g->tenure(checks)->book().find(key);
+        return g == nullptr ? nullptr : g->queueOwner(checks)->book().find(key);
     }
     /// A client with a link to the queue that has credit.
     std::unique_ptr<Client> client(Gateway& g, amqp::Connection::Options options = {}) {
@@ -117,7 +117,7 @@
 TEST_F(GatewayTest, AnOwnerThatFrozePastItsGrantWritesNothingWhenItWakes) {
     auto& frozen = s.start("gw-1");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
-    const auto tenure = frozen.tenure(checks);
+    const auto tenure = frozen.queueOwner(checks);
     s.broker.publish(atBroker, GatewayFixture::message("m", "1", "a"));
     ASSERT_TRUE(s.until([&] { return entry("t:1") && entry("t:1")->stage == Stage::replied; }));
     s.world.run(1s);
@@ -142,7 +142,7 @@
 TEST_F(GatewayTest, TwoThatBothBelieveToOwnAQueueCannotBothWrite) {
     auto& one = s.start("gw-1");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
-    const auto old = one.tenure(checks);
+    const auto old = one.queueOwner(checks);
     // The record of ownership is replaced behind its back: it holds its grant all the while.
     s.state.keys["gw/own/queue/" + checks].stamp += 1000;
     s.state.changeElsewhere(2000);
@@ -185,7 +185,7 @@
     s.kill("gw-1");
     s.start("gw-1");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
-    EXPECT_EQ(s.holder(checks)->tenure(checks)->book().count(Stage::replied), 6U);
+    EXPECT_EQ(s.holder(checks)->queueOwner(checks)->book().count(Stage::replied), 6U);
 }
 
 TEST_F(GatewayTest, ALeaderThatChangesDuringASubmissionCostsARetryAndRefusalsAreTold) {
@@ -210,7 +210,7 @@
     s.broker.publish(atBroker, GatewayFixture::message("never", "2"));
     ASSERT_TRUE(s.until([&] { return queue().dead.size() == 2; }));
     s.jobs.impossible.clear();
-    EXPECT_EQ(s.holder(checks)->tenure(checks)->replay("t:2"), std::nullopt);
+    EXPECT_EQ(s.holder(checks)->queueOwner(checks)->replay("t:2"), std::nullopt);
     s.broker.publish(atBroker, GatewayFixture::message("never", "2"));
     ASSERT_TRUE(taken(2));
     EXPECT_EQ(jobsOf("never"), 1U);
@@ -237,7 +237,7 @@
     ASSERT_TRUE(s.until([&] { return !s.broker.received["a"].empty(); }));
     s.world.run(10s);
     EXPECT_EQ(s.broker.received["a"].size(), 1U);
-    EXPECT_EQ(s.holder(checks)->tenure(checks)->book().size(), 1U);
+    EXPECT_EQ(s.holder(checks)->queueOwner(checks)->book().size(), 1U);
 }
 
 TEST_F(GatewayTest, OneIdDoesNotStandForTwoMessages) {
@@ -321,7 +321,7 @@
     for (int i = 0; i < 40; ++i)
         s.broker.publish(atBroker,
                          GatewayFixture::message("a" + std::to_string(i), "a" + std::to_string(i)));
-    ASSERT_TRUE(s.until([&] { return one.tenure(checks)->untaken() > 0; }));
+    ASSERT_TRUE(s.until([&] { return one.queueOwner(checks)->untaken() > 0; }));
     one.drain();
     s.start("gw-2");
     for (int i = 0; i < 40; ++i)
@@ -347,7 +347,7 @@
     ASSERT_TRUE(taken(2));
     EXPECT_EQ(jobsOf("m"), 1U) << "within the time it is remembered";
     s.world.run(20s);
-    EXPECT_EQ(s.holder(checks)->tenure(checks)->book().size(), 0U);
+    EXPECT_EQ(s.holder(checks)->queueOwner(checks)->book().size(), 0U);
     for (const auto& [key, e] : s.state.keys) {
         EXPECT_FALSE(key.starts_with("gw/q/")) << "records of forgotten entries go: " << key;
     }
@@ -435,7 +435,7 @@
         s.broker.publish(atBroker,
                          GatewayFixture::message("m" + std::to_string(i), std::to_string(i)));
     s.world.run(3s);
-    const std::size_t untaken = s.holder(checks)->tenure(checks)->untaken();
+    const std::size_t untaken = s.holder(checks)->queueOwner(checks)->untaken();
     EXPECT_GT(untaken, 0U);
     EXPECT_LE(untaken, 4U);
     s.jobs.fault = nullptr;
--- a/src/gateway/app/main.cpp
+++ b/src/gateway/app/main.cpp
@@ -14,29 +14,29 @@
 namespace gateway = basaltchute::gateway;
 using namespace std::chrono_literals;
 
-volatile std::sig_atomic_t endsRequested = 0, reloadRequested = 0;
+volatile std::sig_atomic_t stopSignals = 0, reloadRequested = 0;
 
 void onSignal(int signal) {
     if (signal == SIGHUP)
         reloadRequested = 1;
     else
-        endsRequested = endsRequested + 1;
+        stopSignals = stopSignals + 1;
 }
 
-/// A first signal drains, a second one ends at once.
+/// Drains on the first SIGTERM or SIGINT, stops at once on the second; SIGHUP reloads certificates.
 basaltchute::Task<void> watchSignals(basaltchute::EventLoop& loop, basaltchute::Scope& scope,
                                      gateway::Gateway& instance) {
-    while (!instance.ended() && endsRequested < 2) {
-        // The signal itself ends the wait in epoll; this looks at the flags now and then.
+    while (!instance.ended() && stopSignals < 2) {
+        // A signal interrupts epoll_wait, but the flags are only read here.
         co_await loop.sleep(200ms, scope);
         if (reloadRequested != 0) {
             reloadRequested = 0;
             if (const auto wrong = instance.reload())
-                spdlog::error("certificates not read again: {}", *wrong);
+                spdlog::error("certificate reload failed: error={}", *wrong);
             else
-                spdlog::info("certificates read again, for connections from now on");
+                spdlog::info("certificates reloaded for new connections");
         }
-        if (endsRequested > 0) instance.drain();
+        if (stopSignals > 0) instance.drain();
     }
     co_await instance.end();
     loop.stop();
@@ -63,12 +63,11 @@
         gateway::Gateway instance(loop, std::get<gateway::Settings>(std::move(loaded)), incarnation,
                                   random());
         instance.start();
-        spdlog::info("serving AMQP at {}, the command line at {}", instance.address(),
-                     instance.admin());
+        spdlog::info("gateway started: amqp={} admin={}", instance.address(), instance.admin());
         loop.spawn(watchSignals(loop, scope, instance));
         loop.run();
     } catch (const std::exception& e) {
-        spdlog::critical("cannot run: {}", e.what());
+        spdlog::critical("gateway failed: error={}", e.what());
         return 1;
     }
     return 0;
@@ -87,33 +86,33 @@
     cli.add_option("--check-config", check, "Check a settings file and exit")->type_name("FILE");
     cli.set_version_flag("--version", "basaltchute-gateway " BASALTCHUTE_VERSION);
 
-    gateway::Question question;
-    question.admin = "127.0.0.1:7071";
-    using What = gateway::Question::What;
-    const auto command = [&](const char* name, const char* help, What what) {
+    gateway::AdminCommand adminCommand;
+    adminCommand.admin = "127.0.0.1:7071";
+    using Action = gateway::AdminCommand::Action;
+    const auto command = [&](const char* name, const char* help, Action what) {
         auto* sub = cli.add_subcommand(name, help);
-        sub->add_option("--admin", question.admin, "Address of a running instance")
+        sub->add_option("--admin", adminCommand.admin, "Address of a running instance")
             ->type_name("ADDRESS")
             ->capture_default_str();
-        sub->add_flag("--json", question.json, "For programs");
-        sub->callback([&question, what] { question.what = what; });
+        sub->add_flag("--json", adminCommand.json, "For programs");
+        sub->callback([&adminCommand, what] { adminCommand.what = what; });
         return sub;
     };
-    command("queues", "Every queue: who holds it and how far its messages are", What::queues);
-    auto* ledger = command("ledger", "A queue's ledger, the newest lines", What::ledger);
-    ledger->add_option("queue", question.queue, "<team>/<class>")->required();
-    ledger->add_option("--key", question.key, "Only this message");
-    ledger->add_option("--stage", question.stage, "Only this stage");
-    ledger->add_option("--limit", question.limit, "Lines, at most 1000");
-    command("drain", "Give the instance's queues to others and end it", What::drain);
+    command("queues", "Every queue: who holds it and how far its messages are", Action::queues);
+    auto* ledger = command("ledger", "A queue's ledger, the newest lines", Action::ledger);
+    ledger->add_option("queue", adminCommand.queue, "<team>/<class>")->required();
+    ledger->add_option("--key", adminCommand.key, "Only this message");
+    ledger->add_option("--stage", adminCommand.stage, "Only this stage");
+    ledger->add_option("--limit", adminCommand.limit, "Lines, at most 1000");
+    command("drain", "Give the instance's queues to others and end it", Action::drain);
     auto* replay =
-        command("replay", "Send a result again, or take a refused message again", What::replay);
-    replay->add_option("queue", question.queue, "<team>/<class>")->required();
-    replay->add_option("key", question.key, "As the ledger shows it")->required();
+        command("replay", "Send a result again, or take a refused message again", Action::replay);
+    replay->add_option("queue", adminCommand.queue, "<team>/<class>")->required();
+    replay->add_option("key", adminCommand.key, "As the ledger shows it")->required();
     cli.require_subcommand(0, 1);
     CLI11_PARSE(cli, argc, argv);
 
-    if (!cli.get_subcommands().empty()) return gateway::ask(question);
+    if (!cli.get_subcommands().empty()) return gateway::runAdminCommand(adminCommand);
     if (config.empty() && check.empty()) {
         std::cerr << cli.help();
         return 2;
--- a/src/gateway/settings/networks.cpp
+++ b/src/gateway/settings/networks.cpp
@@ -16,7 +16,7 @@
     return true;
 }
 
-bool Networks::hold(const std::string& address) const {
+bool Networks::contains(const std::string& address) const {
     if (ranges_.empty()) return true;
     boost::system::error_code bad;
     const auto a = ip::make_address_v4(address, bad);
--- a/src/gateway/settings/networks.h
+++ b/src/gateway/settings/networks.h
@@ -5,13 +5,14 @@
 
 namespace basaltchute::gateway {
 
-/// IPv4 networks by CIDR (RFC 4632).
+/// A list of IPv4 networks in CIDR notation (RFC 4632).
 class Networks {
   public:
-    /// False if it is not a network, such as 10.0.0.0/8.
+    /// Adds a network such as 10.0.0.0/8. Returns false if the text is not a valid network.
     bool add(const std::string& cidr);
-    /// Whether the address, such as 10.1.2.3, lies in one of them; an empty list holds everyone.
-    [[nodiscard]] bool hold(const std::string& address) const;
+    /// Whether the address, such as 10.1.2.3, lies in one of the networks. An empty list contains
+    /// every address.
+    [[nodiscard]] bool contains(const std::string& address) const;
 
   private:
     struct Range {
--- a/src/gateway/settings/settings.cpp
+++ b/src/gateway/settings/settings.cpp
@@ -10,10 +10,10 @@
 
 using json::Value;
 
-/// Reads field after field; the first error stands.
-class Reading {
+/// Fills Settings from the JSON document; keeps the first error.
+class SettingsReader {
   public:
-    Reading(Settings& out, ReadFile readFile) : out_(out), readFile_(readFile) {}
+    SettingsReader(Settings& out, ReadFile readFile) : out_(out), readFile_(readFile) {}
     std::string error;
 
     void all(const json::Document& d) {
@@ -78,8 +78,8 @@
         const double share = json::number(s, "share").value_or(0.1);
         out_.state.stateRps = *json::number(s, "requestsPerSecond") * share;
         out_.state.stateWriteRps = *json::number(s, "writesPerSecond") * share;
-        // A burst must hold one whole write beside the part that is kept for what is urgent, or the
-        // least urgent is never written; a grant is kept by requests.
+        // A burst must have room for one whole write besides the part reserved for urgent writes;
+        // otherwise the least urgent writes never run. Keeping the lease alive takes requests.
         if (out_.state.stateWriteRps < 2) fail("#/state/share", "at least 2 writes a second");
         if (out_.state.stateRps < 4) fail("#/state/share", "at least 4 requests a second");
         out_.state.valueBytes =
@@ -193,9 +193,9 @@
     if (!doc) return settings::Error("not JSON");
     if (auto error = json::schemaError(*doc, gatewaySchema)) return std::move(*error);
     Settings out;
-    Reading reading(out, readFile);
-    reading.all(*doc);
-    if (!reading.error.empty()) return settings::Error(reading.error);
+    SettingsReader reader(out, readFile);
+    reader.all(*doc);
+    if (!reader.error.empty()) return settings::Error(reader.error);
     return out;
 }
 
--- a/src/gateway/settings/settings.h
+++ b/src/gateway/settings/settings.h
@@ -15,24 +15,28 @@
 /// `<team>/<class>`.
 using QueueName = std::string;
 
+/// What happens to a message without an id that duplicates could be recognized by.
 enum class WithoutId { reject, atMostOnce, atLeastOnce };
 
+/// Settings of one queue.
 struct QueueSettings {
     QueueName name;
     std::string team, jobClass;
-    std::string job;          // JSON object: what a message need not carry
-    std::string keyProperty;  // empty: the message-id
+    std::string job;          // JSON object: defaults for job fields that a message leaves out
+    std::string keyProperty;  // property that identifies a message; empty: its message-id
     WithoutId withoutId = WithoutId::reject;
     std::uint32_t attempts = 3;
     std::size_t unfinished = 1000;
     std::chrono::milliseconds retain = std::chrono::hours(24);
 };
 
+/// A user who may connect, and the teams whose queues the user may use.
 struct User {
-    std::string password;  // empty: by certificate only
+    std::string password;  // empty: authenticated by certificate only
     std::set<std::string> teams;
 };
 
+/// An external broker to consume from.
 struct Source {
     std::string name, address, user, password;
     bool passwordsInClear = false;
@@ -40,6 +44,7 @@
     std::map<QueueName, std::string> consume;  // queue -> the broker's address for it
 };
 
+/// Limits on connections, memory and requests of one instance.
 struct Limits {
     std::size_t connections = 500, links = 256;
     int credit = 64;
@@ -50,11 +55,12 @@
              age = std::chrono::seconds(2);
 };
 
+/// All settings of one gateway instance.
 struct Settings {
     std::string instance, listen, advertise, admin;
     std::vector<std::string> controllers;
     std::string statePrefix = "gw/";
-    /// As the state client takes it: the address and this instance's share of the limits.
+    /// For the state client: the address and this instance's share of the request limits.
     settings::Settings state;
     Duration grant = std::chrono::seconds(8);
     std::string refWord = "run";
@@ -68,7 +74,8 @@
     Limits limits;
 };
 
-/// Checked against deploy/gateway.schema.json. `readFile` finds what the settings name.
+/// Parses settings and checks them against deploy/gateway.schema.json. `readFile` reads the files
+/// that the settings name.
 using ReadFile = std::optional<std::string> (*)(const std::string& path);
 std::variant<Settings, settings::Error> parse(const std::string& text,
                                               ReadFile readFile = settings::readFile);
--- a/src/gateway/settings/settings_test.cpp
+++ b/src/gateway/settings/settings_test.cpp
@@ -35,8 +35,8 @@
     EXPECT_EQ(read.users.at("kierros-north").password, "secret");
     EXPECT_DOUBLE_EQ(read.state.stateWriteRps, 2.5);
     EXPECT_EQ(read.sources[0].consume.at("north/replay-verify"), "replay-checks");
-    EXPECT_TRUE(read.networks.hold("192.0.2.77"));
-    EXPECT_FALSE(read.networks.hold("192.0.3.1"));
+    EXPECT_TRUE(read.networks.contains("192.0.2.77"));
+    EXPECT_FALSE(read.networks.contains("192.0.3.1"));
 }
 
 TEST(GatewaySettings, EachErrorNamesTheFieldAndWhatWasExpected) {
--- a/src/gateway/settings/wire_format_test.cpp
+++ b/src/gateway/settings/wire_format_test.cpp
@@ -58,8 +58,8 @@
 }
 
 TEST_F(GatewaySettingsWireFormat, AccessFields) {
-    EXPECT_TRUE(s.networks.hold("10.9.9.9"));
-    EXPECT_FALSE(s.networks.hold("11.0.0.1"));
+    EXPECT_TRUE(s.networks.contains("10.9.9.9"));
+    EXPECT_FALSE(s.networks.contains("11.0.0.1"));
     EXPECT_TRUE(s.anonymous);
     EXPECT_TRUE(s.passwordsInClear);
     EXPECT_EQ(s.users.at("ada").password, "secret");
--- a/src/gateway/testing/broker.h
+++ b/src/gateway/testing/broker.h
@@ -1,6 +1,6 @@
 #pragma once
-// Stand-ins for what the gateway talks to, for tests and measurements only: a broker that speaks
-// AMQP 1.0 by the same engine, and the controllers' users' interface.
+// Fakes of the services that the gateway talks to, for tests and load tests only: a broker that
+// uses the gateway's own AMQP 1.0 implementation, and the job API of the controllers.
 #include <deque>
 #include <functional>
 #include <list>
@@ -15,8 +15,8 @@
 
 namespace basaltchute::gateway::testing {
 
-/// Queues with credit, redelivery counts and dead letters. Whatever is sent to an address that is
-/// no queue is kept as it came.
+/// A fake broker with link credit, redelivery counts and dead letters. Messages sent to an address
+/// that is not a queue are kept in `received`.
 class Broker {
   public:
     Broker(EventLoop& loop, Scope& scope);
@@ -35,8 +35,8 @@
     };
     std::map<std::string, Queue> queues;
     std::map<std::string, std::vector<amqp::Message>> received;  // by address, in order
-    bool refusing = false;                                       // ends connections as they come
-    /// What becomes of a message that is sent to an address; accepted where absent.
+    bool refusing = false;                                       // closes new connections at once
+    /// The disposition of a message sent to an address; messages are accepted if this is not set.
     std::function<amqp::Disposition(const std::string& address)> judge;
 
   private:
@@ -50,12 +50,13 @@
     std::list<std::shared_ptr<Session>> sessions_;
 };
 
-/// Accepts jobs and ends them after a while. A job's `build` says which message it came from.
+/// A fake controller: accepts jobs and finishes them after `runTime`. The `build` field of a job is
+/// the marker of the message that it came from.
 class JobService {
   public:
     JobService(EventLoop& loop, Scope& scope, const std::string& address = "127.0.0.1:0");
     [[nodiscard]] std::string address() const { return server_.address(); }
-    /// Serves the same jobs at one more address, as another controller does.
+    /// Serves the same jobs at one more address, like a second controller.
     void alsoAt(const std::string& address);
 
     struct Job {
@@ -68,7 +69,7 @@
     enum class Fault { none, refused, mute, lost };       // mute: executed without an answer
     std::function<Fault(const http::Request&)> fault;
     std::function<Duration()> runTime = [] { return std::chrono::seconds(1); };
-    std::set<std::string> impossible;  // markers that get 422
+    std::set<std::string> impossible;  // markers of jobs that are answered with 422
 
   private:
     Task<http::Response> handle(http::Request request);
--- a/src/gateway/testing/client.h
+++ b/src/gateway/testing/client.h
@@ -9,26 +9,26 @@
 
 namespace basaltchute::gateway::testing {
 
-/// A client that speaks AMQP to a gateway and keeps what it is told.
+/// An AMQP client of a gateway that records dispositions, replies and detached links.
 class Client final : public amqp::Handler {
   public:
     Client(EventLoop& loop, std::string address, amqp::Connection::Options options = {});
     Client(const Client&) = delete;
     Client& operator=(const Client&) = delete;
     ~Client() override;
-    /// Connects and begins; `over` once that failed or ended.
+    /// Connects; `over` becomes true when the connection failed or ended.
     void start();
     bool open = false, over = false;
     amqp::Condition ending;
 
-    /// A link to send on; links are told apart by the address they were opened for.
+    /// Opens a link to send on. Links are identified by the address they were opened for.
     void sendTo(const std::string& target);
     void readFrom(const std::string& source, int credit = 100);
     [[nodiscard]] int credit(const std::string& address) const;
     [[nodiscard]] bool linked(const std::string& address) const;
     bool send(const std::string& target, const amqp::Message& message, const std::string& tag);
     bool sendRaw(const std::string& target, const std::string& bytes, const std::string& tag);
-    /// Leaves replies without a disposition.
+    /// If true, replies are not settled.
     bool mute = false;
 
     std::map<std::string, amqp::Disposition> decisions;  // by tag
--- a/src/gateway/testing/fault_test.cpp
+++ b/src/gateway/testing/fault_test.cpp
@@ -12,23 +12,24 @@
 
 const std::vector<QueueName> queueNames{"north/replay-verify", "north/split",
                                         "south/replay-verify"};
-constexpr Duration stormSpan = 40s, calmSpan = 240s;
+constexpr Duration faultPeriod = 40s, recoveryTimeout = 240s;
 
-class Storm {
+class FaultScenario {
   public:
-    Storm(std::uint64_t seed, unsigned messages) : fixture_(seed), random_(seed * 7919 + 1) {
+    FaultScenario(std::uint64_t seed, unsigned messages)
+        : fixture_(seed), random_(seed * 7919 + 1) {
         for (const auto& q : queueNames) fixture_.addQueue(q);
         fixture_.settings.limits.timeout = 6s;
         fixture_.jobs.runTime = [this] { return fromSeconds(0.2 + 4 * share()); };
         fixture_.jobs.fault = [this](const http::Request& r) { return jobFault(r); };
         fixture_.state.fault = [this](const http::Request& r) { return stateFault(r); };
         fixture_.broker.judge = [this](const std::string&) {
-            if (!raging_ || share() > 0.02)
+            if (!faultsEnabled_ || share() > 0.02)
                 return amqp::Disposition{amqp::Outcome::accepted, {}, false};
             ++out_.faults["replies released by the receiver"];
             return amqp::Disposition{amqp::Outcome::released, {}, false};
         };
-        // At times of their own, and one in eight sent twice by its client.
+        // Messages are sent at random times; one in eight is sent twice by its client.
         for (unsigned i = 0; i < messages; ++i) plan(i);
         out_.messages = messages;
     }
@@ -37,16 +38,16 @@
         fixture_.start("gw-1");
         fixture_.start("gw-2");
         const TimePoint start = fixture_.world.clock.now();
-        raging_ = true;
-        while (fixture_.world.clock.now() - start < stormSpan) {
+        faultsEnabled_ = true;
+        while (fixture_.world.clock.now() - start < faultPeriod) {
             publishUntil(fixture_.world.clock.now() - start);
             fault();
             fixture_.world.run(fromSeconds(0.05 + 0.5 * share()));
         }
-        publishUntil(stormSpan);
-        calm();
-        fixture_.until([&] { return settled(); }, calmSpan);
-        fixture_.world.run(10s);  // what would come twice has time to come
+        publishUntil(faultPeriod);
+        endFaults();
+        fixture_.until([&] { return settled(); }, recoveryTimeout);
+        fixture_.world.run(10s);  // leaves time for duplicate replies to arrive
         check();
         return std::move(out_);
     }
@@ -67,14 +68,14 @@
         const double kind = share();
         if (kind < 0.03) {
             m.body = "no JSON, number " + std::to_string(i);
-            poison_.insert(marker);
+            invalidMessages_.insert(marker);
         } else if (kind < 0.06) {
             fixture_.jobs.impossible.insert(marker);
-            poison_.insert(marker);
+            invalidMessages_.insert(marker);
         } else {
-            good_[marker] = replyTo;
+            validMessages_[marker] = replyTo;
         }
-        const Duration at = fromSeconds(share() * 0.9 * toSeconds(stormSpan));
+        const Duration at = fromSeconds(share() * 0.9 * toSeconds(faultPeriod));
         planned_.push_back({at, queue, m});
         if (share() < 0.125) {
             planned_.push_back({at + fromSeconds(share() * 10), queue, m});
@@ -86,13 +87,13 @@
             std::sort(planned_.begin(), planned_.end(),
                       [](const auto& a, const auto& b) { return a.at < b.at; });
         sorted_ = true;
-        for (; next_ < planned_.size() && (planned_[next_].at <= t || t >= stormSpan); ++next_)
+        for (; next_ < planned_.size() && (planned_[next_].at <= t || t >= faultPeriod); ++next_)
             fixture_.broker.publish("work/" + planned_[next_].queue, planned_[next_].message);
     }
 
     JobService::Fault jobFault(const http::Request& r) {
         using Fault = JobService::Fault;
-        if (!raging_) return Fault::none;
+        if (!faultsEnabled_) return Fault::none;
         const double x = share();
         auto& f = out_.faults;
         if (leaderless_ || x < 0.05) return ++f["submissions and polls refused"], Fault::refused;
@@ -102,7 +103,7 @@
     }
     basaltchute::testing::StateService::Fault stateFault(const http::Request& r) {
         using Fault = basaltchute::testing::StateService::Fault;
-        if (!raging_ || r.target.starts_with("/watch")) return {};
+        if (!faultsEnabled_ || r.target.starts_with("/watch")) return {};
         const double x = share();
         auto& f = out_.faults;
         if (x < 0.03) return ++f["state requests refused"], Fault{Fault::Kind::refused, {}};
@@ -133,7 +134,7 @@
                 ++f["instances drained"];
             }
         } else if (x < 0.41) {
-            // What an owner meets that froze past its grant and wakes.
+            // Simulates an owner that was suspended until after its lease expired.
             for (const auto& [key, entry] : fixture_.state.keys)
                 if (key.starts_with("gw/own/member/") && entry.grant != 0) {
                     fixture_.state.endGrantOf(std::string(key));
@@ -158,8 +159,8 @@
                 fixture_.start(name);
         }
     }
-    void calm() {
-        raging_ = leaderless_ = fixture_.state.down = fixture_.broker.refusing = false;
+    void endFaults() {
+        faultsEnabled_ = leaderless_ = fixture_.state.down = fixture_.broker.refusing = false;
         for (int i = 1; i <= 2; ++i) {
             const std::string name = "gw-" + std::to_string(i);
             if (!fixture_.instances.contains(name)) fixture_.start(name);
@@ -173,7 +174,7 @@
         return out;
     }
     [[nodiscard]] bool settled() {
-        // An instance that drained during the storm ends in its own time.
+        // An instance that drained during the fault period may end only now; restart it.
         for (const auto& [name, g] : fixture_.instances)
             if (g->ended()) {
                 const std::string again = name;
@@ -184,7 +185,7 @@
         for (const auto& [name, q] : fixture_.broker.queues)
             if (!q.waiting.empty() || q.unsettled > 0) return false;
         const auto have = answered();
-        return std::all_of(good_.begin(), good_.end(), [&](const auto& g) {
+        return std::all_of(validMessages_.begin(), validMessages_.end(), [&](const auto& g) {
             return fixture_.jobs.refsOf.contains(g.first) &&
                    (g.second.empty() || have.contains(g.first));
         });
@@ -197,15 +198,15 @@
                 wrong(name + " still holds " + std::to_string(q.waiting.size() + q.unsettled));
             out_.deadLetters += q.dead.size();
             for (const auto& [m, why] : q.dead)
-                if (!poison_.contains(m.id.bytes))
+                if (!invalidMessages_.contains(m.id.bytes))
                     wrong(m.id.bytes + " is a dead letter: " + why.description);
         }
-        for (const auto& [marker, replyTo] : good_) {
+        for (const auto& [marker, replyTo] : validMessages_) {
             const auto it = fixture_.jobs.refsOf.find(marker);
             const std::size_t n = it == fixture_.jobs.refsOf.end() ? 0 : it->second.size();
             if (n != 1) wrong(marker + " became " + std::to_string(n) + " jobs");
         }
-        for (const auto& marker : poison_)
+        for (const auto& marker : invalidMessages_)
             if (fixture_.jobs.refsOf.contains(marker)) wrong(marker + " should have become no job");
         out_.jobs = fixture_.jobs.jobs.size();
         for (const auto& [address, messages] : fixture_.broker.received) {
@@ -228,11 +229,12 @@
             std::set<std::string> ids;
             for (const auto& m : messages) {
                 if (ids.insert(m.id.bytes).second) ++replies[m.correlation.bytes];
-                if (!good_.contains(m.correlation.bytes) || good_[m.correlation.bytes] != address)
+                if (!validMessages_.contains(m.correlation.bytes) ||
+                    validMessages_[m.correlation.bytes] != address)
                     wrong("a reply for " + m.correlation.bytes + " at " + address);
             }
         }
-        for (const auto& [marker, replyTo] : good_) {
+        for (const auto& [marker, replyTo] : validMessages_) {
             const int expected = replyTo.empty() ? 0 : 1;
             if (replies[marker] != expected)
                 wrong(marker + " has " + std::to_string(replies[marker]) + " replies");
@@ -241,7 +243,7 @@
             wrong("results out of order");
         for (const auto& [name, g] : fixture_.instances)
             for (const auto& q : queueNames)
-                if (const auto t = g->tenure(q); t && !t->book().findInconsistency().empty())
+                if (const auto t = g->queueOwner(q); t && !t->book().findInconsistency().empty())
                     wrong(name + ": ledger of " + q + ": " + t->book().findInconsistency());
     }
 
@@ -250,15 +252,15 @@
     FaultTestResult out_;
     std::vector<Planned> planned_;
     std::size_t next_ = 0;
-    bool sorted_ = false, raging_ = false, leaderless_ = false;
-    std::map<std::string, std::string> good_;  // marker -> reply-to
-    std::set<std::string> poison_;
+    bool sorted_ = false, faultsEnabled_ = false, leaderless_ = false;
+    std::map<std::string, std::string> validMessages_;  // marker -> reply-to
+    std::set<std::string> invalidMessages_;
 };
 
 }  // namespace
 
 FaultTestResult runFaultTest(std::uint64_t seed, unsigned messages) {
-    Storm s(seed, messages);
+    FaultScenario s(seed, messages);
     return s.run();
 }
 
--- a/src/gateway/testing/fault_test.h
+++ b/src/gateway/testing/fault_test.h
@@ -6,7 +6,7 @@
 
 namespace basaltchute::gateway::testing {
 
-/// How often each fault happened in a storm, by its name.
+/// How often each fault happened in a run, by the name of the fault.
 using Faults = std::map<std::string, std::uint64_t>;
 
 struct FaultTestResult {
@@ -18,9 +18,9 @@
 };
 
 /// `messages` messages through two gateway instances, while connections are cut, instances are
-/// killed, drained and overtaken by the end of their grants, and the state service and the
-/// controllers refuse, fall silent, or act late. The same seed gives the same storm, but for the
-/// order in which the kernel reports sockets.
+/// killed, drained and lose their leases, and the state service and the
+/// controllers refuse requests, leave them unanswered, or execute them late. The same seed gives
+/// the same faults, except for the order in which the kernel reports sockets.
 FaultTestResult runFaultTest(std::uint64_t seed, unsigned messages);
 
 }  // namespace basaltchute::gateway::testing
--- a/src/gateway/testing/gateway_fixture.cpp
+++ b/src/gateway/testing/gateway_fixture.cpp
@@ -64,7 +64,7 @@
 
 Gateway* GatewayFixture::holder(const QueueName& queue) {
     for (const auto& [name, g] : instances)
-        if (const auto t = g->tenure(queue); t && t->ready() && g->members().holds(queue))
+        if (const auto t = g->queueOwner(queue); t && t->ready() && g->members().holds(queue))
             return g.get();
     return nullptr;
 }
--- a/src/gateway/testing/gateway_fixture.h
+++ b/src/gateway/testing/gateway_fixture.h
@@ -9,7 +9,8 @@
 
 namespace basaltchute::gateway::testing {
 
-/// The gateway's surroundings on a fake clock, and instances that come and go.
+/// Fakes of the services around the gateway on a fake clock, and gateway instances that tests start
+/// and kill.
 struct GatewayFixture {
     explicit GatewayFixture(std::uint64_t seed = 1);
     // An instance that does not end has to end the test run.
@@ -26,7 +27,7 @@
     std::mt19937_64 random;
 
     Gateway& start(const std::string& name);
-    /// As kill -9 would; returns when nothing of it is left.
+    /// Stops the instance at once, like kill -9, and destroys it.
     void kill(const std::string& name);
     /// The instance that serves the queue now, if one does.
     [[nodiscard]] Gateway* holder(const QueueName& queue);
