--- a/src/gateway/amqp/connection.cpp
+++ b/src/gateway/amqp/connection.cpp
@@ -90,7 +90,7 @@
             break;
         case PN_REJECTED:
             out.outcome = Outcome::rejected;
-            out.why = conditionOf(pn_disposition_condition(pn_delivery_remote(d)));
+            out.condition = conditionOf(pn_disposition_condition(pn_delivery_remote(d)));
             break;
         case PN_RELEASED:
             out.outcome = Outcome::released;
@@ -138,16 +138,16 @@
     auto& d = engine_->driver;
     if (options_.tls) {
         tls_ = std::make_unique<Tls>(options_.tls);
-        options_.identity.certified = [this] { return tls_->peerName(); };
-        options_.identity.plainInClear = true;  // it is not in the clear
+        options_.identity.certificateName = [this] { return tls_->peerName(); };
+        options_.identity.allowPlainWithoutTls = true;  // it is not in the clear
     }
     if (options_.server) pn_transport_set_server(d.transport);
     secure(d.transport, options_.identity);
     pn_transport_set_max_frame(d.transport, static_cast<std::uint32_t>(options_.limits.frameBytes));
     pn_transport_set_idle_timeout(
-        d.transport,
-        static_cast<pn_millis_t>(
-            std::chrono::duration_cast<std::chrono::milliseconds>(options_.limits.idle).count()));
+        d.transport, static_cast<pn_millis_t>(std::chrono::duration_cast<std::chrono::milliseconds>(
+                                                  options_.limits.idleTimeout)
+                                                  .count()));
     pn_connection_set_container(d.connection, options_.container.c_str());
     if (!options_.host.empty()) pn_connection_set_hostname(d.connection, options_.host.c_str());
     if (!options_.identity.user.empty()) {
@@ -164,7 +164,7 @@
 Connection::~Connection() = default;
 
 std::string Connection::user() const {
-    return options_.identity.named;
+    return options_.identity.authenticatedUser;
 }
 
 pn_link_t* Connection::link(LinkId id) const {
@@ -222,7 +222,7 @@
     pn_link_close(l);
     wake_.notify();
 }
-void Connection::give(LinkId id, int credit) {
+void Connection::addCredit(LinkId id, int credit) {
     pn_link_t* l = link(id);
     if (l == nullptr || credit <= 0) return;
     pn_link_flow(l, credit);
@@ -241,7 +241,7 @@
 
 bool Connection::send(LinkId id, const std::string& bytes, const std::string& tag) {
     pn_link_t* l = link(id);
-    if (over_ || l == nullptr || pn_link_credit(l) <= 0) return false;
+    if (closed_ || l == nullptr || pn_link_credit(l) <= 0) return false;
     pn_delivery_t* d = pn_delivery(l, pn_dtag(tag.data(), tag.size()));
     if (d == nullptr) return false;
     pn_link_send(l, bytes.data(), bytes.size());
@@ -256,7 +256,7 @@
     pn_delivery_t* d = it->second.delivery;
     deliveries_.erase(it);
     if (disposition.outcome == Outcome::rejected)
-        set(pn_disposition_condition(pn_delivery_local(d)), disposition.why);
+        set(pn_disposition_condition(pn_delivery_local(d)), disposition.condition);
     if (disposition.outcome == Outcome::modified)
         pn_disposition_set_failed(pn_delivery_local(d), disposition.deliveryFailed);
     if (disposition.outcome != Outcome::none) pn_delivery_update(d, codeOf(disposition.outcome));
@@ -265,13 +265,13 @@
 }
 
 void Connection::close(const Condition& why) {
-    if (over_) return;
+    if (closed_) return;
     set(pn_connection_condition(engine_->driver.connection), why);
     pn_connection_close(engine_->driver.connection);
     wake_.notify();
 }
-void Connection::cut() {
-    cut_ = true;
+void Connection::abort() {
+    aborted_ = true;
     socket_->shutDown();
     wake_.notify();
 }
@@ -307,7 +307,7 @@
         case PN_LINK_REMOTE_OPEN: {
             pn_link_t* l = pn_event_link(event);
             if ((pn_link_state(l) & PN_LOCAL_UNINIT) == 0) {
-                handler_.confirmed(*this, idOf(l));
+                handler_.linkOpened(*this, idOf(l));
                 break;
             }
             const LinkId id = idOf(l);
@@ -335,7 +335,7 @@
         case PN_LINK_FLOW: {
             pn_link_t* l = pn_event_link(event);
             if (!pn_link_is_sender(l)) break;
-            handler_.credited(*this, idOf(l));
+            handler_.creditUpdated(*this, idOf(l));
             if (pn_link_get_drain(l)) pn_link_drained(l);
             break;
         }
@@ -370,7 +370,7 @@
     const std::string name(tag.start, tag.size);
     const Disposition disposition = dispositionOf(d);
     pn_delivery_settle(d);
-    handler_.decided(*this, idOf(l), name, disposition);
+    handler_.dispositionReceived(*this, idOf(l), name, disposition);
 }
 
 void Connection::onIncoming(pn_delivery_t* d) {
@@ -416,7 +416,7 @@
         else
             broken = std::get<std::string>(decoded);
     }
-    handler_.arrived(*this, on, id, std::move(message), std::move(broken));
+    handler_.messageReceived(*this, on, id, std::move(message), std::move(broken));
 }
 
 bool Connection::feed(std::string& plain) {
@@ -460,13 +460,13 @@
 
 Task<void> Connection::write(Scope& scope) {
     auto& d = engine_->driver;
-    while (!over_ && !scope.cancelled()) {
+    while (!closed_ && !scope.cancelled()) {
         const TimePoint next = tick();
         dispatch();
         const std::string bytes = wire();
         if (!bytes.empty()) {
             // A peer that reads nothing is cut off; until then what waits for it is one buffer.
-            const TimePoint until = loop_.now() + options_.limits.stall;
+            const TimePoint until = loop_.now() + options_.limits.writeTimeout;
             const bool written = co_await socket_->write(bytes, until, scope);
             if (!written) break;
             continue;
@@ -483,10 +483,10 @@
 Task<void> Connection::read(Scope& scope) {
     auto& d = engine_->driver;
     std::string data, plain;
-    while (!cut_ && !pn_connection_driver_read_closed(&d)) {
+    while (!aborted_ && !pn_connection_driver_read_closed(&d)) {
         data.clear();
         const long n = co_await socket_->read(data, TimePoint::max(), scope);
-        if (n <= 0 || cut_) break;
+        if (n <= 0 || aborted_) break;
         plain.clear();
         const bool whole = !tls_ || tls_->received(data, plain);
         const bool fed = feed(tls_ ? plain : data);
@@ -505,7 +505,7 @@
     self->wake_.notify();
     while (self->writing_ && !scope.cancelled())
         co_await self->loop_.wait(self->writerEnded_, TimePoint::max(), scope);
-    self->over_ = true;
+    self->closed_ = true;
     self->dispatch();
     if (scope.cancelled()) co_return;
     auto& d = self->engine_->driver;
--- a/src/gateway/amqp/connection.h
+++ b/src/gateway/amqp/connection.h
@@ -32,19 +32,19 @@
 enum class Outcome { none, accepted, rejected, released, modified };
 struct Disposition {
     Outcome outcome = Outcome::none;
-    Condition why;                // of a rejection
+    Condition condition;          // of a rejection
     bool deliveryFailed = false;  // of `modified`: counts as a failed delivery
 };
 
 /// What the other side has asked for.
 struct Attach {
-    bool theySend = false;
+    bool peerSends = false;
     std::string name, source, target;
 };
 
 struct Limits {
-    Duration idle = std::chrono::seconds(30);   // silence after which a connection ends
-    Duration stall = std::chrono::seconds(20);  // that a peer may leave our bytes unread
+    Duration idleTimeout = std::chrono::seconds(30);   // silence after which a connection ends
+    Duration writeTimeout = std::chrono::seconds(20);  // that a peer may leave our bytes unread
     std::size_t frameBytes = std::size_t{64} * 1024;
     std::size_t messageBytes =
         std::size_t{64} * 1024;  // larger messages are dropped as they come, then reported
@@ -61,17 +61,17 @@
     /// The other side wants a link: answer with `confirm` or `refuse`, at once or later.
     virtual void attached(Connection&, LinkId, const Attach&) {}
     /// A link that this side wanted exists now.
-    virtual void confirmed(Connection&, LinkId) {}
+    virtual void linkOpened(Connection&, LinkId) {}
     /// A whole message came. `broken` says why there is none: too large, or no AMQP message.
-    virtual void arrived(Connection&, LinkId, DeliveryId, Message, std::string broken) {
+    virtual void messageReceived(Connection&, LinkId, DeliveryId, Message, std::string broken) {
         static_cast<void>(broken);
     }
     /// The other side decided on what this side sent under `tag`.
-    virtual void decided(Connection&, LinkId, const std::string& tag, Disposition) {
+    virtual void dispositionReceived(Connection&, LinkId, const std::string& tag, Disposition) {
         static_cast<void>(tag);
     }
     /// There may be more credit to send.
-    virtual void credited(Connection&, LinkId) {}
+    virtual void creditUpdated(Connection&, LinkId) {}
     virtual void detached(Connection&, LinkId, const Condition&) {}
     virtual void ended(Connection&, const Condition&) {}
 };
@@ -98,8 +98,8 @@
     /// Says goodbye; the routine ends once that is written.
     void close(const Condition& why = {});
     /// Ends at once, without a word, as a broken wire does.
-    void cut();
-    [[nodiscard]] bool over() const { return over_; }
+    void abort();
+    [[nodiscard]] bool closed() const { return closed_; }
     /// Who the other side has proved to be, on the listening side, once opened.
     [[nodiscard]] std::string user() const;
 
@@ -109,7 +109,7 @@
     void refuse(LinkId id, const Condition& why);
     /// Ends a link; what it holds unsettled is released.
     void detach(LinkId id, const Condition& why = {});
-    void give(LinkId id, int credit);
+    void addCredit(LinkId id, int credit);
     /// Credit given and not used yet; of a link that this side sends on, credit it may use.
     [[nodiscard]] int credit(LinkId id) const;
     /// Takes back credit that is not used yet.
@@ -146,7 +146,7 @@
     std::unique_ptr<Tls> tls_;
     std::unique_ptr<Engine> engine_;
     Event wake_, writerEnded_;
-    bool over_ = false, writing_ = false, dispatching_ = false, cut_ = false;
+    bool closed_ = false, writing_ = false, dispatching_ = false, aborted_ = false;
     std::map<LinkId, pn_link_t*> links_;
     std::unordered_map<DeliveryId, Incoming> deliveries_;
     LinkId nextLink_ = 1;
--- a/src/gateway/amqp/connection_test.cpp
+++ b/src/gateway/amqp/connection_test.cpp
@@ -24,9 +24,10 @@
     void attached(Connection& c, LinkId id, const Attach& a) override {
         c.confirm(id);
         link = id;
-        if (a.theySend) c.give(id, 10);
+        if (a.peerSends) c.addCredit(id, 10);
     }
-    void arrived(Connection& c, LinkId, DeliveryId d, Message m, std::string wrong) override {
+    void messageReceived(Connection& c, LinkId, DeliveryId d, Message m,
+                         std::string wrong) override {
         messages.push_back(std::move(m));
         broken.push_back(std::move(wrong));
         c.settle(d, {Outcome::accepted, {}, false});
@@ -80,14 +81,14 @@
         EXPECT_EQ(back.id, id);
         EXPECT_EQ(back.body, m.body);
         EXPECT_EQ(back.properties, m.properties);
-        EXPECT_EQ(Id::read(id.written()), id);
+        EXPECT_EQ(Id::fromText(id.toText()), id);
     }
     EXPECT_EQ(std::get<std::string>(decode("")), "not an AMQP message");
     Message m;
     m.body = "whole";
     const std::string whole = encode(m).value();
     EXPECT_TRUE(std::holds_alternative<std::string>(decode(whole.substr(0, whole.size() - 2))));
-    EXPECT_EQ(Id::read("b:0x"), std::nullopt);
+    EXPECT_EQ(Id::fromText("b:0x"), std::nullopt);
 }
 
 TEST(AmqpConnection, WhatIsTooLargeIsDroppedAsItComesAndReported) {
@@ -95,7 +96,7 @@
     Server server(world);
     const Ended ended(world);
     Connection::Options options;
-    options.identity.anonymous = true;
+    options.identity.allowAnonymous = true;
     options.limits.messageBytes = 1000;
     world.scope.spawn(server.serve(std::move(options)));
     Client c(world.loop, server.listener.address());
@@ -122,9 +123,9 @@
     Server server(world);
     const Ended ended(world);
     Connection::Options options;
-    options.identity.anonymous = true;
-    options.limits.stall = 5s;
-    options.limits.idle = 10min;
+    options.identity.allowAnonymous = true;
+    options.limits.writeTimeout = 5s;
+    options.limits.idleTimeout = 10min;
     world.scope.spawn(server.serve(std::move(options)));
     // Between the two stands a relay that stops passing on what the server says.
     Listener relay(world.loop, "127.0.0.1:0");
@@ -175,15 +176,15 @@
     const Ended ended(world);
     const auto attempt = [&](const std::string& password, bool plainInClear) {
         Connection::Options options;
-        options.identity.check = [](const std::string& user, const std::string& given) {
+        options.identity.checkPassword = [](const std::string& user, const std::string& given) {
             return user == "kierros" && given == "secret";
         };
-        options.identity.plainInClear = plainInClear;
+        options.identity.allowPlainWithoutTls = plainInClear;
         world.scope.spawn(server.serve(std::move(options)));
         Connection::Options mine;
         mine.identity.user = "kierros";
         mine.identity.password = password;
-        mine.identity.plainInClear = plainInClear;
+        mine.identity.allowPlainWithoutTls = plainInClear;
         Client c(world.loop, server.listener.address(), std::move(mine));
         c.start();
         world.until([&] { return c.open || c.over; });
@@ -273,7 +274,7 @@
         world.scope.spawn(server.serve(std::move(options)));
         Connection::Options own;
         own.tls = load(mine, false);
-        own.identity.external = true;
+        own.identity.useCertificate = true;
         auto c = std::make_unique<Client>(world.loop, server.listener.address(), std::move(own));
         c->start();
         world.until([&] { return c->open || c->over; });
@@ -297,7 +298,7 @@
     }
     good->sendTo("q");
     EXPECT_TRUE(world.until([&] { return good->linked("q"); }));
-    EXPECT_FALSE(first->over());
+    EXPECT_FALSE(first->closed());
     files.key = "nowhere.key";
     EXPECT_EQ(std::get<std::string>(loadTls(files, true)).substr(0, 11),
               files.certificate.substr(0, 11));
--- a/src/gateway/amqp/message.cpp
+++ b/src/gateway/amqp/message.cpp
@@ -66,7 +66,7 @@
 
 }  // namespace
 
-std::string Id::written() const {
+std::string Id::toText() const {
     std::string out{letters[static_cast<std::size_t>(kind)], ':'};
     if (kind == Kind::text || kind == Kind::number) return out + bytes;
     for (const char c : bytes) {
@@ -77,7 +77,7 @@
     return out;
 }
 
-std::optional<Id> Id::read(std::string_view text) {
+std::optional<Id> Id::fromText(std::string_view text) {
     if (text.size() < 2 || text[1] != ':') return std::nullopt;
     const auto letter = letters.find(text[0]);
     if (letter == std::string_view::npos) return std::nullopt;
--- a/src/gateway/amqp/message.h
+++ b/src/gateway/amqp/message.h
@@ -16,8 +16,8 @@
     bool operator==(const Id&) const = default;
     [[nodiscard]] bool empty() const { return kind == Kind::none; }
     /// Printable and reversible, for records: a letter for the kind, a colon, the value.
-    [[nodiscard]] std::string written() const;
-    static std::optional<Id> read(std::string_view text);
+    [[nodiscard]] std::string toText() const;
+    static std::optional<Id> fromText(std::string_view text);
 };
 
 /// The sections of a message that the gateway reads or sets (part 3, 3.2).
--- a/src/gateway/amqp/sasl.cpp
+++ b/src/gateway/amqp/sasl.cpp
@@ -20,23 +20,23 @@
 
 /// Passwords are neither offered nor taken where others could read them.
 bool plainAllowed(const Identity& who) {
-    return who.check && who.plainInClear;
+    return who.checkPassword && who.allowPlainWithoutTls;
 }
 
 const char* mechanisms(pn_transport_t* t) {
     const auto& who = identityOf(t);
-    const bool certified = who.certified && !who.certified().empty();
+    const bool certified = who.certificateName && !who.certificateName().empty();
     if (certified) return plainAllowed(who) ? "EXTERNAL PLAIN" : external;
-    if (plainAllowed(who)) return who.anonymous ? "PLAIN ANONYMOUS" : plain;
-    return who.anonymous ? anonymous : "";
+    if (plainAllowed(who)) return who.allowAnonymous ? "PLAIN ANONYMOUS" : plain;
+    return who.allowAnonymous ? anonymous : "";
 }
 
 void decided(pn_transport_t* t, bool good, std::string user) {
     if (good) {
         // The engine keeps the pointer alone: the name must live as long as the identity.
         auto& who = identityOf(t);
-        who.named = std::move(user);
-        pnx_sasl_set_succeeded(t, who.named.c_str(), who.named.c_str());
+        who.authenticatedUser = std::move(user);
+        pnx_sasl_set_succeeded(t, who.authenticatedUser.c_str(), who.authenticatedUser.c_str());
     } else {
         pnx_sasl_set_failed(t);
     }
@@ -46,10 +46,10 @@
 void judge(pn_transport_t* t, const char* mechanism, const pn_bytes_t* answer) {
     const auto& who = identityOf(t);
     const std::string_view by = mechanism;
-    const bool certified = who.certified && !who.certified().empty();
+    const bool certified = who.certificateName && !who.certificateName().empty();
     // A certificate is a name, and who has one is not asked to be nobody.
-    if (by == anonymous && who.anonymous && !certified) return decided(t, true, "anonymous");
-    if (by == external && certified) return decided(t, true, who.certified());
+    if (by == anonymous && who.allowAnonymous && !certified) return decided(t, true, "anonymous");
+    if (by == external && certified) return decided(t, true, who.certificateName());
     if (by != plain || !plainAllowed(who)) return decided(t, false, "");
     // RFC 4616: authorization identity, NUL, name, NUL, password.
     const std::string_view text(answer->start, answer->size);
@@ -57,7 +57,7 @@
     const auto second = first == std::string_view::npos ? first : text.find('\0', first + 1);
     if (second == std::string_view::npos) return decided(t, false, "");
     const std::string user(text.substr(first + 1, second - first - 1));
-    decided(t, who.check(user, std::string(text.substr(second + 1))), user);
+    decided(t, who.checkPassword(user, std::string(text.substr(second + 1))), user);
 }
 
 bool choose(pn_transport_t* t, const char* offered) {
@@ -68,9 +68,9 @@
     };
     static thread_local std::string answer;  // must live until the engine has copied it
     answer.clear();
-    if (who.external && has(external)) {
+    if (who.useCertificate && has(external)) {
         pnx_sasl_set_selected_mechanism(t, external);
-    } else if (!who.user.empty() && who.plainInClear && has(plain)) {
+    } else if (!who.user.empty() && who.allowPlainWithoutTls && has(plain)) {
         answer = '\0' + who.user + '\0' + who.password;
         pnx_sasl_set_selected_mechanism(t, plain);
     } else if (has(anonymous)) {
@@ -114,7 +114,7 @@
 void secure(pn_transport_t* transport, Identity& identity) {
     pn_sasl_t* sasl = pn_sasl(transport);
     pnx_sasl_set_implementation(transport, &ours(), &identity);
-    pn_sasl_set_allow_insecure_mechs(sasl, identity.plainInClear);
+    pn_sasl_set_allow_insecure_mechs(sasl, identity.allowPlainWithoutTls);
     pn_transport_require_auth(transport, true);
 }
 
--- a/src/gateway/amqp/sasl.h
+++ b/src/gateway/amqp/sasl.h
@@ -11,14 +11,15 @@
 struct Identity {
     // Of the side that connects.
     std::string user, password;
-    bool external = false;  // it shows a certificate
+    bool useCertificate = false;  // it shows a certificate
     // Of the side that listens.
-    std::function<bool(const std::string& user, const std::string& password)> check;
-    bool anonymous = false;
-    std::function<std::string()> certified;  // the checked certificate's name; "" if there is none
-    std::string named;                       // who the other side has proved to be
+    std::function<bool(const std::string& user, const std::string& password)> checkPassword;
+    bool allowAnonymous = false;
+    std::function<std::string()>
+        certificateName;            // the checked certificate's name; "" if there is none
+    std::string authenticatedUser;  // who the other side has proved to be
     // Of both.
-    bool plainInClear = false;  // passwords may travel as they are: asked for, or under TLS
+    bool allowPlainWithoutTls = false;  // passwords may travel as they are: asked for, or under TLS
 };
 
 /// Makes `identity`, which must outlive the transport, its SASL layer.
--- a/src/gateway/app/client_listener.cpp
+++ b/src/gateway/app/client_listener.cpp
@@ -29,12 +29,13 @@
 
     void attached(amqp::Connection& c, amqp::LinkId id, const amqp::Attach& a) override {
         Link link;
-        link.theySend = a.theySend;
-        link.address = a.theySend ? a.target : a.source;
-        link.queue = queueOf(link.address, a.theySend ? queuePrefix : replyStart);
+        link.peerSends = a.peerSends;
+        link.address = a.peerSends ? a.target : a.source;
+        link.queue = queueOf(link.address, a.peerSends ? queuePrefix : replyStart);
         const auto queue = clientListener_.settings_.queues.find(link.queue);
-        const bool whole = a.theySend ? link.address == queuePrefix + link.queue
-                                      : link.address.size() > replyPrefix(link.queue).size();
+        const bool whole = a.peerSends
+                               ? link.address == queuePrefix + link.queue
+                               : link.address.size() > replyAddressPrefix(link.queue).size();
         if (queue == clientListener_.settings_.queues.end() || !whole)
             return c.refuse(id, {"amqp:not-found",
                                  "expected queue/<team>/<class> to send to, or "
@@ -47,8 +48,8 @@
         links_[id] = std::move(link);
         settle(id, links_[id]);
     }
-    void arrived(amqp::Connection& c, amqp::LinkId id, amqp::DeliveryId delivery,
-                 amqp::Message message, std::string broken) override {
+    void messageReceived(amqp::Connection& c, amqp::LinkId id, amqp::DeliveryId delivery,
+                         amqp::Message message, std::string broken) override {
         const auto it = links_.find(id);
         if (it == links_.end() || !it->second.queueOwner) {
             c.settle(delivery, {amqp::Outcome::released, {}, false});
@@ -58,11 +59,11 @@
             it->second.queueOwner, {connection, id, delivery, std::move(message), std::move(broken),
                                     clientListener_.loop_.now()});
     }
-    void decided(amqp::Connection&, amqp::LinkId, const std::string& tag,
-                 amqp::Disposition d) override {
+    void dispositionReceived(amqp::Connection&, amqp::LinkId, const std::string& tag,
+                             amqp::Disposition d) override {
         clientListener_.hooks_.decided(tag, d);
     }
-    void credited(amqp::Connection&, amqp::LinkId id) override {
+    void creditUpdated(amqp::Connection&, amqp::LinkId id) override {
         if (const auto it = links_.find(id); it != links_.end())
             clientListener_.hooks_.credited(it->second.queue);
     }
@@ -83,7 +84,7 @@
 
   private:
     struct Link {
-        bool theySend = false;
+        bool peerSends = false;
         std::string address;
         QueueName queue;
         std::shared_ptr<QueueOwner> queueOwner;  // none while nobody is known to hold the queue
@@ -101,8 +102,8 @@
         if (link.queueOwner) {
             // The queue is being handed over: keep the link until the messages in progress are
             // settled.
-            if (link.queueOwner->closing() && link.queueOwner->untaken() > 0 && !route.localOwner &&
-                route.remoteAddress.empty())
+            if (link.queueOwner->closing() && link.queueOwner->unsettledCount() > 0 &&
+                !route.localOwner && route.remoteAddress.empty())
                 return;
             const amqp::Condition why =
                 route.remoteAddress.empty()
@@ -115,8 +116,8 @@
         if (route.localOwner) {
             link.queueOwner = route.localOwner;
             connection->confirm(id);
-            if (link.theySend) {
-                link.queueOwner->addInlet(connection, id, "");
+            if (link.peerSends) {
+                link.queueOwner->addReceivingLink(connection, id, "");
             } else {
                 clientListener_.readers_[link.address].emplace_back(this, id);
                 clientListener_.hooks_.credited(link.queue);
@@ -141,7 +142,7 @@
         const Link link = std::move(it->second);
         links_.erase(it);
         if (!link.queueOwner) return;
-        if (!link.theySend) {
+        if (!link.peerSends) {
             auto& all = clientListener_.readers_[link.address];
             std::erase(all, std::pair<Session*, amqp::LinkId>(this, id));
             if (all.empty()) clientListener_.readers_.erase(link.address);
@@ -191,10 +192,11 @@
     options.limits.messageBytes = settings_.limits.messageBytes;
     options.limits.links = settings_.limits.links;
     options.tls = tls_;
-    options.identity.anonymous = settings_.anonymous;
-    options.identity.plainInClear = settings_.passwordsInClear;
+    options.identity.allowAnonymous = settings_.anonymous;
+    options.identity.allowPlainWithoutTls = settings_.passwordsInClear;
     if (!settings_.users.empty())
-        options.identity.check = [this](const std::string& name, const std::string& password) {
+        options.identity.checkPassword = [this](const std::string& name,
+                                                const std::string& password) {
             const auto user = settings_.users.find(name);
             return user != settings_.users.end() && !user->second.password.empty() &&
                    user->second.password == password;
--- a/src/gateway/app/consumer.cpp
+++ b/src/gateway/app/consumer.cpp
@@ -55,7 +55,7 @@
     options.limits.messageBytes = settings_.limits.messageBytes;
     options.identity.user = source_.user;
     options.identity.password = source_.password;
-    options.identity.plainInClear = source_.passwordsInClear;
+    options.identity.allowPlainWithoutTls = source_.passwordsInClear;
     if (source_.tls) {
         // Read at each connection: new certificates need no restart.
         auto loaded = amqp::loadTls(*source_.tls, false);
@@ -65,7 +65,7 @@
         }
         options.tls = std::get<amqp::TlsHandle>(std::move(loaded));
         options.host = source_.tls->host;
-        options.identity.external = !source_.tls->certificate.empty();
+        options.identity.useCertificate = !source_.tls->certificate.empty();
     }
     const auto to = parseAddress(source_.address);
     auto socket = co_await Socket::connect(loop_, *to, loop_.now() + connectTimeout, scope);
@@ -97,10 +97,10 @@
 
 void Consumer::routesChanged() {
     wake_.notify();
-    if (!open_ || !connection_ || connection_->over()) return;
+    if (!open_ || !connection_ || connection_->closed()) return;
     if (!feedsLocalQueue()) {
         const bool underWay = std::any_of(receivers_.begin(), receivers_.end(), [](const auto& r) {
-            return r.second.queueOwner->untaken() > 0;
+            return r.second.queueOwner->unsettledCount() > 0;
         });
         if (!underWay) connection_->close();
         return;
@@ -111,7 +111,7 @@
         const auto here = hooks_.route(r.queue).localOwner;
         if (here == r.queueOwner)
             served.insert(r.queue);
-        else if (!(r.queueOwner->closing() && r.queueOwner->untaken() > 0))
+        else if (!(r.queueOwner->closing() && r.queueOwner->unsettledCount() > 0))
             stale.push_back(id);
     }
     for (const auto id : stale) {
@@ -132,7 +132,7 @@
 }
 
 std::optional<ReplyLink> Consumer::replyLinkFor(const std::string& replyTo) {
-    if (!open_ || !connection_ || connection_->over()) return std::nullopt;
+    if (!open_ || !connection_ || connection_->closed()) return std::nullopt;
     for (const auto& [id, s] : senders_)
         if (s.address == replyTo)
             return s.confirmed ? std::optional<ReplyLink>({connection_, id}) : std::nullopt;
@@ -149,16 +149,16 @@
     return std::nullopt;
 }
 
-void Consumer::confirmed(amqp::Connection& c, amqp::LinkId id) {
+void Consumer::linkOpened(amqp::Connection& c, amqp::LinkId id) {
     if (const auto it = receivers_.find(id); it != receivers_.end()) {
-        it->second.queueOwner->addInlet(c.shared_from_this(), id, source_.name);
+        it->second.queueOwner->addReceivingLink(c.shared_from_this(), id, source_.name);
     } else if (const auto to = senders_.find(id); to != senders_.end()) {
         to->second.confirmed = true;
     }
 }
 
-void Consumer::arrived(amqp::Connection& c, amqp::LinkId id, amqp::DeliveryId delivery,
-                       amqp::Message message, std::string broken) {
+void Consumer::messageReceived(amqp::Connection& c, amqp::LinkId id, amqp::DeliveryId delivery,
+                               amqp::Message message, std::string broken) {
     const auto it = receivers_.find(id);
     if (it == receivers_.end()) {
         c.settle(delivery, {amqp::Outcome::released, {}, false});
@@ -168,12 +168,12 @@
                                            std::move(broken), loop_.now()});
 }
 
-void Consumer::decided(amqp::Connection&, amqp::LinkId, const std::string& tag,
-                       amqp::Disposition d) {
+void Consumer::dispositionReceived(amqp::Connection&, amqp::LinkId, const std::string& tag,
+                                   amqp::Disposition d) {
     hooks_.decided(tag, d);
 }
 
-void Consumer::credited(amqp::Connection&, amqp::LinkId id) {
+void Consumer::creditUpdated(amqp::Connection&, amqp::LinkId id) {
     if (senders_.contains(id)) hooks_.credited("");
 }
 
--- a/src/gateway/app/consumer.h
+++ b/src/gateway/app/consumer.h
@@ -25,12 +25,12 @@
     [[nodiscard]] bool connected() const { return open_; }
 
     void opened(amqp::Connection& c) override;
-    void confirmed(amqp::Connection& c, amqp::LinkId id) override;
-    void arrived(amqp::Connection& c, amqp::LinkId id, amqp::DeliveryId delivery,
-                 amqp::Message message, std::string broken) override;
-    void decided(amqp::Connection& c, amqp::LinkId id, const std::string& tag,
-                 amqp::Disposition d) override;
-    void credited(amqp::Connection& c, amqp::LinkId id) override;
+    void linkOpened(amqp::Connection& c, amqp::LinkId id) override;
+    void messageReceived(amqp::Connection& c, amqp::LinkId id, amqp::DeliveryId delivery,
+                         amqp::Message message, std::string broken) override;
+    void dispositionReceived(amqp::Connection& c, amqp::LinkId id, const std::string& tag,
+                             amqp::Disposition d) override;
+    void creditUpdated(amqp::Connection& c, amqp::LinkId id) override;
     void detached(amqp::Connection& c, amqp::LinkId id, const amqp::Condition& why) override;
     void ended(amqp::Connection& c, const amqp::Condition& why) override;
 
--- a/src/gateway/app/gateway.cpp
+++ b/src/gateway/app/gateway.cpp
@@ -94,7 +94,7 @@
           },
           [this] {
               std::size_t links = 1;
-              for (const auto& [q, t] : queueOwners_) links += t->links();
+              for (const auto& [q, t] : queueOwners_) links += t->receivingLinks();
               const auto& l = settings_.limits;
               const auto each = l.memoryBytes / l.messageBytes / links;
               return static_cast<int>(
@@ -120,15 +120,15 @@
                 std::from_chars(tag.data(), tag.data() + tag.size(), serial);
                 const auto it = bySerial_.find(serial);
                 if (it == bySerial_.end()) return;
-                if (const auto t = it->second.lock()) t->decided(tag, d);
+                if (const auto t = it->second.lock()) t->handleReplyDisposition(tag, d);
             },
             [this](const amqp::Connection& c, amqp::LinkId id) {
                 for (const auto& [serial, weak] : bySerial_)
-                    if (const auto t = weak.lock()) t->linkGone(c, id);
+                    if (const auto t = weak.lock()) t->linkClosed(c, id);
             },
             [this](const QueueName& q) {
                 for (const auto& [name, t] : queueOwners_)
-                    if (q.empty() || q == name) t->pump();
+                    if (q.empty() || q == name) t->sendReplies();
             }};
 }
 
@@ -177,7 +177,7 @@
 Task<void> Gateway::yield(QueueName queue) {
     const auto t = queueOwner(queue);
     if (!t) co_return;
-    co_await t->windDown();
+    co_await t->drain();
     if (scope_.cancelled()) co_return;
     if (queueOwner(queue) == t) queueOwners_.erase(queue);
     routesChanged();
@@ -204,7 +204,7 @@
 // Incoming messages, round robin by team.
 
 void Gateway::arrived(const std::shared_ptr<QueueOwner>& t, IncomingMessage arrival) {
-    t->arrived(arrival);
+    t->trackArrival(arrival);
     incoming_.push(t->queue().team, {t, std::move(arrival)});
     startWaiting();
 }
@@ -218,7 +218,7 @@
 }
 Task<void> Gateway::take(Waiting w) {
     const auto t = w.queueOwner;
-    co_await t->take(std::move(w.arrival));
+    co_await t->processMessage(std::move(w.arrival));
     --inProgress_;
     startWaiting();
 }
@@ -287,14 +287,15 @@
         out.open().field("queue", name);
         out.field("holder", holder == nullptr ? "" : holder->instance);
         if (const auto t = queueOwner(name)) {
-            const MessageJournal& b = t->book();
+            const MessageJournal& b = t->journal();
             out.field("ready", t->ready());
             for (const Stage s :
                  {Stage::entered, Stage::refused, Stage::accepted, Stage::final, Stage::replied})
                 out.field(nameOf(s), static_cast<std::uint64_t>(b.count(s)));
-            out.field("links", static_cast<std::uint64_t>(t->links()));
-            out.field("untaken", static_cast<std::uint64_t>(t->untaken()));
-            out.field("oldestS", toSeconds(t->oldest())).field("window", t->window());
+            out.field("links", static_cast<std::uint64_t>(t->receivingLinks()));
+            out.field("untaken", static_cast<std::uint64_t>(t->unsettledCount()));
+            out.field("oldestS", toSeconds(t->oldestUnsettledAge()))
+                .field("window", t->creditWindow());
             out.field("pages", static_cast<std::uint64_t>(b.pages()));
         }
         out.close();
@@ -330,26 +331,26 @@
     if (auto refusal = notHeldHere(queue)) return std::move(*refusal);
     const auto wanted = stageOf(stage);
     if (!stage.empty() && !wanted) return text(400, "stage: expected a stage of the ledger");
-    const MessageJournal& book = queueOwner(queue)->book();
+    const MessageJournal& journal = queueOwner(queue)->journal();
     std::map<std::string, const JournalEntry*> lines;
     if (!key.empty()) {
-        if (const JournalEntry* e = book.find(key)) lines[e->ref] = e;
+        if (const JournalEntry* e = journal.find(key)) lines[e->ref] = e;
     } else {
-        book.each([&](const JournalEntry& e) {
+        journal.forEach([&](const JournalEntry& e) {
             if (wanted && e.stage != *wanted) return;
             lines[e.ref] = &e;
             if (lines.size() > most) lines.erase(lines.begin());  // keeps the newest
         });
     }
     json::Writer out;
-    out.open().field("queue", queue).field("entries", static_cast<std::uint64_t>(book.size()));
+    out.open().field("queue", queue).field("entries", static_cast<std::uint64_t>(journal.size()));
     out.key("lines").openArray();
     for (const auto& [ref, e] : lines) {
         out.open().field("ref", ref).field("key", e->key).field("stage", nameOf(e->stage));
         out.field("status", e->status).field("number", e->number);
         out.field("attempts", e->attempts).field("origin", e->origin).field("replyTo", e->replyTo);
-        out.field("why", e->why).field("stands", book.isDurable(e->key));
-        out.field("forgetMs", static_cast<std::int64_t>(e->forget.count())).close();
+        out.field("why", e->reason).field("stands", journal.isDurable(e->key));
+        out.field("forgetMs", static_cast<std::int64_t>(e->expiresAt.count())).close();
     }
     out.closeArray().close();
     return {200, out.text()};
--- a/src/gateway/app/gateway.h
+++ b/src/gateway/app/gateway.h
@@ -69,7 +69,7 @@
     Scope scope_;
     kv_store::Client state_;
     WriteLimiter writeLimiter_;
-    Controllers controllers_;
+    ControllerClient controllers_;
     JobIdAllocator refs_;
     Counters counters_;
     Membership members_;
--- a/src/gateway/app/gateway_test.cpp
+++ b/src/gateway/app/gateway_test.cpp
@@ -37,7 +37,7 @@
     }
     const JournalEntry* entry(const std::string& key) {
         Gateway* g = s.holder(checks);
-        return g == nullptr ? nullptr : g->queueOwner(checks)->book().find(key);
+        return g == nullptr ? nullptr : g->queueOwner(checks)->journal().find(key);
     }
     /// A client with a link to the queue that has credit.
     std::unique_ptr<Client> client(Gateway& g, amqp::Connection::Options options = {}) {
@@ -59,8 +59,8 @@
     EXPECT_EQ(queue().accepted, 1U);
     ASSERT_EQ(jobsOf("m"), 1U);
     const auto& reply = s.broker.received["answers"][0];
-    EXPECT_EQ(reply.correlation.written(), "t:id-1");
-    EXPECT_EQ(reply.id.written(), "t:result/" + *s.jobs.refsOf["m"].begin());
+    EXPECT_EQ(reply.correlation.toText(), "t:id-1");
+    EXPECT_EQ(reply.id.toText(), "t:result/" + *s.jobs.refsOf["m"].begin());
     EXPECT_NE(reply.body.find("\"done\""), std::string::npos);
     s.world.run(20s);
     EXPECT_EQ(s.broker.received["answers"].size(), 1U);
@@ -117,14 +117,14 @@
 TEST_F(GatewayTest, AnOwnerThatFrozePastItsGrantWritesNothingWhenItWakes) {
     auto& frozen = s.start("gw-1");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
-    const auto tenure = frozen.queueOwner(checks);
+    const auto queueOwner = frozen.queueOwner(checks);
     s.broker.publish(atBroker, GatewayFixture::message("m", "1", "a"));
     ASSERT_TRUE(s.until([&] { return entry("t:1") && entry("t:1")->stage == Stage::replied; }));
     s.world.run(1s);
     const auto records = s.state.keys;
     // Its grant ends, and it writes before it hears of that.
     s.state.endGrantOf("gw/own/member/gw-1");
-    EXPECT_EQ(tenure->replay("t:1"), std::nullopt);
+    EXPECT_EQ(queueOwner->replay("t:1"), std::nullopt);
     auto& other = s.start("gw-2");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
     s.world.run(5s);
@@ -185,7 +185,7 @@
     s.kill("gw-1");
     s.start("gw-1");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
-    EXPECT_EQ(s.holder(checks)->queueOwner(checks)->book().count(Stage::replied), 6U);
+    EXPECT_EQ(s.holder(checks)->queueOwner(checks)->journal().count(Stage::replied), 6U);
 }
 
 TEST_F(GatewayTest, ALeaderThatChangesDuringASubmissionCostsARetryAndRefusalsAreTold) {
@@ -237,7 +237,7 @@
     ASSERT_TRUE(s.until([&] { return !s.broker.received["a"].empty(); }));
     s.world.run(10s);
     EXPECT_EQ(s.broker.received["a"].size(), 1U);
-    EXPECT_EQ(s.holder(checks)->queueOwner(checks)->book().size(), 1U);
+    EXPECT_EQ(s.holder(checks)->queueOwner(checks)->journal().size(), 1U);
 }
 
 TEST_F(GatewayTest, OneIdDoesNotStandForTwoMessages) {
@@ -321,7 +321,7 @@
     for (int i = 0; i < 40; ++i)
         s.broker.publish(atBroker,
                          GatewayFixture::message("a" + std::to_string(i), "a" + std::to_string(i)));
-    ASSERT_TRUE(s.until([&] { return one.queueOwner(checks)->untaken() > 0; }));
+    ASSERT_TRUE(s.until([&] { return one.queueOwner(checks)->unsettledCount() > 0; }));
     one.drain();
     s.start("gw-2");
     for (int i = 0; i < 40; ++i)
@@ -347,7 +347,7 @@
     ASSERT_TRUE(taken(2));
     EXPECT_EQ(jobsOf("m"), 1U) << "within the time it is remembered";
     s.world.run(20s);
-    EXPECT_EQ(s.holder(checks)->queueOwner(checks)->book().size(), 0U);
+    EXPECT_EQ(s.holder(checks)->queueOwner(checks)->journal().size(), 0U);
     for (const auto& [key, e] : s.state.keys) {
         EXPECT_FALSE(key.starts_with("gw/q/")) << "records of forgotten entries go: " << key;
     }
@@ -382,7 +382,7 @@
     const auto member = [](const std::string& name) {
         return Member{name, name, "", "", false, {checks}};
     };
-    while (ownerOf(checks, {{"gw-1", member("gw-1")}, {better, member(better)}})->instance !=
+    while (preferredOwner(checks, {{"gw-1", member("gw-1")}, {better, member(better)}})->instance !=
            better)
         better += 'x';
     auto& two = s.start(better);
@@ -435,7 +435,7 @@
         s.broker.publish(atBroker,
                          GatewayFixture::message("m" + std::to_string(i), std::to_string(i)));
     s.world.run(3s);
-    const std::size_t untaken = s.holder(checks)->queueOwner(checks)->untaken();
+    const std::size_t untaken = s.holder(checks)->queueOwner(checks)->unsettledCount();
     EXPECT_GT(untaken, 0U);
     EXPECT_LE(untaken, 4U);
     s.jobs.fault = nullptr;
@@ -495,7 +495,7 @@
     c->mute = true;
     c->readFrom(answers, 4);
     ASSERT_TRUE(s.until([&] { return c->replies.size() == 4; }));
-    c->connection->cut();
+    c->connection->abort();
     ASSERT_TRUE(s.until([&] { return c->over; }));
     auto d = client(g);
     d->readFrom(answers);
--- a/src/gateway/journal/job_id_allocator.cpp
+++ b/src/gateway/journal/job_id_allocator.cpp
@@ -15,9 +15,13 @@
 constexpr std::size_t width = 6;  // digits, at least
 }  // namespace
 
-JobIdAllocator::JobIdAllocator(EventLoop& loop, kv_store::Client& client, WriteLimiter& turnstile,
-                               const Settings& settings)
-    : loop_(loop), client_(client), turnstile_(turnstile), settings_(settings), reserved_(loop) {}
+JobIdAllocator::JobIdAllocator(EventLoop& loop, kv_store::Client& client,
+                               WriteLimiter& writeLimiter, const Settings& settings)
+    : loop_(loop),
+      client_(client),
+      writeLimiter_(writeLimiter),
+      settings_(settings),
+      reserved_(loop) {}
 
 Task<bool> JobIdAllocator::reserve(Scope& scope) {
     const std::string key = settings_.statePrefix + "refs";
@@ -41,7 +45,7 @@
         spdlog::error("the range of refs is used up: widen \"refs\" in the settings");
         co_return false;
     }
-    const bool may = co_await turnstile_.acquire(1, scope);
+    const bool may = co_await writeLimiter_.acquire(1, scope);
     if (!may) co_return false;
     json::Writer out;
     out.open().field("next", to).close();
--- a/src/gateway/journal/job_id_allocator.h
+++ b/src/gateway/journal/job_id_allocator.h
@@ -12,7 +12,7 @@
 /// that no two instances hand out the same ref; what a killed instance had left is never used.
 class JobIdAllocator {
   public:
-    JobIdAllocator(EventLoop& loop, kv_store::Client& client, WriteLimiter& turnstile,
+    JobIdAllocator(EventLoop& loop, kv_store::Client& client, WriteLimiter& writeLimiter,
                    const Settings& settings);
     /// Nothing if the state service does not answer, or the range is used up.
     Task<std::optional<std::string>> next(Scope& scope);
@@ -21,7 +21,7 @@
     Task<bool> reserve(Scope& scope);
     EventLoop& loop_;
     kv_store::Client& client_;
-    WriteLimiter& turnstile_;
+    WriteLimiter& writeLimiter_;
     const Settings& settings_;
     std::uint64_t next_ = 0, end_ = 0;
     bool reserving_ = false;
--- a/src/gateway/journal/journal_entry.h
+++ b/src/gateway/journal/journal_entry.h
@@ -25,11 +25,11 @@
     std::string origin;          // the source it came from; empty for a listening link
     std::string replyTo;         // empty: nobody wants to know
     std::string correlation;     // amqp::Id as written
-    std::string why;             // of a refusal, or of a reply that was not taken
+    std::string reason;          // of a refusal, or of a reply that was not taken
     std::string status;          // `done` or `cancelled` once final
     std::uint64_t number = 0;    // in the queue's order of results, from 1
     std::uint32_t attempts = 1;  // how often it was taken up
-    WallMillis forget{};         // when it may be forgotten; 0 while it is not over
+    WallMillis expiresAt{};      // when it may be forgotten; 0 while it is not over
 
     [[nodiscard]] bool over() const { return stage == Stage::refused || stage == Stage::replied; }
 };
--- a/src/gateway/journal/message_journal.cpp
+++ b/src/gateway/journal/message_journal.cpp
@@ -74,11 +74,11 @@
         else
             unsent_.erase(e.number);
     }
-    if (e.forget.count() != 0) {
+    if (e.expiresAt.count() != 0) {
         if (in)
-            byForget_.emplace(e.forget, e.key);
+            byForget_.emplace(e.expiresAt, e.key);
         else
-            byForget_.erase({e.forget, e.key});
+            byForget_.erase({e.expiresAt, e.key});
     }
     if (in) nextNumber_ = std::max(nextNumber_, e.number + 1);
 }
@@ -115,11 +115,11 @@
         e.origin = json::string(v, "origin").value_or("");
         e.replyTo = json::string(v, "replyTo").value_or("");
         e.correlation = json::string(v, "correlation").value_or("");
-        e.why = json::string(v, "why").value_or("");
+        e.reason = json::string(v, "why").value_or("");
         e.status = json::string(v, "status").value_or("");
         e.number = json::count(v, "number").value_or(0);
         e.attempts = static_cast<std::uint32_t>(json::count(v, "attempts").value_or(1));
-        e.forget = WallMillis(json::count(v, "forgetMs").value_or(0));
+        e.expiresAt = WallMillis(json::count(v, "forgetMs").value_or(0));
         place(std::move(e), *number, 0);
     }
     return std::nullopt;
@@ -129,7 +129,7 @@
     const auto it = entries_.find(key);
     return it == entries_.end() ? nullptr : &it->second.entry;
 }
-void MessageJournal::each(const std::function<void(const JournalEntry&)>& visit) const {
+void MessageJournal::forEach(const std::function<void(const JournalEntry&)>& visit) const {
     for (const auto& [key, kept] : entries_) visit(kept.entry);
 }
 bool MessageJournal::fits(const JournalEntry& e) const {
@@ -156,7 +156,7 @@
     auto& kept = entries_.at(key);
     index(kept.entry, false);
     how(kept.entry);
-    makePlain(kept.entry.why);
+    makePlain(kept.entry.reason);
     index(kept.entry, true);
     kept.version = ++pages_[kept.page].version;
     return recordKey(kept.page);
@@ -186,12 +186,12 @@
         text("origin", e.origin);
         text("replyTo", e.replyTo);
         text("correlation", e.correlation);
-        text("why", e.why);
+        text("why", e.reason);
         text("status", e.status);
         if (e.number != 0) out.field("number", e.number);
         if (e.attempts != 1) out.field("attempts", e.attempts);
-        if (e.forget.count() != 0)
-            out.field("forgetMs", static_cast<std::uint64_t>(e.forget.count()));
+        if (e.expiresAt.count() != 0)
+            out.field("forgetMs", static_cast<std::uint64_t>(e.expiresAt.count()));
         out.close();
     }
     out.closeArray().close();
@@ -250,7 +250,7 @@
     for (const auto& [key, kept] : entries_) {
         ++counts[static_cast<std::size_t>(kept.entry.stage)];
         if (kept.entry.stage == Stage::final) unsent[kept.entry.number] = key;
-        if (kept.entry.forget.count() != 0) ++due;
+        if (kept.entry.expiresAt.count() != 0) ++due;
         bytes[kept.page] += kept.bytes;
         ++keys[kept.page];
         if (!pages_.contains(kept.page) || !pages_.at(kept.page).keys.contains(key))
--- a/src/gateway/journal/message_journal.h
+++ b/src/gateway/journal/message_journal.h
@@ -35,7 +35,7 @@
     }
     [[nodiscard]] std::size_t pages() const { return pages_.size(); }
     /// In no particular order; not to be changed meanwhile.
-    void each(const std::function<void(const JournalEntry&)>& visit) const;
+    void forEach(const std::function<void(const JournalEntry&)>& visit) const;
     /// In the order of their numbers: final ones whose result is to be sent.
     [[nodiscard]] const std::map<std::uint64_t, std::string>& unsent() const { return unsent_; }
     [[nodiscard]] std::uint64_t nextNumber() const { return nextNumber_; }
--- a/src/gateway/journal/message_journal_test.cpp
+++ b/src/gateway/journal/message_journal_test.cpp
@@ -53,14 +53,14 @@
                 switch (e.stage) {
                     case Stage::entered:
                         e.stage = random() % 5 == 0 ? Stage::refused : Stage::accepted;
-                        e.why = std::string(300, '\n');
-                        if (e.stage == Stage::refused) e.forget = WallMillis(now + 500);
+                        e.reason = std::string(300, '\n');
+                        if (e.stage == Stage::refused) e.expiresAt = WallMillis(now + 500);
                         break;
                     case Stage::accepted:
                         e.stage = Stage::final;
                         e.status = "cancelled";
                         e.number = number;
-                        e.forget = WallMillis(now + 2000);
+                        e.expiresAt = WallMillis(now + 2000);
                         break;
                     default:
                         if (e.stage == Stage::final) e.stage = Stage::replied;
@@ -87,7 +87,7 @@
         if (b.find(key) != nullptr)
             write(b.change(key, [](JournalEntry& e) {
                 e.stage = Stage::replied;
-                e.forget = WallMillis(1);
+                e.expiresAt = WallMillis(1);
             }));
     for (const auto& record : b.forget(WallMillis(now), 10'000).changed) write(record);
     for (const auto& record : b.closing()) b.deleted(record);
--- a/src/gateway/journal/wire_format_test.cpp
+++ b/src/gateway/journal/wire_format_test.cpp
@@ -15,11 +15,11 @@
     entry.origin = "broker-1";
     entry.replyTo = "answers";
     entry.correlation = "t:c-1";
-    entry.why = "not taken";
+    entry.reason = "not taken";
     entry.status = "done";
     entry.number = 7;
     entry.attempts = 2;
-    entry.forget = WallMillis(1700000000123);
+    entry.expiresAt = WallMillis(1700000000123);
     return entry;
 }
 
@@ -31,20 +31,20 @@
     R"({"key":"m-2","ref":"run-000018","stage":"entered","digest":0}]})";
 
 TEST(WireFormat, EntryPageKeyAndBytes) {
-    MessageJournal book("gw/q/red/", 4096);
-    EXPECT_EQ(book.add(fullEntry()), "gw/q/red/1");
+    MessageJournal journal("gw/q/red/", 4096);
+    EXPECT_EQ(journal.add(fullEntry()), "gw/q/red/1");
     JournalEntry plain;
     plain.key = "m-2";
     plain.ref = "run-000018";
-    EXPECT_EQ(book.add(plain), "gw/q/red/1");
-    EXPECT_EQ(book.encode("gw/q/red/1").data, fullPage);
-    EXPECT_EQ(book.encode("gw/q/red/2").data, R"({"entries":[]})");
+    EXPECT_EQ(journal.add(plain), "gw/q/red/1");
+    EXPECT_EQ(journal.encode("gw/q/red/1").data, fullPage);
+    EXPECT_EQ(journal.encode("gw/q/red/2").data, R"({"entries":[]})");
 }
 
 TEST(WireFormat, EntryPageIsRead) {
-    MessageJournal book("gw/q/red/", 4096);
-    ASSERT_EQ(book.load("gw/q/red/3", fullPage), std::nullopt);
-    const JournalEntry* entry = book.find("m-1");
+    MessageJournal journal("gw/q/red/", 4096);
+    ASSERT_EQ(journal.load("gw/q/red/3", fullPage), std::nullopt);
+    const JournalEntry* entry = journal.find("m-1");
     ASSERT_NE(entry, nullptr);
     EXPECT_EQ(entry->ref, "run-000017");
     EXPECT_EQ(entry->digest, 0xFFFFFFFFFFFFFFFEU);
@@ -52,14 +52,14 @@
     EXPECT_EQ(entry->origin, "broker-1");
     EXPECT_EQ(entry->replyTo, "answers");
     EXPECT_EQ(entry->correlation, "t:c-1");
-    EXPECT_EQ(entry->why, "not taken");
+    EXPECT_EQ(entry->reason, "not taken");
     EXPECT_EQ(entry->status, "done");
     EXPECT_EQ(entry->number, 7U);
     EXPECT_EQ(entry->attempts, 2U);
-    EXPECT_EQ(entry->forget, WallMillis(1700000000123));
-    ASSERT_NE(book.find("m-2"), nullptr);
-    EXPECT_EQ(book.find("m-2")->attempts, 1U);
-    EXPECT_EQ(book.encode("gw/q/red/3").data, fullPage);
+    EXPECT_EQ(entry->expiresAt, WallMillis(1700000000123));
+    ASSERT_NE(journal.find("m-2"), nullptr);
+    EXPECT_EQ(journal.find("m-2")->attempts, 1U);
+    EXPECT_EQ(journal.encode("gw/q/red/3").data, fullPage);
 }
 
 TEST(WireFormat, EntryStageNames) {
--- a/src/gateway/membership/membership.cpp
+++ b/src/gateway/membership/membership.cpp
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-const Member* ownerOf(const QueueName& queue, const std::map<std::string, Member>& members) {
+const Member* preferredOwner(const QueueName& queue, const std::map<std::string, Member>& members) {
     const Member* best = nullptr;
     std::uint64_t most = 0;
     for (const auto& [name, m] : members) {
@@ -56,11 +56,11 @@
     return best;
 }
 
-Membership::Membership(EventLoop& loop, kv_store::Client& client, WriteLimiter& turnstile,
+Membership::Membership(EventLoop& loop, kv_store::Client& client, WriteLimiter& writeLimiter,
                        const Settings& settings, std::string incarnation, Hooks hooks)
     : loop_(loop),
       client_(client),
-      turnstile_(turnstile),
+      writeLimiter_(writeLimiter),
       settings_(settings),
       incarnation_(std::move(incarnation)),
       hooks_(std::move(hooks)),
@@ -122,7 +122,7 @@
 }
 
 Task<bool> Membership::register_(Scope& scope) {
-    const bool may = co_await turnstile_.acquire(1, scope);
+    const bool may = co_await writeLimiter_.acquire(1, scope);
     if (!may) co_return false;
     const bool said = draining_;
     kv_store::Transaction txn;
@@ -153,19 +153,19 @@
 }
 
 Task<void> Membership::keepLease(Scope& scope) {
-    const Duration every = settings_.grant / 4;
+    const Duration every = settings_.leaseTtl / 4;
     while (!scope.cancelled()) {
         if (leaseId_ == 0) {
-            const auto g = co_await client_.grantLease(settings_.grant, scope);
+            const auto g = co_await client_.grantLease(settings_.leaseTtl, scope);
             if (g.status == Status::ok) {
                 leaseId_ = g.id;
-                leaseValidUntil_ = g.sentAt + fromSeconds(toSeconds(settings_.grant) * safety);
+                leaseValidUntil_ = g.sentAt + fromSeconds(toSeconds(settings_.leaseTtl) * safety);
             }
         } else {
             const auto g = co_await client_.keepAlive(leaseId_, touchTimeout, scope);
             if (scope.cancelled()) co_return;
             if (g.status == Status::ok)
-                leaseValidUntil_ = g.sentAt + fromSeconds(toSeconds(settings_.grant) * safety);
+                leaseValidUntil_ = g.sentAt + fromSeconds(toSeconds(settings_.leaseTtl) * safety);
             if (g.status == Status::notFound) {
                 spdlog::warn("the grant has ended: all queues go back");
                 loseAll();
@@ -228,7 +228,7 @@
             if (at >= held->second.revision) lose(queue);
             continue;
         }
-        const Member* wanted = ownerOf(queue, members_);
+        const Member* wanted = preferredOwner(queue, members_);
         const bool wantsMe = wanted != nullptr && wanted->incarnation == incarnation_;
         if (mine && held == ownedQueues_.end() && !claiming_.contains(queue) &&
             owner->second.second > past_[queue]) {
@@ -247,7 +247,7 @@
 }
 
 Task<void> Membership::claim(QueueName queue, Scope& scope) {
-    const bool may = co_await turnstile_.acquire(1, scope);
+    const bool may = co_await writeLimiter_.acquire(1, scope);
     json::Writer out;
     out.open().field("incarnation", incarnation_).field("instance", settings_.instance).close();
     kv_store::Transaction txn;
@@ -275,7 +275,7 @@
     while (!scope.cancelled()) {
         const auto held = ownedQueues_.find(queue);
         if (held == ownedQueues_.end() || held->second.revision != revision) co_return;
-        const bool may = co_await turnstile_.acquire(1, scope);
+        const bool may = co_await writeLimiter_.acquire(1, scope);
         if (!may) co_return;
         kv_store::Transaction txn;
         txn.preconditions = {{queueKey(queue), revision}};
--- a/src/gateway/membership/membership.h
+++ b/src/gateway/membership/membership.h
@@ -21,7 +21,7 @@
 
 /// Which of the members a queue belongs to: rendezvous hashing over those that serve it and do not
 /// drain, so that one that comes or goes moves no queue but its own. Nobody: nullptr.
-const Member* ownerOf(const QueueName& queue, const std::map<std::string, Member>& members);
+const Member* preferredOwner(const QueueName& queue, const std::map<std::string, Member>& members);
 
 /// Membership and ownership of queues. Each instance keeps a record under a grant; a queue's owner
 /// keeps one for the queue under the same grant, and the revision of that one is its fence: every
@@ -37,7 +37,7 @@
         /// Somebody's ownership has changed.
         std::function<void()> changed;
     };
-    Membership(EventLoop& loop, kv_store::Client& client, WriteLimiter& turnstile,
+    Membership(EventLoop& loop, kv_store::Client& client, WriteLimiter& writeLimiter,
                const Settings& settings, std::string incarnation, Hooks hooks);
     void start(Scope& scope);
     /// Whether this instance may act as the queue's owner, by its own clock.
@@ -76,7 +76,7 @@
 
     EventLoop& loop_;
     kv_store::Client& client_;
-    WriteLimiter& turnstile_;
+    WriteLimiter& writeLimiter_;
     const Settings& settings_;
     std::string incarnation_;
     Hooks hooks_;
--- a/src/gateway/membership/membership_test.cpp
+++ b/src/gateway/membership/membership_test.cpp
@@ -27,19 +27,19 @@
     auto all = members(4, queues);
     std::map<QueueName, std::string> before;
     std::map<std::string, int> load;
-    for (const auto& q : queues) ++load[before[q] = ownerOf(q, all)->instance];
+    for (const auto& q : queues) ++load[before[q] = preferredOwner(q, all)->instance];
     for (const auto& [name, n] : load) EXPECT_NEAR(n, 50, 25) << name;
     all["gw-1"].draining = true;
     for (const auto& q : queues) {
-        const auto& now = ownerOf(q, all)->instance;
+        const auto& now = preferredOwner(q, all)->instance;
         EXPECT_NE(now, "gw-1");
         if (before[q] != "gw-1") {
             EXPECT_EQ(now, before[q]);
         }
     }
     all["gw-2"].queues.clear();
-    for (const auto& q : queues) EXPECT_NE(ownerOf(q, all)->instance, "gw-2");
-    EXPECT_EQ(ownerOf("team/0", {}), nullptr);
+    for (const auto& q : queues) EXPECT_NE(preferredOwner(q, all)->instance, "gw-2");
+    EXPECT_EQ(preferredOwner("team/0", {}), nullptr);
 }
 
 TEST(RoundRobinQueue, TeamsAreServedInTurnHoweverManyOneHasWaiting) {
@@ -70,8 +70,8 @@
     // A ledger that is always ready to write leaves room for a claim.
     writes.tryTake(world.clock.now());
     bool claimed = false;
-    world.scope.spawn([](WriteLimiter& turnstile, Scope& scope, bool& flag) -> Task<void> {
-        flag = co_await turnstile.acquire(1, scope);
+    world.scope.spawn([](WriteLimiter& writeLimiter, Scope& scope, bool& flag) -> Task<void> {
+        flag = co_await writeLimiter.acquire(1, scope);
     }(t, world.scope, claimed));
     int passed = 0;
     EXPECT_TRUE(world.until(
--- a/src/gateway/membership/wire_format_test.cpp
+++ b/src/gateway/membership/wire_format_test.cpp
@@ -18,8 +18,8 @@
     basaltchute::testing::StateService state{world};
     Settings settings = settingsFor(state.address());
     kv_store::Client client{world.loop, settings.state};
-    WriteLimiter turnstile{world.loop, client.writeLimiter()};
-    Membership members{world.loop, client, turnstile, settings, "process-1", hooks()};
+    WriteLimiter writeLimiter{world.loop, client.writeLimiter()};
+    Membership members{world.loop, client, writeLimiter, settings, "process-1", hooks()};
 
     static Settings settingsFor(const std::string& address) {
         Settings s;
@@ -75,7 +75,7 @@
 }
 
 TEST_F(GatewayWireFormat, JobReferenceRangeRecord) {
-    JobIdAllocator references(world.loop, client, turnstile, settings);
+    JobIdAllocator references(world.loop, client, writeLimiter, settings);
     EXPECT_EQ(finish(world, references.next(world.scope)), "run-000017");
     EXPECT_EQ(stored(), "gw/refs {\"next\":1017}\n");
 }
--- a/src/gateway/queue_owner/controllers.cpp
+++ b/src/gateway/queue_owner/controllers.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-Controllers::Controllers(EventLoop& loop, const Settings& settings, std::uint64_t seed)
+ControllerClient::ControllerClient(EventLoop& loop, const Settings& settings, std::uint64_t seed)
     : loop_(loop),
       settings_(settings),
       polls_(settings.limits.pollsPerSecond, std::max(1.0, settings.limits.pollsPerSecond),
@@ -33,11 +33,11 @@
     at_ = random_() % nodes_.size();
 }
 
-http::Client& Controllers::next() {
+http::Client& ControllerClient::next() {
     return *nodes_[at_ % nodes_.size()];
 }
 
-Task<Controllers::Answer> Controllers::submit(std::string body, Scope& scope) {
+Task<ControllerClient::Answer> ControllerClient::submit(std::string body, Scope& scope) {
     const TimePoint until = loop_.now() + settings_.limits.timeout;
     std::uniform_real_distribution<double> jitter(1.0, 1.5);
     Answer answer;
@@ -69,7 +69,7 @@
     co_return answer;
 }
 
-Task<Controllers::State> Controllers::query(std::string ref, Scope& scope) {
+Task<ControllerClient::State> ControllerClient::query(std::string ref, Scope& scope) {
     http::Request request{"GET", "/v1/jobs/" + ref, ""};
     http::Client& node = next();
     const auto o = co_await node.request(std::move(request), queryTimeout, scope);
--- a/src/gateway/queue_owner/controllers.h
+++ b/src/gateway/queue_owner/controllers.h
@@ -11,9 +11,9 @@
 namespace basaltchute::gateway {
 
 /// The controllers, by the users' interface alone.
-class Controllers {
+class ControllerClient {
   public:
-    Controllers(EventLoop& loop, const Settings& settings, std::uint64_t seed);
+    ControllerClient(EventLoop& loop, const Settings& settings, std::uint64_t seed);
 
     struct Answer {
         /// `undecided`: nobody took it within the patience; it may have been taken nevertheless.
--- a/src/gateway/queue_owner/prepare.cpp
+++ b/src/gateway/queue_owner/prepare.cpp
@@ -26,19 +26,21 @@
 
 }  // namespace
 
-std::variant<Prepared, std::string> prepare(const QueueSettings& queue, const std::string& origin,
-                                            const amqp::Message& m) {
-    Prepared out;
+std::variant<PreparedMessage, std::string> prepare(const QueueSettings& queue,
+                                                   const std::string& origin,
+                                                   const amqp::Message& m) {
+    PreparedMessage out;
     JournalEntry& e = out.entry;
     e.origin = origin;
     e.digest = XXH3_64bits(m.body.data(), m.body.size());
     e.replyTo = m.replyTo;
     if (e.replyTo.size() > longestReplyTo) return std::string("reply-to: longer than 256 bytes");
     // What comes over a listening link is answered over one.
-    if (origin.empty() && !e.replyTo.empty() && !e.replyTo.starts_with(replyPrefix(queue.name)))
-        return "reply-to: expected an address that begins with " + replyPrefix(queue.name);
+    if (origin.empty() && !e.replyTo.empty() &&
+        !e.replyTo.starts_with(replyAddressPrefix(queue.name)))
+        return "reply-to: expected an address that begins with " + replyAddressPrefix(queue.name);
     const amqp::Id& back = m.correlation.empty() ? m.id : m.correlation;
-    e.correlation = back.empty() ? "" : back.written();
+    e.correlation = back.empty() ? "" : back.toText();
     if (e.correlation.size() > longestCorrelation)
         return std::string("correlation-id: longer than 256 bytes");
 
@@ -47,7 +49,7 @@
         const auto it = m.properties.find(queue.keyProperty);
         if (it != m.properties.end() && !it->second.empty()) key = "p:" + it->second;
     } else if (!m.id.empty()) {
-        key = m.id.written();
+        key = m.id.toText();
     }
     out.redelivered = m.deliveryCount > 0;
     out.anonymous = key.empty();
@@ -91,7 +93,7 @@
     return out;
 }
 
-std::string submission(const Prepared& p, const std::string& ref) {
+std::string submission(const PreparedMessage& p, const std::string& ref) {
     return R"({"ref":")" + ref + "\"," + p.job + '}';
 }
 
--- a/src/gateway/queue_owner/queue_owner.cpp
+++ b/src/gateway/queue_owner/queue_owner.cpp
@@ -56,9 +56,9 @@
       fence_(std::move(fence)),
       serial_(serial),
       scope_(services.loop),
-      book_(services.settings.statePrefix + "q/" + queue.name + '/',
-            static_cast<std::size_t>(static_cast<double>(services.settings.state.valueBytes) *
-                                     pageShare)),
+      journal_(services.settings.statePrefix + "q/" + queue.name + '/',
+               static_cast<std::size_t>(static_cast<double>(services.settings.state.valueBytes) *
+                                        pageShare)),
       writer_(loop_, services.state, services.settings.state.txnOps, fence_, *this, *this, this),
       pace_(services.settings.limits.credit),
       committed_(loop_),
@@ -66,13 +66,13 @@
       polled_(loop_) {}
 
 std::optional<kv_store::EncodedRecord> QueueOwner::encode(const std::string& key) {
-    return book_.encode(key);
+    return journal_.encode(key);
 }
 
 void QueueOwner::onCommitted(const std::string& key, std::uint64_t version) {
-    book_.committed(key, version);
+    journal_.committed(key, version);
     committed_.notify();
-    pump();
+    sendReplies();
 }
 
 void QueueOwner::onFenced() {
@@ -82,7 +82,7 @@
 double QueueOwner::allowance(kv_store::WritePriority mostUrgent, double available) {
     const Duration slack =
         mostUrgent == kv_store::WritePriority::userRequest ? Duration::zero() : resultSlack;
-    return services_.turnstile.tryAcquire(serial_, slack, available);
+    return services_.writeLimiter.tryAcquire(serial_, slack, available);
 }
 
 void QueueOwner::start(std::function<void()> ready) {
@@ -113,13 +113,13 @@
 
 bool QueueOwner::load(const std::vector<kv_store::KeyValue>& items) {
     for (const auto& item : items) {
-        if (const auto wrong = book_.load(item.key, item.data)) {
+        if (const auto wrong = journal_.load(item.key, item.data)) {
             spdlog::error("queue {} is not served: {}", queue_.name, *wrong);
             return false;
         }
         writer_.setKnownRevision(item.key, item.revision);
     }
-    book_.each([&](const JournalEntry& e) {
+    journal_.forEach([&](const JournalEntry& e) {
         if (e.stage == Stage::entered || e.stage == Stage::accepted)
             pollLater(e.key, Duration::zero());
         if (e.stage == Stage::final) lanes_[{e.origin, e.replyTo}].waiting.insert(e.number);
@@ -137,7 +137,7 @@
     co_await scope_.cancelAndWait();
 }
 
-Task<void> QueueOwner::windDown() {
+Task<void> QueueOwner::drain() {
     const auto self = shared_from_this();
     closing_ = true;
     for (const auto& [place, inlet] : inlets_)
@@ -147,14 +147,14 @@
         return std::any_of(lanes_.begin(), lanes_.end(),
                            [](const auto& l) { return !l.second.flying.empty(); });
     };
-    while ((!untaken_.empty() || flying()) && loop_.now() < until && !scope_.cancelled())
+    while ((!unsettled_.empty() || flying()) && loop_.now() < until && !scope_.cancelled())
         co_await loop_.wait(freed_, loop_.now() + 100ms, scope_);
 }
 
 // Inlets and credit.
 
-void QueueOwner::addInlet(const std::shared_ptr<amqp::Connection>& connection, amqp::LinkId link,
-                          std::string origin) {
+void QueueOwner::addReceivingLink(const std::shared_ptr<amqp::Connection>& connection,
+                                  amqp::LinkId link, std::string origin) {
     const Place place{connection.get(), link};
     inlets_[place] = {connection, std::move(origin), 0};
     refill(place, inlets_[place]);
@@ -163,20 +163,20 @@
     const auto c = inlet.connection.lock();
     if (!c || closing_ || !ready_) return;
     // The team's room, as far as the gateway knows it: jobs of this queue that are not over.
-    const std::size_t used = book_.unfinished() + untaken_.size();
+    const std::size_t used = journal_.unfinished() + unsettled_.size();
     const std::size_t room = queue_.unfinished > used ? queue_.unfinished - used : 0;
     const auto each =
         static_cast<std::size_t>(pace_.window()) / std::max<std::size_t>(1, inlets_.size());
     const auto fair = std::min<std::size_t>(std::max<std::size_t>(1, each), room);
     const int aim = std::min(static_cast<int>(fair), services_.memoryWindow());
-    c->give(place.second, aim - c->credit(place.second) - inlet.inHand);
+    c->addCredit(place.second, aim - c->credit(place.second) - inlet.inHand);
 }
 void QueueOwner::refillAll() {
     for (auto& [place, inlet] : inlets_) refill(place, inlet);
 }
 
-Duration QueueOwner::oldest() const {
-    return untaken_.empty() ? Duration::zero() : loop_.now() - *untaken_.begin();
+Duration QueueOwner::oldestUnsettledAge() const {
+    return unsettled_.empty() ? Duration::zero() : loop_.now() - *unsettled_.begin();
 }
 
 Task<void> QueueOwner::everySecond() {
@@ -184,23 +184,23 @@
         co_await loop_.sleep(1s, scope_);
         if (scope_.cancelled()) co_return;
         // A message waits for a write at least, however few there are: one write carries them all.
-        pace_.observe(oldest(), services_.settings.limits.age + 2 * round_);
+        pace_.observe(oldestUnsettledAge(), services_.settings.limits.age + 2 * round_);
         refillAll();
-        pump();
+        sendReplies();
     }
 }
 
 // From arrival to custody.
 
-void QueueOwner::arrived(const IncomingMessage& a) {
-    untaken_.insert(a.since);
+void QueueOwner::trackArrival(const IncomingMessage& a) {
+    unsettled_.insert(a.since);
     ++services_.counters.arrived;
     const auto c = a.connection.lock();
     const auto inlet = inlets_.find({c.get(), a.link});
     if (inlet != inlets_.end()) ++inlet->second.inHand;
 }
 
-Task<void> QueueOwner::take(IncomingMessage a) {
+Task<void> QueueOwner::processMessage(IncomingMessage a) {
     const auto self = shared_from_this();
     std::string origin;
     const auto before = a.connection.lock();
@@ -216,7 +216,7 @@
     if (d.outcome == Outcome::rejected) ++n.rejected;
     if (d.outcome == Outcome::released) ++n.released;
     if (before) before->settle(a.delivery, d);
-    untaken_.erase(untaken_.find(a.since));
+    unsettled_.erase(unsettled_.find(a.since));
     const Place place{before.get(), a.link};
     if (const auto it = inlets_.find(place); it != inlets_.end()) {
         --it->second.inHand;
@@ -225,13 +225,13 @@
     freed_.notify();
 }
 
-std::optional<std::string> QueueOwner::runKey(const Prepared& p) {
+std::optional<std::string> QueueOwner::runKey(const PreparedMessage& p) {
     const std::string& content = p.entry.key;
     const std::uint32_t last = runs_.contains(content) ? runs_.at(content) : 0;
     if (p.redelivered && last > 0) {
         // A delivery of it failed before. What was not taken then goes on; what was may be the
         // same message or an equal one, so it runs again as often as its class allows.
-        const JournalEntry* e = book_.find(runOf(content, last));
+        const JournalEntry* e = journal_.find(runOf(content, last));
         if (e != nullptr && e->stage == Stage::entered) return e->key;
         if (last >= queue_.attempts) return std::nullopt;
     }
@@ -242,8 +242,8 @@
     if (!a.broken.empty()) co_return rejected("amqp:decode-error", a.broken);
     auto read = prepare(queue_, origin, a.message);
     if (const auto* why = std::get_if<std::string>(&read)) co_return rejected(invalidField, *why);
-    auto& p = std::get<Prepared>(read);
-    if (!book_.fits(p.entry)) co_return rejected(invalidField, "its addresses are too long");
+    auto& p = std::get<PreparedMessage>(read);
+    if (!journal_.fits(p.entry)) co_return rejected(invalidField, "its addresses are too long");
     if (p.anonymous && queue_.withoutId == WithoutId::atLeastOnce) {
         auto key = runKey(p);
         if (!key)
@@ -255,19 +255,19 @@
     co_return d;
 }
 
-Task<Disposition> QueueOwner::enter(Prepared p) {
+Task<Disposition> QueueOwner::enter(PreparedMessage p) {
     const std::string key = p.entry.key;
     while (busy_.contains(key)) {
         const WakeReason woke = co_await loop_.wait(freed_, TimePoint::max(), scope_);
         if (woke == WakeReason::cancelled) co_return released();
     }
-    const JournalEntry* known = book_.find(key);
+    const JournalEntry* known = journal_.find(key);
     if (known != nullptr && known->digest != p.entry.digest)
         co_return rejected(failedBefore, "its id stands for a message with another body");
     if (known != nullptr && known->stage != Stage::entered) {
         ++services_.counters.duplicates;
         if (known->stage != Stage::refused) co_return Disposition{Outcome::accepted, {}, false};
-        const std::string why = known->why;
+        const std::string why = known->reason;
         const bool stands = co_await standing(key);
         if (!stands) co_return released();
         co_return rejected(invalidField, why);
@@ -275,14 +275,16 @@
     if (closing_) co_return released();
 
     struct Busy {
-        QueueOwner& tenure;
+        QueueOwner& queueOwner;
         const std::string& key;
-        Busy(QueueOwner& t, const std::string& k) : tenure(t), key(k) { tenure.busy_.insert(key); }
+        Busy(QueueOwner& t, const std::string& k) : queueOwner(t), key(k) {
+            queueOwner.busy_.insert(key);
+        }
         Busy(const Busy&) = delete;
         Busy& operator=(const Busy&) = delete;
         ~Busy() {
-            tenure.busy_.erase(key);
-            tenure.freed_.notify();
+            queueOwner.busy_.erase(key);
+            queueOwner.freed_.notify();
         }
     };
     const Busy busy(*this, key);
@@ -291,13 +293,13 @@
         if (!ref || scope_.cancelled()) co_return released();
         p.entry.ref = *ref;
         // Until its job is known to exist, the entry is worth no more than a repetition.
-        p.entry.forget = forgetAt();
-        changed(book_.add(p.entry), kv_store::WritePriority::userRequest);
+        p.entry.expiresAt = forgetAt();
+        changed(journal_.add(p.entry), kv_store::WritePriority::userRequest);
     } else {
         p.entry.ref = known->ref;
         change(key, kv_store::WritePriority::userRequest, [&](JournalEntry& e) {
             ++e.attempts;
-            e.forget = forgetAt();
+            e.expiresAt = forgetAt();
         });
     }
     const TimePoint asked = loop_.now();
@@ -308,9 +310,9 @@
     std::string text = submission(p, p.entry.ref);
     const auto answer = co_await services_.controllers.submit(std::move(text), scope_);
     if (scope_.cancelled()) co_return released();
-    using Kind = Controllers::Answer::Kind;
+    using Kind = ControllerClient::Answer::Kind;
     // A poll may have found the job meanwhile.
-    const bool open = book_.find(key) != nullptr && book_.find(key)->stage == Stage::entered;
+    const bool open = journal_.find(key) != nullptr && journal_.find(key)->stage == Stage::entered;
     if (answer.kind == Kind::undecided && open) {
         // It may have been taken nevertheless, and the message may never come again.
         pollLater(key, services_.settings.limits.poll);
@@ -320,15 +322,15 @@
     if (refuse) {
         change(key, kv_store::WritePriority::userRequest, [&](JournalEntry& e) {
             e.stage = Stage::refused;
-            e.why = answer.text;
-            e.forget = forgetAt();
+            e.reason = answer.text;
+            e.expiresAt = forgetAt();
         });
     } else if (open) {
         // Custody has passed already: the ref stands here and the job with the controllers, so
         // that whoever owns the queue next finds it by a poll. This note of it takes its time.
         change(key, kv_store::WritePriority::background, [](JournalEntry& e) {
             e.stage = Stage::accepted;
-            e.forget = WallMillis(0);
+            e.expiresAt = WallMillis(0);
         });
         pollLater(key, services_.settings.limits.poll);
     }
@@ -339,8 +341,8 @@
 }
 
 Task<bool> QueueOwner::standing(std::string key) {
-    while (!book_.isDurable(key)) {
-        if (book_.find(key) == nullptr) co_return false;
+    while (!journal_.isDurable(key)) {
+        if (journal_.find(key) == nullptr) co_return false;
         const WakeReason woke = co_await loop_.wait(committed_, TimePoint::max(), scope_);
         if (woke == WakeReason::cancelled) co_return false;
     }
@@ -352,7 +354,7 @@
 }
 void QueueOwner::change(const std::string& key, kv_store::WritePriority urgency,
                         const std::function<void(JournalEntry&)>& how) {
-    changed(book_.change(key, how), urgency);
+    changed(journal_.change(key, how), urgency);
 }
 WallMillis QueueOwner::forgetAt() const {
     return loop_.clock().wall() + queue_.retain;
@@ -388,16 +390,16 @@
 }
 
 Task<void> QueueOwner::poll(std::string key) {
-    const JournalEntry* e = book_.find(key);
-    Controllers::State state;
+    const JournalEntry* e = journal_.find(key);
+    ControllerClient::State state;
     const bool asked = e != nullptr && !busy_.contains(key);
     if (asked) state = co_await services_.controllers.query(e->ref, scope_);
     --pollsUnderWay_;
     if (scope_.cancelled()) co_return;
     followed_.erase(key);
-    e = book_.find(key);
+    e = journal_.find(key);
     if (e == nullptr || (e->stage != Stage::entered && e->stage != Stage::accepted)) co_return;
-    using Kind = Controllers::State::Kind;
+    using Kind = ControllerClient::State::Kind;
     if (state.kind == Kind::known && !busy_.contains(key)) {
         if (state.status == "done" || state.status == "cancelled") {
             finish(key, state.status);
@@ -406,7 +408,7 @@
         if (e->stage == Stage::entered)
             change(key, kv_store::WritePriority::background, [](JournalEntry& entry) {
                 entry.stage = Stage::accepted;
-                entry.forget = WallMillis(0);
+                entry.expiresAt = WallMillis(0);
             });
     }
     if (state.kind == Kind::unknown && e->stage == Stage::accepted)
@@ -416,20 +418,20 @@
 
 void QueueOwner::finish(const std::string& key, const std::string& status) {
     ++services_.counters.finals;
-    const std::uint64_t number = book_.nextNumber();
+    const std::uint64_t number = journal_.nextNumber();
     change(key, kv_store::WritePriority::immediate, [&](JournalEntry& e) {
         e.status = status;
         e.number = number;
         e.stage = e.replyTo.empty() ? Stage::replied : Stage::final;
-        e.forget = forgetAt();
+        e.expiresAt = forgetAt();
     });
-    const JournalEntry& e = *book_.find(key);
+    const JournalEntry& e = *journal_.find(key);
     if (e.stage == Stage::final) lanes_[{e.origin, e.replyTo}].waiting.insert(number);
 }
 
 // Replies.
 
-void QueueOwner::pump() {
+void QueueOwner::sendReplies() {
     if (!ready_ || closing_ || !services_.holds(queue_.name)) return;
     for (auto it = lanes_.begin(); it != lanes_.end();) {
         auto& [key, lane] = *it;
@@ -448,18 +450,18 @@
     while (!lane.waiting.empty() && lane.flying.size() < flightWindow &&
            outlet.connection->credit(outlet.link) > 0) {
         const std::uint64_t number = *lane.waiting.begin();
-        const auto unsent = book_.unsent().find(number);
-        if (unsent == book_.unsent().end()) {
+        const auto unsent = journal_.unsent().find(number);
+        if (unsent == journal_.unsent().end()) {
             lane.waiting.erase(number);  // forgotten
             continue;
         }
         // Only what stands is told, and nothing overtakes it.
-        if (!book_.isDurable(unsent->second)) return;
-        const JournalEntry& e = *book_.find(unsent->second);
+        if (!journal_.isDurable(unsent->second)) return;
+        const JournalEntry& e = *journal_.find(unsent->second);
         amqp::Message m;
         // The receiver's key: the same however often this reply has to be sent.
         m.id = {amqp::Id::Kind::text, "result/" + e.ref};
-        m.correlation = amqp::Id::read(e.correlation).value_or(amqp::Id{});
+        m.correlation = amqp::Id::fromText(e.correlation).value_or(amqp::Id{});
         m.to = to.second;
         m.subject = "result";
         m.contentType = "application/json";
@@ -479,19 +481,19 @@
 void QueueOwner::answered(const std::string& key, const std::string& why) {
     change(key, kv_store::WritePriority::immediate, [&](JournalEntry& e) {
         e.stage = Stage::replied;
-        e.why = why;
-        e.forget = forgetAt();
+        e.reason = why;
+        e.expiresAt = forgetAt();
     });
 }
 
-void QueueOwner::decided(const std::string& tag, const Disposition& d) {
+void QueueOwner::handleReplyDisposition(const std::string& tag, const Disposition& d) {
     for (auto& [key, lane] : lanes_) {
         const auto flight = lane.flying.find(tag);
         if (flight == lane.flying.end()) continue;
         const std::uint64_t number = flight->second.number;
         lane.flying.erase(flight);
-        const auto unsent = book_.unsent().find(number);
-        if (unsent == book_.unsent().end()) break;
+        const auto unsent = journal_.unsent().find(number);
+        if (unsent == journal_.unsent().end()) break;
         const std::string entry = unsent->second;  // leaves the index when it is answered
         if (d.outcome == Outcome::released || d.outcome == Outcome::modified) {
             lane.waiting.insert(number);
@@ -500,18 +502,18 @@
         } else if (d.outcome == Outcome::rejected) {
             ++services_.counters.repliesRefused;
             spdlog::warn("queue {}: a reply to {} was refused: {} {}", queue_.name, key.second,
-                         d.why.name, d.why.description);
-            answered(entry, "refused: " + d.why.description);
+                         d.condition.name, d.condition.description);
+            answered(entry, "refused: " + d.condition.description);
         } else {
             answered(entry, "");
         }
         break;
     }
     freed_.notify();
-    pump();
+    sendReplies();
 }
 
-void QueueOwner::linkGone(const amqp::Connection& connection, amqp::LinkId link) {
+void QueueOwner::linkClosed(const amqp::Connection& connection, amqp::LinkId link) {
     const Place place{&connection, link};
     inlets_.erase(place);
     for (auto& [key, lane] : lanes_)
@@ -529,14 +531,14 @@
 }
 
 std::optional<std::string> QueueOwner::replay(const std::string& key) {
-    const JournalEntry* e = book_.find(key);
+    const JournalEntry* e = journal_.find(key);
     if (e == nullptr) return "no such key in " + queue_.name;
     if (e->stage == Stage::refused) {
         // The message may be sent again, from the dead letters or anew, and goes on from here.
         change(key, kv_store::WritePriority::userRequest, [&](JournalEntry& entry) {
             entry.stage = Stage::entered;
-            entry.why.clear();
-            entry.forget = forgetAt();
+            entry.reason.clear();
+            entry.expiresAt = forgetAt();
         });
         return std::nullopt;
     }
@@ -545,8 +547,8 @@
                (e->replyTo.empty() ? " and has no reply-to" : ": there is nothing to send again");
     change(key, kv_store::WritePriority::userRequest, [&](JournalEntry& entry) {
         entry.stage = Stage::final;
-        entry.why.clear();
-        entry.forget = forgetAt();
+        entry.reason.clear();
+        entry.expiresAt = forgetAt();
     });
     lanes_[{e->origin, e->replyTo}].waiting.insert(e->number);
     return std::nullopt;
@@ -560,7 +562,7 @@
         co_await loop_.sleep(every, scope_);
         if (scope_.cancelled()) co_return;
         if (!services_.holds(queue_.name)) continue;
-        const auto gone = book_.forget(loop_.clock().wall(), forgetAtOnce);
+        const auto gone = journal_.forget(loop_.clock().wall(), forgetAtOnce);
         for (const auto& record : gone.changed)
             changed(record, kv_store::WritePriority::background);
         for (const auto& key : gone.keys)
@@ -573,13 +575,13 @@
             spdlog::error("queue {}: {} results were never fetched and are forgotten", queue_.name,
                           gone.unsent);
         }
-        auto records = book_.closing();
+        auto records = journal_.closing();
         if (records.empty()) continue;
         const auto most = std::min(static_cast<double>(services_.settings.state.txnOps),
                                    std::floor(services_.state.writeLimiter().burst()));
         records.resize(std::min(records.size(), static_cast<std::size_t>(most)));
         const bool may =
-            co_await services_.turnstile.acquire(static_cast<double>(records.size()), scope_);
+            co_await services_.writeLimiter.acquire(static_cast<double>(records.size()), scope_);
         if (!may) co_return;
         kv_store::Transaction txn;
         txn.preconditions = {fence_};
@@ -587,7 +589,7 @@
         const auto committed = co_await services_.state.commit(std::move(txn), scope_);
         if (committed.status != kv_store::Status::ok) continue;
         for (const auto& record : records) {
-            book_.deleted(record);
+            journal_.deleted(record);
             writer_.forget(record);
         }
     }
--- a/src/gateway/queue_owner/queue_owner.h
+++ b/src/gateway/queue_owner/queue_owner.h
@@ -40,10 +40,10 @@
     EventLoop& loop;
     const Settings& settings;
     kv_store::Client& state;
-    Controllers& controllers;
+    ControllerClient& controllers;
     JobIdAllocator& refs;
     Counters& counters;
-    WriteLimiter& turnstile;
+    WriteLimiter& writeLimiter;
     std::function<bool(const QueueName&)> holds;   // by the clock, now
     std::function<void(const QueueName&)> fenced;  // a write met another owner's fence
     std::function<std::optional<ReplyLink>(const std::string& origin, const std::string& replyTo)>
@@ -68,28 +68,28 @@
     [[nodiscard]] bool ready() const { return ready_; }
     [[nodiscard]] bool closing() const { return closing_; }
     /// Takes nothing new and ends what is under way; nothing of it is unsettled afterwards.
-    Task<void> windDown();
+    Task<void> drain();
     /// Ends at once.
     Task<void> end();
 
-    void addInlet(const std::shared_ptr<amqp::Connection>& connection, amqp::LinkId link,
-                  std::string origin);
+    void addReceivingLink(const std::shared_ptr<amqp::Connection>& connection, amqp::LinkId link,
+                          std::string origin);
     /// Counts the message as under way; `take` must follow.
-    void arrived(const IncomingMessage& arrival);
-    Task<void> take(IncomingMessage arrival);
+    void trackArrival(const IncomingMessage& arrival);
+    Task<void> processMessage(IncomingMessage arrival);
 
     /// Sends what can be sent.
-    void pump();
-    void decided(const std::string& tag, const amqp::Disposition& disposition);
-    void linkGone(const amqp::Connection& connection, amqp::LinkId link);
+    void sendReplies();
+    void handleReplyDisposition(const std::string& tag, const amqp::Disposition& disposition);
+    void linkClosed(const amqp::Connection& connection, amqp::LinkId link);
     [[nodiscard]] std::uint64_t serial() const { return serial_; }
 
-    [[nodiscard]] const MessageJournal& book() const { return book_; }
+    [[nodiscard]] const MessageJournal& journal() const { return journal_; }
     [[nodiscard]] const QueueSettings& queue() const { return queue_; }
-    [[nodiscard]] std::size_t untaken() const { return untaken_.size(); }
-    [[nodiscard]] Duration oldest() const;
-    [[nodiscard]] int window() const { return pace_.window(); }
-    [[nodiscard]] std::size_t links() const { return inlets_.size(); }
+    [[nodiscard]] std::size_t unsettledCount() const { return unsettled_.size(); }
+    [[nodiscard]] Duration oldestUnsettledAge() const;
+    [[nodiscard]] int creditWindow() const { return pace_.window(); }
+    [[nodiscard]] std::size_t receivingLinks() const { return inlets_.size(); }
     /// Sends a result once more, or forgets a refusal. One line if that cannot be.
     std::optional<std::string> replay(const std::string& key);
 
@@ -119,8 +119,8 @@
     Task<void> open(std::function<void()> ready);
     bool load(const std::vector<kv_store::KeyValue>& items);
     Task<amqp::Disposition> decide(const IncomingMessage& arrival, const std::string& origin);
-    Task<amqp::Disposition> enter(Prepared prepared);
-    [[nodiscard]] std::optional<std::string> runKey(const Prepared& prepared);
+    Task<amqp::Disposition> enter(PreparedMessage prepared);
+    [[nodiscard]] std::optional<std::string> runKey(const PreparedMessage& prepared);
     Task<bool> standing(std::string key);
     void changed(const std::string& record, kv_store::WritePriority urgency);
     void change(const std::string& key, kv_store::WritePriority urgency,
@@ -143,14 +143,14 @@
     kv_store::Precondition fence_;
     std::uint64_t serial_;
     Scope scope_;
-    MessageJournal book_;
+    MessageJournal journal_;
     kv_store::TransactionWriter writer_;
     ConcurrencyLimiter pace_;
     Duration round_{};  // that an entry lately took to stand
     bool ready_ = false, closing_ = false;
     Event committed_, freed_, polled_;
     std::map<Place, Inlet> inlets_;
-    std::multiset<TimePoint> untaken_;
+    std::multiset<TimePoint> unsettled_;
     std::set<std::string> busy_;  // keys that a delivery is taken through its steps for
     std::unordered_map<std::string, std::uint32_t> runs_;  // of messages without id, by content
     std::map<LaneKey, Lane> lanes_;
--- a/src/gateway/queue_owner/write_limiter.h
+++ b/src/gateway/queue_owner/write_limiter.h
@@ -71,7 +71,7 @@
     EventLoop& loop_;
     RateLimiter& writes_;
     std::vector<WaitingEntry> waiting_;                // what is due first goes first
-    std::uint64_t nextOwn_ = std::uint64_t{1} << 63U;  // apart from the serials of tenures
+    std::uint64_t nextOwn_ = std::uint64_t{1} << 63U;  // apart from the serials of queue owners
 };
 
 }  // namespace basaltchute::gateway
--- a/src/gateway/settings/settings.cpp
+++ b/src/gateway/settings/settings.cpp
@@ -27,7 +27,7 @@
             checked("#/controllers/" + std::to_string(i++), c.GetString(),
                     out_.controllers.emplace_back());
         state(d["state"]);
-        out_.grant = seconds(d, "grantSeconds", out_.grant);
+        out_.leaseTtl = seconds(d, "grantSeconds", out_.leaseTtl);
         const auto& refs = d["refs"];
         out_.refWord = json::string(refs, "word").value_or(out_.refWord);
         out_.refsFrom = *json::count(refs, "from");
--- a/src/gateway/settings/settings.h
+++ b/src/gateway/settings/settings.h
@@ -62,7 +62,7 @@
     std::string statePrefix = "gw/";
     /// For the state client: the address and this instance's share of the request limits.
     settings::Settings state;
-    Duration grant = std::chrono::seconds(8);
+    Duration leaseTtl = std::chrono::seconds(8);
     std::string refWord = "run";
     std::uint64_t refsFrom = 0, refsTo = 0;
     Networks networks;
--- a/src/gateway/settings/wire_format_test.cpp
+++ b/src/gateway/settings/wire_format_test.cpp
@@ -51,7 +51,7 @@
     EXPECT_EQ(s.state.stateWriteRps, 10);
     EXPECT_EQ(s.state.valueBytes, 8192U);
     EXPECT_EQ(s.state.txnOps, 12U);
-    EXPECT_EQ(s.grant, Duration(5s));
+    EXPECT_EQ(s.leaseTtl, Duration(5s));
     EXPECT_EQ(s.refWord, "job");
     EXPECT_EQ(s.refsFrom, 7U);
     EXPECT_EQ(s.refsTo, 70U);
--- a/src/gateway/testing/broker.cpp
+++ b/src/gateway/testing/broker.cpp
@@ -15,19 +15,19 @@
 
     void attached(amqp::Connection& c, amqp::LinkId id, const amqp::Attach& a) override {
         c.confirm(id);
-        if (a.theySend) {
+        if (a.peerSends) {
             targets_[id] = a.target;
-            c.give(id, 100);
+            c.addCredit(id, 100);
         } else {
             sources_[id] = a.source;
             broker_.queues[a.source];
         }
     }
-    void credited(amqp::Connection&, amqp::LinkId id) override {
+    void creditUpdated(amqp::Connection&, amqp::LinkId id) override {
         if (const auto it = sources_.find(id); it != sources_.end()) broker_.feed(it->second);
     }
-    void arrived(amqp::Connection& c, amqp::LinkId id, amqp::DeliveryId delivery,
-                 amqp::Message message, std::string) override {
+    void messageReceived(amqp::Connection& c, amqp::LinkId id, amqp::DeliveryId delivery,
+                         amqp::Message message, std::string) override {
         const std::string& to = targets_[id];
         const auto d = broker_.judge ? broker_.judge(to)
                                      : amqp::Disposition{amqp::Outcome::accepted, {}, false};
@@ -38,10 +38,10 @@
                 broker_.received[to].push_back(std::move(message));
         }
         c.settle(delivery, d);
-        c.give(id, 1);
+        c.addCredit(id, 1);
     }
-    void decided(amqp::Connection&, amqp::LinkId, const std::string& tag,
-                 amqp::Disposition d) override {
+    void dispositionReceived(amqp::Connection&, amqp::LinkId, const std::string& tag,
+                             amqp::Disposition d) override {
         const auto it = unsettled_.find(tag);
         if (it == unsettled_.end()) return;
         auto [link, queue, message] = std::move(it->second);
@@ -51,7 +51,7 @@
         if (d.outcome == amqp::Outcome::accepted) {
             ++q.accepted;
         } else if (d.outcome == amqp::Outcome::rejected) {
-            q.dead.emplace_back(std::move(message), d.why);
+            q.dead.emplace_back(std::move(message), d.condition);
         } else {
             if (d.outcome == amqp::Outcome::modified && d.deliveryFailed) ++message.deliveryCount;
             q.waiting.push_front(std::move(message));
@@ -135,7 +135,7 @@
     options.container = "broker";
     options.server = true;
     options.limits.messageBytes = std::size_t{4} << 20U;
-    options.identity.anonymous = true;
+    options.identity.allowAnonymous = true;
     session->connection =
         std::make_shared<amqp::Connection>(loop_, std::move(socket), std::move(options), *session);
     const auto at = sessions_.insert(sessions_.end(), session);
@@ -151,7 +151,7 @@
     for (const auto& s : std::list<std::shared_ptr<Session>>(sessions_)) s->feed(queue);
 }
 void Broker::cutAll() {
-    for (const auto& s : sessions_) s->connection->cut();
+    for (const auto& s : sessions_) s->connection->abort();
 }
 
 JobService::JobService(EventLoop& loop, Scope& scope, const std::string& address)
--- a/src/gateway/testing/client.cpp
+++ b/src/gateway/testing/client.cpp
@@ -7,8 +7,8 @@
 Client::Client(EventLoop& loop, std::string address, amqp::Connection::Options options)
     : loop_(loop), address_(std::move(address)), options_(std::move(options)), scope_(loop) {
     options_.container = "client";
-    options_.limits.idle = 10min;
-    options_.limits.stall = 10min;
+    options_.limits.idleTimeout = 10min;
+    options_.limits.writeTimeout = 10min;
 }
 
 Client::~Client() {
@@ -48,8 +48,9 @@
     reading_[source] = credit;
     links_[connection->receiveFrom(source, "from " + source)] = source;
 }
-void Client::confirmed(amqp::Connection& c, amqp::LinkId id) {
-    if (const auto it = reading_.find(links_[id]); it != reading_.end()) c.give(id, it->second);
+void Client::linkOpened(amqp::Connection& c, amqp::LinkId id) {
+    if (const auto it = reading_.find(links_[id]); it != reading_.end())
+        c.addCredit(id, it->second);
 }
 int Client::credit(const std::string& address) const {
     for (const auto& [id, a] : links_)
@@ -67,12 +68,13 @@
         if (a == target) return connection->send(id, bytes, tag);
     return false;
 }
-void Client::arrived(amqp::Connection& c, amqp::LinkId, amqp::DeliveryId delivery,
-                     amqp::Message message, std::string) {
+void Client::messageReceived(amqp::Connection& c, amqp::LinkId, amqp::DeliveryId delivery,
+                             amqp::Message message, std::string) {
     replies.push_back(std::move(message));
     if (!mute) c.settle(delivery, {amqp::Outcome::accepted, {}, false});
 }
-void Client::decided(amqp::Connection&, amqp::LinkId, const std::string& tag, amqp::Disposition d) {
+void Client::dispositionReceived(amqp::Connection&, amqp::LinkId, const std::string& tag,
+                                 amqp::Disposition d) {
     decisions[tag] = std::move(d);
 }
 void Client::detached(amqp::Connection&, amqp::LinkId id, const amqp::Condition& why) {
--- a/src/gateway/testing/client.h
+++ b/src/gateway/testing/client.h
@@ -37,11 +37,11 @@
     std::shared_ptr<amqp::Connection> connection;
 
     void opened(amqp::Connection& c) override;
-    void confirmed(amqp::Connection& c, amqp::LinkId id) override;
-    void arrived(amqp::Connection& c, amqp::LinkId id, amqp::DeliveryId delivery,
-                 amqp::Message message, std::string broken) override;
-    void decided(amqp::Connection& c, amqp::LinkId id, const std::string& tag,
-                 amqp::Disposition d) override;
+    void linkOpened(amqp::Connection& c, amqp::LinkId id) override;
+    void messageReceived(amqp::Connection& c, amqp::LinkId id, amqp::DeliveryId delivery,
+                         amqp::Message message, std::string broken) override;
+    void dispositionReceived(amqp::Connection& c, amqp::LinkId id, const std::string& tag,
+                             amqp::Disposition d) override;
     void detached(amqp::Connection& c, amqp::LinkId id, const amqp::Condition& why) override;
     void ended(amqp::Connection& c, const amqp::Condition& why) override;
 
--- a/src/gateway/testing/fault_test.cpp
+++ b/src/gateway/testing/fault_test.cpp
@@ -243,8 +243,8 @@
             wrong("results out of order");
         for (const auto& [name, g] : fixture_.instances)
             for (const auto& q : queueNames)
-                if (const auto t = g->queueOwner(q); t && !t->book().findInconsistency().empty())
-                    wrong(name + ": ledger of " + q + ": " + t->book().findInconsistency());
+                if (const auto t = g->queueOwner(q); t && !t->journal().findInconsistency().empty())
+                    wrong(name + ": ledger of " + q + ": " + t->journal().findInconsistency());
     }
 
     GatewayFixture fixture_;
--- a/src/gateway/testing/gateway_fixture.cpp
+++ b/src/gateway/testing/gateway_fixture.cpp
@@ -12,7 +12,7 @@
     settings.controllers = {jobs.address()};
     settings.state = basaltchute::testing::someSettings();
     settings.state.stateAddress = state.address();
-    settings.grant = 3s;
+    settings.leaseTtl = 3s;
     settings.refsFrom = 900'000'000;
     settings.refsTo = 900'999'999;
     settings.anonymous = true;
