--- a/src/gateway/app/consumer.cpp
+++ b/src/gateway/app/consumer.cpp
@@ -57,10 +57,11 @@
     options.identity.password = source_.password;
     options.identity.allowPlainWithoutTls = source_.passwordsInClear;
     if (source_.tls) {
-        // Read at each connection: new certificates need no restart.
+        // Loaded for each connection, so that new certificates need no restart.
         auto loaded = amqp::loadTls(*source_.tls, false);
         if (const auto* wrong = std::get_if<std::string>(&loaded)) {
-            spdlog::error("source {}: {}", source_.name, *wrong);
+            spdlog::error("source certificates cannot be loaded: source={} error={}", source_.name,
+                          *wrong);
             co_return;
         }
         options.tls = std::get<amqp::TlsHandle>(std::move(loaded));
@@ -70,7 +71,8 @@
     const auto to = parseAddress(source_.address);
     auto socket = co_await Socket::connect(loop_, *to, loop_.now() + connectTimeout, scope);
     if (!socket) {
-        spdlog::debug("source {}: no connection to {}", source_.name, source_.address);
+        spdlog::debug("source connection failed: source={} address={}", source_.name,
+                      source_.address);
         co_return;
     }
     connection_ =
@@ -82,13 +84,14 @@
 void Consumer::opened(amqp::Connection&) {
     open_ = true;
     reconnectDelay_ = minReconnectDelay;
-    spdlog::info("source {}: connected to {}", source_.name, source_.address);
+    spdlog::info("source connected: source={} address={}", source_.name, source_.address);
     routesChanged();
 }
 
 void Consumer::ended(amqp::Connection&, const amqp::Condition& why) {
     if (open_ || !why.empty())
-        spdlog::info("source {}: connection ended {} {}", source_.name, why.name, why.description);
+        spdlog::info("source connection ended: source={} condition={} description={}", source_.name,
+                     why.name, why.description);
     open_ = false;
     while (!receivers_.empty()) drop(receivers_.begin()->first);
     while (!senders_.empty()) drop(senders_.begin()->first);
@@ -99,10 +102,10 @@
     wake_.notify();
     if (!open_ || !connection_ || connection_->closed()) return;
     if (!feedsLocalQueue()) {
-        const bool underWay = std::any_of(receivers_.begin(), receivers_.end(), [](const auto& r) {
-            return r.second.queueOwner->unsettledCount() > 0;
-        });
-        if (!underWay) connection_->close();
+        const bool inProgress =
+            std::any_of(receivers_.begin(), receivers_.end(),
+                        [](const auto& r) { return r.second.queueOwner->unsettledCount() > 0; });
+        if (!inProgress) connection_->close();
         return;
     }
     std::vector<amqp::LinkId> stale;
--- a/src/gateway/app/gateway.cpp
+++ b/src/gateway/app/gateway.cpp
@@ -209,7 +209,7 @@
     startWaiting();
 }
 void Gateway::startWaiting() {
-    while (inProgress_ < settings_.limits.underWay && !scope_.cancelled()) {
+    while (inProgress_ < settings_.limits.maxMessagesInProgress && !scope_.cancelled()) {
         auto next = incoming_.next();
         if (!next) return;
         ++inProgress_;
--- a/src/gateway/app/gateway_test.cpp
+++ b/src/gateway/app/gateway_test.cpp
@@ -1,4 +1,4 @@
-// The hard cases of docs/amqp.md, each caused on purpose.
+// Failure cases of docs/amqp.md, each provoked by a fault in a fake service.
 #include "gateway/app/gateway.h"
 
 #include <gtest/gtest.h>
@@ -52,7 +52,7 @@
     GatewayFixture s;
 };
 
-TEST_F(GatewayTest, AMessageBecomesOneJobAndItsResultGoesBackOnce) {
+TEST_F(GatewayTest, MessageRunsOneJobAndGetsOneReply) {
     s.start("gw-1");
     s.broker.publish(atBroker, GatewayFixture::message("m", "id-1", "answers"));
     ASSERT_TRUE(s.until([&] { return s.broker.received["answers"].size() == 1; }));
@@ -66,9 +66,9 @@
     EXPECT_EQ(s.broker.received["answers"].size(), 1U);
 }
 
-TEST_F(GatewayTest, ALinkThatDropsBeforeCustodyOrBeforeTheDispositionRunsNothingTwice) {
+TEST_F(GatewayTest, ConnectionLossBeforeTheDispositionRunsNoJobTwice) {
     s.start("gw-1");
-    // Cut while the submission is under way: taken, not acknowledged.
+    // The connection is lost during the submission: the job runs, the message is not accepted yet.
     s.jobs.fault = [&](const http::Request& r) {
         if (r.method == "POST" && s.jobs.jobs.empty()) s.broker.cutAll();
         return JobService::Fault::none;
@@ -76,7 +76,8 @@
     s.broker.publish(atBroker, GatewayFixture::message("before", "1"));
     ASSERT_TRUE(taken(1));
     EXPECT_EQ(jobsOf("before"), 1U);
-    // Cut after custody is on record, before the broker hears of it.
+    // The connection is lost after the acceptance is recorded, before the broker gets the
+    // disposition.
     s.jobs.fault = nullptr;
     s.state.fault = [&](const http::Request& r) {
         if (r.target == "/multi" && r.body.find("accepted") != std::string::npos) {
@@ -88,10 +89,11 @@
     s.broker.publish(atBroker, GatewayFixture::message("after", "2"));
     ASSERT_TRUE(taken(2));
     EXPECT_EQ(jobsOf("after"), 1U);
-    EXPECT_EQ(s.holder(checks)->counters().duplicates, 2U) << "the ledger answered what came again";
+    EXPECT_EQ(s.holder(checks)->counters().duplicates, 2U)
+        << "redelivered messages are answered from the ledger";
 }
 
-TEST_F(GatewayTest, AnInstanceThatIsKilledBetweenAnyTwoStepsLeavesTheRestToAnother) {
+TEST_F(GatewayTest, AnotherInstanceContinuesAfterAKillDuringSubmission) {
     s.start("gw-1");
     s.start("gw-2");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
@@ -101,7 +103,7 @@
     s.jobs.fault = [&](const http::Request& r) {
         if (r.method == "POST" && !die) {
             die = true;
-            return JobService::Fault::mute;  // it exists, and nobody was told
+            return JobService::Fault::mute;  // the job exists, but the gateway got no answer
         }
         return JobService::Fault::none;
     };
@@ -114,7 +116,7 @@
     EXPECT_GE(s.jobs.jobs.begin()->second.submissions, 1);
 }
 
-TEST_F(GatewayTest, AnOwnerThatFrozePastItsGrantWritesNothingWhenItWakes) {
+TEST_F(GatewayTest, OwnerWithAnExpiredLeaseWritesNothing) {
     auto& frozen = s.start("gw-1");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
     const auto queueOwner = frozen.queueOwner(checks);
@@ -122,7 +124,7 @@
     ASSERT_TRUE(s.until([&] { return entry("t:1") && entry("t:1")->stage == Stage::replied; }));
     s.world.run(1s);
     const auto records = s.state.keys;
-    // Its grant ends, and it writes before it hears of that.
+    // The lease expires, and the owner writes before it notices.
     s.state.endGrantOf("gw/own/member/gw-1");
     EXPECT_EQ(queueOwner->replay("t:1"), std::nullopt);
     auto& other = s.start("gw-2");
@@ -132,18 +134,18 @@
         if (key.starts_with("gw/q/")) {
             EXPECT_EQ(s.state.keys.at(key).data, e.data) << key;
         }
-    EXPECT_EQ(s.broker.received["a"].size(), 1U) << "nothing is told that does not stand";
+    EXPECT_EQ(s.broker.received["a"].size(), 1U) << "no reply without a durable entry";
     EXPECT_GE(frozen.counters().queuesLost + other.counters().queuesGained, 1U);
     s.broker.publish(atBroker, GatewayFixture::message("n", "2"));
     ASSERT_TRUE(taken(2));
     EXPECT_EQ(jobsOf("n"), 1U);
 }
 
-TEST_F(GatewayTest, TwoThatBothBelieveToOwnAQueueCannotBothWrite) {
+TEST_F(GatewayTest, OwnerWithAStaleFencingTokenCannotWrite) {
     auto& one = s.start("gw-1");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
-    const auto old = one.queueOwner(checks);
-    // The record of ownership is replaced behind its back: it holds its grant all the while.
+    const auto staleOwner = one.queueOwner(checks);
+    // The ownership record is replaced while the instance still holds its lease.
     s.state.keys["gw/own/queue/" + checks].stamp += 1000;
     s.state.changeElsewhere(2000);
     const auto before = s.state.keys;
@@ -156,7 +158,7 @@
     EXPECT_EQ(jobsOf("m"), 0U);
 }
 
-TEST_F(GatewayTest, WhatTheStateServiceRefusesOrAppliesLateIsNeitherLostNorDoubled) {
+TEST_F(GatewayTest, RefusedOrLateStateWritesNeitherLoseNorRepeatMessages) {
     using Fault = basaltchute::testing::StateService::Fault;
     s.start("gw-1");
     std::mt19937_64 random(3);
@@ -181,14 +183,14 @@
     s.world.run(10s);
     for (int i = 0; i < 6; ++i) EXPECT_EQ(jobsOf("m" + std::to_string(i)), 1U) << i;
     EXPECT_EQ(s.broker.received["a"].size(), 6U);
-    // What the ledger says after a restart is what it said before.
+    // The ledger is the same after a restart.
     s.kill("gw-1");
     s.start("gw-1");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
     EXPECT_EQ(s.holder(checks)->queueOwner(checks)->journal().count(Stage::replied), 6U);
 }
 
-TEST_F(GatewayTest, ALeaderThatChangesDuringASubmissionCostsARetryAndRefusalsAreTold) {
+TEST_F(GatewayTest, SubmissionIsRetriedAfterALeaderChangeAndRejectionsAreReported) {
     s.start("gw-1");
     int posts = 0;
     s.jobs.fault = [&](const http::Request& r) {
@@ -206,7 +208,7 @@
     s.broker.publish(atBroker, GatewayFixture::message("never", "2"));
     ASSERT_TRUE(s.until([&] { return queue().dead.size() == 1; }));
     EXPECT_EQ(queue().dead[0].second.description, "fits no machine type");
-    // From the dead letters it is refused again by the ledger, until an operator replays it.
+    // Sent again from the dead letters, it is refused by the ledger until an operator replays it.
     s.broker.publish(atBroker, GatewayFixture::message("never", "2"));
     ASSERT_TRUE(s.until([&] { return queue().dead.size() == 2; }));
     s.jobs.impossible.clear();
@@ -216,7 +218,7 @@
     EXPECT_EQ(jobsOf("never"), 1U);
 }
 
-TEST_F(GatewayTest, WithoutAnAnswerAMessageIsGivenBackInsteadOfHeld) {
+TEST_F(GatewayTest, MessageIsReleasedWhenSubmissionTimesOut) {
     s.settings.limits.timeout = 4s;
     auto& g = s.start("gw-1");
     s.jobs.fault = [](const http::Request&) { return JobService::Fault::refused; };
@@ -225,10 +227,10 @@
     s.jobs.fault = nullptr;
     ASSERT_TRUE(taken(1));
     EXPECT_EQ(jobsOf("m"), 1U);
-    EXPECT_GE(entry("t:1")->attempts, 3U) << "each time it was taken up is on record";
+    EXPECT_GE(entry("t:1")->attempts, 3U) << "each attempt is recorded";
 }
 
-TEST_F(GatewayTest, TenThousandMessagesWithOneIdAreOneJob) {
+TEST_F(GatewayTest, TenThousandMessagesWithTheSameIdRunOneJob) {
     s.start("gw-1");
     for (int i = 0; i < 10'000; ++i)
         s.broker.publish(atBroker, GatewayFixture::message("m", "1", "a"));
@@ -240,7 +242,7 @@
     EXPECT_EQ(s.holder(checks)->queueOwner(checks)->journal().size(), 1U);
 }
 
-TEST_F(GatewayTest, OneIdDoesNotStandForTwoMessages) {
+TEST_F(GatewayTest, DifferentMessageWithTheSameIdIsRejected) {
     s.start("gw-1");
     s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
     s.broker.publish(atBroker, GatewayFixture::message("other", "1"));
@@ -249,7 +251,7 @@
     EXPECT_EQ(jobsOf("m") + jobsOf("other"), 1U);
 }
 
-TEST_F(GatewayTest, PoisonIsRejectedWithItsReasonAndDisturbsNobody) {
+TEST_F(GatewayTest, InvalidMessagesAreRejectedWithAReasonAndOthersStillRun) {
     s.start("gw-1");
     auto none = GatewayFixture::message("m", "1");
     none.body = "no JSON";
@@ -270,7 +272,7 @@
                            "message-id: this queue takes no message without one"}));
 }
 
-TEST_F(GatewayTest, WithoutIdAMessageRunsAsOftenAsItsClassAllows) {
+TEST_F(GatewayTest, MessageWithoutIdRunsAsOftenAsItsQueueAllows) {
     s.settings.queues[checks].withoutId = WithoutId::atMostOnce;
     s.addQueue("south/again", [](QueueSettings& q) {
         q.withoutId = WithoutId::atLeastOnce;
@@ -294,7 +296,7 @@
     EXPECT_EQ(again.dead.size(), 2U);
 }
 
-TEST_F(GatewayTest, RunsOfAForgottenMessageAreForgottenToo) {
+TEST_F(GatewayTest, AttemptsExpireWithTheRetention) {
     s.addQueue("south/again", [](QueueSettings& q) {
         q.withoutId = WithoutId::atLeastOnce;
         q.attempts = 1;
@@ -310,12 +312,11 @@
     ASSERT_TRUE(s.until([&] { return again.dead.size() == 1; }));
     s.world.run(20s);
     s.broker.publish("work/south/again", m);
-    ASSERT_TRUE(s.until([&] { return again.accepted == 2; }))
-        << "its attempts were counted to the end";
+    ASSERT_TRUE(s.until([&] { return again.accepted == 2; })) << "the attempts did not expire";
 }
 
-TEST_F(GatewayTest, ADrainEndsWhatIsUnderWayAndAnotherTakesWhatArrives) {
-    s.settings.state.stateWriteRps = 20;  // custody takes a while
+TEST_F(GatewayTest, DrainFinishesMessagesInProgressAndAnotherInstanceTakesNewOnes) {
+    s.settings.state.stateWriteRps = 20;  // makes acceptance slow
     auto& one = s.start("gw-1");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) == &one; }));
     for (int i = 0; i < 40; ++i)
@@ -334,10 +335,10 @@
         EXPECT_EQ(jobsOf("a" + std::to_string(i)), 1U) << i;
         EXPECT_EQ(jobsOf("b" + std::to_string(i)), 1U) << i;
     }
-    EXPECT_FALSE(s.state.keys.contains("gw/own/member/gw-1")) << "it left no record behind";
+    EXPECT_FALSE(s.state.keys.contains("gw/own/member/gw-1")) << "its membership record remains";
 }
 
-TEST_F(GatewayTest, ADuplicateAfterItsEntryWasForgottenIsANewMessage) {
+TEST_F(GatewayTest, DuplicateAfterTheRetentionIsANewMessage) {
     s.settings.queues[checks].retain = 10s;
     s.start("gw-1");
     s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
@@ -353,24 +354,24 @@
     }
     s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
     ASSERT_TRUE(taken(3));
-    EXPECT_EQ(jobsOf("m"), 2U) << "the retention is the promise, and it is over";
+    EXPECT_EQ(jobsOf("m"), 2U) << "the retention has expired";
 }
 
-TEST_F(GatewayTest, AQueueThatWasGivenAwayDoesNotComeBackByAnOldListing) {
+TEST_F(GatewayTest, StaleListingDoesNotReturnAQueueThatWasHandedOver) {
     auto& one = s.start("gw-1");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) == &one; }));
-    // What is under way holds up the handover, so that it ends at any moment between listings.
+    // A message in progress delays the handover, so that it may end at any time between listings.
     s.jobs.fault = [&](const http::Request& r) {
         const bool first = r.method == "POST" && s.jobs.jobs.empty();
         return first ? JobService::Fault::mute : JobService::Fault::none;
     };
     s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
     ASSERT_TRUE(s.until([&] { return !s.jobs.jobs.empty(); }));
-    // Listings are under way all the time, each as old as its answer is late.
+    // Listings run all the time and are stale by the delay of their response.
     using Fault = basaltchute::testing::StateService::Fault;
     s.state.fault = [&](const http::Request& r) {
         if (r.target.starts_with("/watch?under=gw/own/")) {
-            // Something has changed whenever it is asked.
+            // Each watch request reports a change.
             const auto after = std::stoull(simulator::param(r.target, "after"));
             s.state.changeElsewhere(1);
             s.state.keys["gw/own/noise"] = {"{}", after + 1, 0};
@@ -392,7 +393,7 @@
     EXPECT_EQ(two.counters().queuesGained, 1U);
 }
 
-TEST_F(GatewayTest, AJobIsAskedForOnceAtATimeHoweverOftenItsMessageComes) {
+TEST_F(GatewayTest, JobIsPolledOncePerIntervalDespiteDuplicateMessages) {
     s.jobs.runTime = [] { return 1h; };
     s.start("gw-1");
     int polls = 0;
@@ -402,8 +403,8 @@
         ++polls;
         return silent ? JobService::Fault::refused : JobService::Fault::none;
     };
-    // Its acceptance is not on record when the instance dies; the next one follows the entry, and
-    // then the message comes again.
+    // The instance is killed before the acceptance is recorded. The next instance polls the job of
+    // the journal entry, and then the message is delivered again.
     s.state.fault = [](const http::Request& r) {
         using Fault = basaltchute::testing::StateService::Fault;
         const bool note = r.body.find("\"accepted\"") != std::string::npos;
@@ -427,7 +428,7 @@
     EXPECT_GE(polls, 9);
 }
 
-TEST_F(GatewayTest, MessagesWithoutCustodyFitTheMemoryThatIsSetAside) {
+TEST_F(GatewayTest, UnacceptedMessagesStayWithinTheMemoryLimit) {
     s.settings.limits.memoryBytes = 4 * s.settings.limits.messageBytes;
     s.start("gw-1");
     s.jobs.fault = [](const http::Request&) { return JobService::Fault::refused; };
@@ -442,7 +443,7 @@
     ASSERT_TRUE(taken(50));
 }
 
-TEST_F(GatewayTest, TheCommandLineIsAnsweredAndSentToTheInstanceThatHoldsTheQueue) {
+TEST_F(GatewayTest, AdminRequestsAreAnsweredOrRedirectedToTheHolder) {
     auto& one = s.start("gw-1");
     auto& two = s.start("gw-2");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) && one.members().all().size() == 2; }));
@@ -480,7 +481,7 @@
     EXPECT_TRUE(s.until([&] { return holder.ended(); }, 60s));
 }
 
-TEST_F(GatewayTest, RepliesKeepTheirOrderAndOneThatIsReleasedComesAgain) {
+TEST_F(GatewayTest, RepliesKeepTheirOrderAndReleasedOnesAreSentAgain) {
     auto& g = s.start("gw-1");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
     auto c = client(g);
@@ -491,7 +492,7 @@
             std::to_string(i)));
     ASSERT_TRUE(s.until([&] { return c->decisions.size() == 30; }));
     s.world.run(5s);
-    // Nobody reads yet; whoever comes gets them in the order in which they became final.
+    // No client reads yet; the first reader gets the replies in the order in which jobs finished.
     c->mute = true;
     c->readFrom(answers, 4);
     ASSERT_TRUE(s.until([&] { return c->replies.size() == 4; }));
@@ -507,7 +508,7 @@
     EXPECT_EQ(d->replies.size(), 30U);
 }
 
-TEST_F(GatewayTest, AClientOfAnotherInstancesQueueIsSentThere) {
+TEST_F(GatewayTest, ClientIsRedirectedToTheInstanceThatHoldsTheQueue) {
     s.settings.advertise = "127.0.0.1:1";
     auto& one = s.start("gw-1");
     s.start("gw-2");
@@ -527,9 +528,9 @@
     EXPECT_EQ(wrong->ends["queue/nobody/nothing"].name, "amqp:not-found");
 }
 
-TEST_F(GatewayTest, AFloodOnOneTeamsQueueDelaysNoOtherTeams) {
+TEST_F(GatewayTest, ManyMessagesOfOneTeamDoNotDelayOtherTeams) {
     s.addQueue("south/split");
-    s.settings.limits.underWay = 16;
+    s.settings.limits.maxMessagesInProgress = 16;
     s.start("gw-1");
     ASSERT_TRUE(s.until([&] { return s.holder("south/split") != nullptr; }));
     for (int i = 0; i < 3000; ++i)
@@ -543,7 +544,7 @@
     EXPECT_LT(s.jobs.jobs.size(), 2900U) << "the flood was still under way";
 }
 
-TEST_F(GatewayTest, JobsBeyondWhatAQueueMayHaveUnfinishedWaitAtTheBroker) {
+TEST_F(GatewayTest, MessagesBeyondTheUnfinishedJobLimitWaitAtTheBroker) {
     s.settings.queues[checks].unfinished = 10;
     s.jobs.runTime = [] { return 8s; };
     s.start("gw-1");
@@ -553,10 +554,10 @@
     s.world.run(6s);
     EXPECT_EQ(s.jobs.jobs.size(), 10U);
     EXPECT_EQ(queue().waiting.size(), 40U);
-    ASSERT_TRUE(taken(50)) << "and come as others end";
+    ASSERT_TRUE(taken(50)) << "waiting messages run as jobs finish";
 }
 
-TEST_F(GatewayTest, BytesThatAreNoAmqpDisturbNobody) {
+TEST_F(GatewayTest, ConnectionThatIsNotAmqpDoesNotAffectOthers) {
     auto& g = s.start("gw-1");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
     auto good = client(g);
--- a/src/gateway/app/main.cpp
+++ b/src/gateway/app/main.cpp
@@ -75,10 +75,10 @@
 
 }  // namespace
 
-// CLI11 throws while options are defined, which every start shows.
+// CLI11 throws only while options are defined; a mistake there fails every start.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
-    CLI::App cli{"basaltchute-gateway: takes work from AMQP queues into basaltchute."};
+    CLI::App cli{"basaltchute-gateway: runs messages from AMQP queues as basaltchute jobs."};
     std::string config, check;
     cli.add_option("--config", config,
                    "Run with these settings (JSON, by deploy/gateway.schema.json)")
@@ -94,21 +94,22 @@
         sub->add_option("--admin", adminCommand.admin, "Address of a running instance")
             ->type_name("ADDRESS")
             ->capture_default_str();
-        sub->add_flag("--json", adminCommand.json, "For programs");
+        sub->add_flag("--json", adminCommand.json, "Print the response as JSON");
         sub->callback([&adminCommand, what] { adminCommand.what = what; });
         return sub;
     };
-    command("queues", "Every queue: who holds it and how far its messages are", Action::queues);
-    auto* ledger = command("ledger", "A queue's ledger, the newest lines", Action::ledger);
+    command("queues", "Show each queue: its holder and its messages by stage", Action::queues);
+    auto* ledger = command("ledger", "Show the newest entries of a queue's ledger", Action::ledger);
     ledger->add_option("queue", adminCommand.queue, "<team>/<class>")->required();
-    ledger->add_option("--key", adminCommand.key, "Only this message");
-    ledger->add_option("--stage", adminCommand.stage, "Only this stage");
-    ledger->add_option("--limit", adminCommand.limit, "Lines, at most 1000");
-    command("drain", "Give the instance's queues to others and end it", Action::drain);
+    ledger->add_option("--key", adminCommand.key, "Only the message with this key");
+    ledger->add_option("--stage", adminCommand.stage, "Only messages in this stage");
+    ledger->add_option("--limit", adminCommand.limit, "Number of entries, at most 1000");
+    command("drain", "Hand the queues to other instances and stop", Action::drain);
     auto* replay =
-        command("replay", "Send a result again, or take a refused message again", Action::replay);
+        command("replay", "Send a result again, or allow a refused message again", Action::replay);
     replay->add_option("queue", adminCommand.queue, "<team>/<class>")->required();
-    replay->add_option("key", adminCommand.key, "As the ledger shows it")->required();
+    replay->add_option("key", adminCommand.key, "Key of the message as shown in the ledger")
+        ->required();
     cli.require_subcommand(0, 1);
     CLI11_PARSE(cli, argc, argv);
 
--- a/src/gateway/settings/settings.cpp
+++ b/src/gateway/settings/settings.cpp
@@ -175,7 +175,7 @@
             l.messageBytes = static_cast<std::size_t>(*kb * 1024);
         if (const auto mb = json::number(*v, "memoryMb"))
             l.memoryBytes = static_cast<std::size_t>(*mb * 1024 * 1024);
-        l.underWay = json::count(*v, "underWay").value_or(l.underWay);
+        l.maxMessagesInProgress = json::count(*v, "underWay").value_or(l.maxMessagesInProgress);
         l.pollsPerSecond = json::number(*v, "pollsPerSecond").value_or(l.pollsPerSecond);
         l.poll = seconds(*v, "pollSeconds", l.poll);
         l.timeout = seconds(*v, "patienceSeconds", l.timeout);
--- a/src/gateway/settings/settings.h
+++ b/src/gateway/settings/settings.h
@@ -25,8 +25,9 @@
     std::string job;          // JSON object: defaults for job fields that a message leaves out
     std::string keyProperty;  // property that identifies a message; empty: its message-id
     WithoutId withoutId = WithoutId::reject;
-    std::uint32_t attempts = 3;
-    std::size_t unfinished = 1000;
+    std::uint32_t attempts = 3;     // runs of a redelivered message without id
+    std::size_t unfinished = 1000;  // jobs of this queue that may be unfinished at a time
+    /// How long the key of a message is remembered after its job has ended.
     std::chrono::milliseconds retain = std::chrono::hours(24);
 };
 
@@ -49,13 +50,16 @@
     std::size_t connections = 500, links = 256;
     int credit = 64;
     std::size_t messageBytes = std::size_t{60} * 1024, memoryBytes = std::size_t{64} << 20U;
-    std::size_t underWay = 256;
+    std::size_t maxMessagesInProgress = 256;
     double pollsPerSecond = 50;
+    /// `poll`: interval between status requests for a job. `timeout`: how long a submission is
+    /// tried before its message is released. `age`: age of the oldest message without a disposition
+    /// above which link credit shrinks.
     Duration poll = std::chrono::seconds(3), timeout = std::chrono::seconds(20),
              age = std::chrono::seconds(2);
 };
 
-/// All settings of one gateway instance.
+/// All settings of one gateway instance. `advertise` is the address that clients are redirected to.
 struct Settings {
     std::string instance, listen, advertise, admin;
     std::vector<std::string> controllers;
@@ -63,6 +67,7 @@
     /// For the state client: the address and this instance's share of the request limits.
     settings::Settings state;
     Duration leaseTtl = std::chrono::seconds(8);
+    /// Job refs are `<refWord>-<number>`, numbers from `refsFrom` up to `refsTo`.
     std::string refWord = "run";
     std::uint64_t refsFrom = 0, refsTo = 0;
     Networks networks;
@@ -79,6 +84,7 @@
 using ReadFile = std::optional<std::string> (*)(const std::string& path);
 std::variant<Settings, settings::Error> parse(const std::string& text,
                                               ReadFile readFile = settings::readFile);
+/// Reads and parses the settings file.
 std::variant<Settings, settings::Error> load(const std::string& path);
 
 }  // namespace basaltchute::gateway
--- a/src/gateway/settings/settings_test.cpp
+++ b/src/gateway/settings/settings_test.cpp
@@ -26,7 +26,7 @@
     return std::holds_alternative<settings::Error>(s) ? std::get<settings::Error>(s) : "";
 }
 
-TEST(GatewaySettings, TheExampleOfTheOperatorsIsGoodAndMeansWhatItSays) {
+TEST(GatewaySettings, ParsesTheExampleSettingsFile) {
     const auto example = settings::readFile(GATEWAY_EXAMPLE);
     ASSERT_TRUE(example);
     const auto s = parse(*example, secrets);
@@ -39,7 +39,7 @@
     EXPECT_FALSE(read.networks.contains("192.0.3.1"));
 }
 
-TEST(GatewaySettings, EachErrorNamesTheFieldAndWhatWasExpected) {
+TEST(GatewaySettings, ErrorsNameTheFieldAndTheExpectedValue) {
     EXPECT_EQ(error(text()), "");
     EXPECT_EQ(error("{"), "not JSON");
     EXPECT_EQ(error(text("", "", R"(,"share":0.07)")),
--- a/src/gateway/settings/wire_format_test.cpp
+++ b/src/gateway/settings/wire_format_test.cpp
@@ -104,7 +104,7 @@
     EXPECT_EQ(s.limits.credit, 13);
     EXPECT_EQ(s.limits.messageBytes, std::size_t{14} * 1024);
     EXPECT_EQ(s.limits.memoryBytes, std::size_t{15} * 1024 * 1024);
-    EXPECT_EQ(s.limits.underWay, 16U);
+    EXPECT_EQ(s.limits.maxMessagesInProgress, 16U);
     EXPECT_EQ(s.limits.pollsPerSecond, 17);
     EXPECT_EQ(s.limits.poll, Duration(18s));
     EXPECT_EQ(s.limits.timeout, Duration(19s));
--- a/src/gateway/testing/broker.cpp
+++ b/src/gateway/testing/broker.cpp
@@ -29,8 +29,9 @@
     void messageReceived(amqp::Connection& c, amqp::LinkId id, amqp::DeliveryId delivery,
                          amqp::Message message, std::string) override {
         const std::string& to = targets_[id];
-        const auto d = broker_.judge ? broker_.judge(to)
-                                     : amqp::Disposition{amqp::Outcome::accepted, {}, false};
+        const auto d = broker_.dispositionFor
+                           ? broker_.dispositionFor(to)
+                           : amqp::Disposition{amqp::Outcome::accepted, {}, false};
         if (d.outcome == amqp::Outcome::accepted) {
             if (broker_.queues.contains(to))
                 broker_.publish(to, std::move(message));
@@ -68,7 +69,7 @@
         targets_.clear();
         giveBack([](const Unsettled&) { return true; });
     }
-    /// Sends what waits, as far as there is credit.
+    /// Sends waiting messages while there is link credit.
     void feed(const std::string& queue) {
         auto& q = broker_.queues[queue];
         for (const auto& [id, source] : sources_) {
@@ -95,7 +96,7 @@
     template <typename Which>
     void giveBack(const Which& which) {
         std::set<std::string> touched;
-        // The newest first, so that the oldest ends up in front.
+        // Requeues the newest first, so that the oldest ends up at the front.
         for (auto it = unsettled_.end(); it != unsettled_.begin();) {
             --it;
             if (!which(it->second)) continue;
@@ -181,7 +182,7 @@
 http::Response JobService::serve(const http::Request& r) {
     const std::string path = "/v1/jobs";
     json::Writer out;
-    if (r.target == "/jobs") {  // for whoever checks: how many jobs each message became
+    if (r.target == "/jobs") {  // for test scripts: the number of jobs per message marker
         out.open();
         for (const auto& [marker, refs] : refsOf)
             out.field(marker, static_cast<std::uint64_t>(refs.size()));
--- a/src/gateway/testing/broker.h
+++ b/src/gateway/testing/broker.h
@@ -24,10 +24,13 @@
     Broker(const Broker&) = delete;
     Broker& operator=(const Broker&) = delete;
     [[nodiscard]] std::string address() const { return listener_.address(); }
+    /// Adds a message to a queue and delivers it as soon as a receiver has credit.
     void publish(const std::string& queue, amqp::Message message);
+    /// Drops all connections without an AMQP close.
     void cutAll();
     [[nodiscard]] std::size_t connections() const { return sessions_.size(); }
 
+    /// A queue and what became of its messages.
     struct Queue {
         std::deque<amqp::Message> waiting;
         std::size_t unsettled = 0, accepted = 0;
@@ -37,7 +40,7 @@
     std::map<std::string, std::vector<amqp::Message>> received;  // by address, in order
     bool refusing = false;                                       // closes new connections at once
     /// The disposition of a message sent to an address; messages are accepted if this is not set.
-    std::function<amqp::Disposition(const std::string& address)> judge;
+    std::function<amqp::Disposition(const std::string& address)> dispositionFor;
 
   private:
     class Session;
@@ -59,6 +62,7 @@
     /// Serves the same jobs at one more address, like a second controller.
     void alsoAt(const std::string& address);
 
+    /// A job that was submitted at least once.
     struct Job {
         std::string marker, body;
         TimePoint ends{};
@@ -66,7 +70,12 @@
     };
     std::map<std::string, Job> jobs;                      // by ref
     std::map<std::string, std::set<std::string>> refsOf;  // by marker
-    enum class Fault { none, refused, mute, lost };       // mute: executed without an answer
+    enum class Fault {
+        none,
+        refused,
+        mute,
+        lost
+    };  // mute: executed, not answered; lost: not executed, not answered
     std::function<Fault(const http::Request&)> fault;
     std::function<Duration()> runTime = [] { return std::chrono::seconds(1); };
     std::set<std::string> impossible;  // markers of jobs that are answered with 422
--- a/src/gateway/testing/fault_test.cpp
+++ b/src/gateway/testing/fault_test.cpp
@@ -23,7 +23,7 @@
         fixture_.jobs.runTime = [this] { return fromSeconds(0.2 + 4 * share()); };
         fixture_.jobs.fault = [this](const http::Request& r) { return jobFault(r); };
         fixture_.state.fault = [this](const http::Request& r) { return stateFault(r); };
-        fixture_.broker.judge = [this](const std::string&) {
+        fixture_.broker.dispositionFor = [this](const std::string&) {
             if (!faultsEnabled_ || share() > 0.02)
                 return amqp::Disposition{amqp::Outcome::accepted, {}, false};
             ++out_.faults["replies released by the receiver"];
@@ -119,7 +119,7 @@
         auto& f = out_.faults;
         if (x < 0.25) {
             fixture_.broker.cutAll();
-            ++f["cuts of all broker connections"];
+            ++f["all broker connections cut"];
         } else if (x < 0.32) {
             const std::string victim = "gw-" + std::to_string(1 + random_() % 2);
             if (fixture_.instances.contains(victim)) {
@@ -138,7 +138,7 @@
             for (const auto& [key, entry] : fixture_.state.keys)
                 if (key.starts_with("gw/own/member/") && entry.grant != 0) {
                     fixture_.state.endGrantOf(std::string(key));
-                    ++f["grants ended under a live owner"];
+                    ++f["leases expired under a running owner"];
                     break;
                 }
         } else if (x < 0.45) {
@@ -192,35 +192,37 @@
     }
 
     void check() {
-        const auto wrong = [&](const std::string& what) { out_.wrong.push_back(what); };
+        const auto addViolation = [&](const std::string& what) { out_.violations.push_back(what); };
         for (const auto& [name, q] : fixture_.broker.queues) {
             if (!q.waiting.empty() || q.unsettled > 0)
-                wrong(name + " still holds " + std::to_string(q.waiting.size() + q.unsettled));
+                addViolation(name + " still holds " +
+                             std::to_string(q.waiting.size() + q.unsettled));
             out_.deadLetters += q.dead.size();
             for (const auto& [m, why] : q.dead)
                 if (!invalidMessages_.contains(m.id.bytes))
-                    wrong(m.id.bytes + " is a dead letter: " + why.description);
+                    addViolation(m.id.bytes + " is a dead letter: " + why.description);
         }
         for (const auto& [marker, replyTo] : validMessages_) {
             const auto it = fixture_.jobs.refsOf.find(marker);
             const std::size_t n = it == fixture_.jobs.refsOf.end() ? 0 : it->second.size();
-            if (n != 1) wrong(marker + " became " + std::to_string(n) + " jobs");
+            if (n != 1) addViolation(marker + " became " + std::to_string(n) + " jobs");
         }
         for (const auto& marker : invalidMessages_)
-            if (fixture_.jobs.refsOf.contains(marker)) wrong(marker + " should have become no job");
+            if (fixture_.jobs.refsOf.contains(marker))
+                addViolation(marker + " should have become no job");
         out_.jobs = fixture_.jobs.jobs.size();
         for (const auto& [address, messages] : fixture_.broker.received) {
             std::map<std::string, std::uint64_t> last;  // by queue
             std::set<std::string> seen;
             for (const auto& m : messages) {
                 if (!seen.insert(m.id.bytes).second) {
-                    ++out_.repliesTwice;
+                    ++out_.duplicateReplies;
                     continue;
                 }
                 ++out_.replies;
                 const auto number = std::stoull(m.properties.at("result-number"));
                 auto& before = last[m.properties.at("queue")];
-                if (number < before) ++out_.releasedThenLater;
+                if (number < before) ++out_.outOfOrderReplies;
                 before = std::max<std::uint64_t>(before, number);
             }
         }
@@ -231,20 +233,21 @@
                 if (ids.insert(m.id.bytes).second) ++replies[m.correlation.bytes];
                 if (!validMessages_.contains(m.correlation.bytes) ||
                     validMessages_[m.correlation.bytes] != address)
-                    wrong("a reply for " + m.correlation.bytes + " at " + address);
+                    addViolation("a reply for " + m.correlation.bytes + " at " + address);
             }
         }
         for (const auto& [marker, replyTo] : validMessages_) {
             const int expected = replyTo.empty() ? 0 : 1;
             if (replies[marker] != expected)
-                wrong(marker + " has " + std::to_string(replies[marker]) + " replies");
+                addViolation(marker + " has " + std::to_string(replies[marker]) + " replies");
         }
-        if (out_.releasedThenLater > 0 && !out_.faults.contains("replies released by the receiver"))
-            wrong("results out of order");
+        if (out_.outOfOrderReplies > 0 && !out_.faults.contains("replies released by the receiver"))
+            addViolation("results out of order");
         for (const auto& [name, g] : fixture_.instances)
             for (const auto& q : queueNames)
                 if (const auto t = g->queueOwner(q); t && !t->journal().findInconsistency().empty())
-                    wrong(name + ": ledger of " + q + ": " + t->journal().findInconsistency());
+                    addViolation(name + ": ledger of " + q + ": " +
+                                 t->journal().findInconsistency());
     }
 
     GatewayFixture fixture_;
--- a/src/gateway/testing/fault_test.h
+++ b/src/gateway/testing/fault_test.h
@@ -10,11 +10,13 @@
 using Faults = std::map<std::string, std::uint64_t>;
 
 struct FaultTestResult {
-    std::vector<std::string> wrong;  // empty: every message's job ended once, every reply came once
+    std::vector<std::string>
+        violations;  // empty: every message's job ended once, every reply came once
     Faults faults;
     std::uint64_t messages = 0, duplicatesSent = 0, jobs = 0, deadLetters = 0;
-    std::uint64_t replies = 0, repliesTwice = 0;  // what a receiver without deduplication saw twice
-    std::uint64_t releasedThenLater = 0;          // order broken by a receiver that gave one back
+    std::uint64_t replies = 0,
+                  duplicateReplies = 0;   // what a receiver without deduplication saw twice
+    std::uint64_t outOfOrderReplies = 0;  // out of order after a receiver released one
 };
 
 /// `messages` messages through two gateway instances, while connections are cut, instances are
--- a/src/gateway/testing/fault_test_test.cpp
+++ b/src/gateway/testing/fault_test_test.cpp
@@ -14,8 +14,9 @@
     return text == nullptr ? otherwise : std::stoull(text);
 }
 
-/// A few seeds in CI; STORM_SEEDS, STORM_FIRST and STORM_MESSAGES make it longer.
-TEST(Storm, EveryMessagesJobEndsOnceAndItsResultIsToldOnce) {
+/// Runs four seeds by default; STORM_SEEDS, STORM_FIRST and STORM_MESSAGES change the number of
+/// seeds, the first seed and the number of messages. STORM_LOG enables debug logs.
+TEST(GatewayFaults, EachMessageRunsOneJobAndGetsOneReply) {
     const auto level = spdlog::get_level();
     spdlog::set_level(std::getenv("STORM_LOG") != nullptr ? spdlog::level::debug
                                                           : spdlog::level::off);
@@ -24,25 +25,25 @@
     FaultTestResult sum;
     for (auto seed = first; seed < first + seeds; ++seed) {
         const FaultTestResult r = runFaultTest(seed, messages);
-        for (const auto& w : r.wrong) ADD_FAILURE() << "seed " << seed << ": " << w;
+        for (const auto& w : r.violations) ADD_FAILURE() << "seed " << seed << ": " << w;
         for (const auto& [name, n] : r.faults) sum.faults[name] += n;
         sum.messages += r.messages;
         sum.duplicatesSent += r.duplicatesSent;
         sum.jobs += r.jobs;
         sum.deadLetters += r.deadLetters;
         sum.replies += r.replies;
-        sum.repliesTwice += r.repliesTwice;
-        sum.releasedThenLater += r.releasedThenLater;
+        sum.duplicateReplies += r.duplicateReplies;
+        sum.outOfOrderReplies += r.outOfOrderReplies;
     }
     spdlog::set_level(level);
     std::cout << "seeds " << first << " to " << first + seeds - 1 << ": messages " << sum.messages
               << ", sent twice by clients " << sum.duplicatesSent << ", jobs " << sum.jobs
               << ", dead letters " << sum.deadLetters << ", replies " << sum.replies
-              << ", seen twice without deduplication " << sum.repliesTwice
-              << ", overtaken after the receiver gave one back " << sum.releasedThenLater << '\n';
+              << ", seen twice without deduplication " << sum.duplicateReplies
+              << ", out of order after the receiver released one " << sum.outOfOrderReplies << '\n';
     for (const auto& [name, n] : sum.faults) std::cout << "  " << name << ": " << n << '\n';
     for (const char* fault :
-         {"cuts of all broker connections", "instances killed", "grants ended under a live owner"})
+         {"all broker connections cut", "instances killed", "leases expired under a running owner"})
         EXPECT_GT(sum.faults[fault], 0U) << fault;
 }
 
--- a/tools/gateway_load.cpp
+++ b/tools/gateway_load.cpp
@@ -1,6 +1,6 @@
-// Measures the AMQP gateway as real processes on loopback, against stand-ins of the state service
-// and the controllers in this process. `serve` only runs the stand-ins, for tools/gateway_real.py.
-// The figures are of one machine; docs/amqp.md says what limits each.
+// Measures the AMQP gateway as real processes on loopback, against fakes of the state service
+// and the controllers in this process. `serve` only runs the fakes, for tools/gateway_real.py.
+// The results depend on the machine; docs/amqp.md explains what limits each.
 #include <spawn.h>
 #include <spdlog/spdlog.h>
 #include <sys/wait.h>
@@ -26,7 +26,7 @@
 using gateway::testing::JobService;
 namespace bh = boost::histogram;
 
-struct Setting {
+struct LoadOptions {
     std::string program, directory;
     unsigned queues = 1, instances = 2, clients = 1;
     double writesPerSecond = 2.5, seconds = 10;
@@ -37,10 +37,11 @@
     return "team" + std::to_string(i % 8) + "/q" + std::to_string(i);
 }
 
-/// One gateway as a process of its own.
+/// One gateway process.
 class Instance {
   public:
-    Instance(const Setting& s, unsigned number, const std::string& state, const std::string& jobs)
+    Instance(const LoadOptions& s, unsigned number, const std::string& state,
+             const std::string& jobs)
         : address_(testing::freeAddress()) {
         const std::string path = s.directory + "/gw-" + std::to_string(number) + ".json";
         json::Writer o;
@@ -78,8 +79,8 @@
         pid_ = 0;
     }
     [[nodiscard]] const std::string& address() const { return address_; }
-    /// Whether it still runs: a figure of fewer instances than asked for would mislead.
-    [[nodiscard]] bool lives() const { return waitpid(pid_, nullptr, WNOHANG) == 0; }
+    /// Whether the process still runs. Results with fewer instances than requested would be wrong.
+    [[nodiscard]] bool isRunning() const { return waitpid(pid_, nullptr, WNOHANG) == 0; }
     /// Resident memory in KiB.
     [[nodiscard]] long memory() const {
         std::ifstream in("/proc/" + std::to_string(pid_) + "/statm");
@@ -93,7 +94,8 @@
     pid_t pid_ = 0;
 };
 
-/// Sends to one queue, a window of messages at a time, wherever the queue is served.
+/// Sends to one queue through whichever instance serves it, with at most `window` messages that
+/// have no disposition yet.
 class Sender {
   public:
     Sender(EventLoop& loop, std::string queue, unsigned window, std::string address)
@@ -106,7 +108,7 @@
     TimePoint lastDone{};
     bool sending = true;
 
-    /// Called often: follows redirections, opens again what has ended, fills the window.
+    /// Called repeatedly: follows redirects, reconnects, and sends until the window is full.
     void step(const std::vector<std::string>& addresses) {
         if (!client_ || client_->over) {
             if (client_) to_ = addresses[++tries_ % addresses.size()];
@@ -181,7 +183,7 @@
 };
 
 struct Bench {
-    explicit Bench(const Setting& s) : setting(s), state(loop, scope), jobs(loop, scope) {
+    explicit Bench(const LoadOptions& s) : setting(s), state(loop, scope), jobs(loop, scope) {
         jobs.runTime = [] { return 2s; };
         for (unsigned i = 0; i < s.instances; ++i) {
             instances.push_back(std::make_unique<Instance>(s, i, state.address(), jobs.address()));
@@ -189,9 +191,9 @@
         }
         runFor(4s);
         for (const auto& i : instances)
-            if (!i->lives()) throw std::runtime_error("an instance has not started");
+            if (!i->isRunning()) throw std::runtime_error("an instance has not started");
     }
-    const Setting& setting;
+    const LoadOptions& setting;
     SystemClock clock;
     EventLoop loop{clock};
     Scope scope{loop};
@@ -232,7 +234,7 @@
     }
 };
 
-void throughput(const Setting& s) {
+void throughput(const LoadOptions& s) {
     Bench b(s);
     b.startSenders();
     b.runFor(3s);
@@ -252,7 +254,7 @@
         b.done());
 }
 
-void idleLinks(Setting s) {
+void idleLinks(LoadOptions s) {
     s.instances = 1;
     Bench b(s);
     const long before = b.instances[0]->memory();
@@ -266,7 +268,7 @@
                              static_cast<double>(b.instances[0]->memory() - before) / links);
 }
 
-void takeover(const Setting& s) {
+void takeover(const LoadOptions& s) {
     Bench b(s);
     b.startSenders();
     b.runFor(5s);
@@ -290,7 +292,7 @@
         s.instances, gaps.back(), gaps[gaps.size() / 2]);
 }
 
-/// The stand-ins alone, with a list of jobs for whoever checks.
+/// Runs only the fakes; GET /jobs lists the jobs for test scripts.
 void serve(const std::string& state, const std::vector<std::string>& jobs) {
     const SystemClock clock;
     EventLoop loop(clock);
@@ -306,14 +308,15 @@
 
 // NOLINTNEXTLINE(bugprone-exception-escape): an exception ends the measurement with its message.
 int main(int argc, char** argv) {
-    CLI::App cli{"Load on basaltchute-gateway: real processes, stand-ins for what they talk to."};
-    Setting s;
+    CLI::App cli{"Load on basaltchute-gateway: real gateway processes against fake services."};
+    LoadOptions s;
     s.program = (std::filesystem::path(argv[0]).parent_path() / "basaltchute-gateway").string();
-    cli.add_option("--gateway", s.program, "The program to be measured")->capture_default_str();
+    cli.add_option("--gateway", s.program, "Gateway program to measure")->capture_default_str();
     cli.add_option("--writes", s.writesPerSecond, "State writes a second of each instance")
         ->capture_default_str();
     cli.add_option("--seconds", s.seconds, "Length of a measurement")->capture_default_str();
-    cli.add_option("--instances", s.instances, "Gateways")->capture_default_str();
+    cli.add_option("--instances", s.instances, "Number of gateway processes")
+        ->capture_default_str();
     cli.add_option("--window", s.window, "Messages of a client without disposition")
         ->capture_default_str();
     auto* load =
@@ -321,15 +324,15 @@
     load->add_option("--queues", s.queues, "Queues, each with a client of its own")
         ->capture_default_str();
     auto* idle = cli.add_subcommand("idle", "Memory of an idle link");
-    auto* over =
-        cli.add_subcommand("takeover", "Time until another instance goes on after kill -9");
-    over->add_option("--queues", s.queues, "Queues, each with a client of its own")
+    auto* takeoverCommand =
+        cli.add_subcommand("takeover", "Time until another instance takes over after kill -9");
+    takeoverCommand->add_option("--queues", s.queues, "Queues, each with a client of its own")
         ->capture_default_str();
-    auto* standIns = cli.add_subcommand("serve", "Only the stand-ins");
+    auto* fakes = cli.add_subcommand("serve", "Run only the fake services");
     std::string state;
     std::vector<std::string> jobs;
-    standIns->add_option("--state", state, "Address of the state service")->required();
-    standIns->add_option("--jobs", jobs, "Addresses of the controllers")->required();
+    fakes->add_option("--state", state, "Address of the state service")->required();
+    fakes->add_option("--jobs", jobs, "Addresses of the controllers")->required();
     cli.require_subcommand(1);
     CLI11_PARSE(cli, argc, argv);
     spdlog::set_level(spdlog::level::off);
@@ -341,8 +344,8 @@
     std::filesystem::create_directories(s.directory);
     if (load->parsed()) throughput(s);
     if (idle->parsed()) idleLinks(s);
-    if (over->parsed()) takeover(s);
-    if (standIns->parsed()) serve(state, jobs);
+    if (takeoverCommand->parsed()) takeover(s);
+    if (fakes->parsed()) serve(state, jobs);
     std::filesystem::remove_all(s.directory);
     return 0;
 }
