--- a/src/gateway/amqp/connection.cpp
+++ b/src/gateway/amqp/connection.cpp
@@ -106,12 +106,11 @@
 }
 
 template <typename T>
-void* tagOf(T id) {
-    // Proton's contexts are pointers; ids travel in them and are never dereferenced.
-    // NOLINTNEXTLINE(performance-no-int-to-ptr)
+void* contextOf(T id) {
+    // Proton's contexts are pointers; they carry ids here and are never dereferenced.
     return reinterpret_cast<void*>(static_cast<std::uintptr_t>(id));
 }
-std::uint64_t idOfTag(void* context) {
+std::uint64_t idOfContext(void* context) {
     return static_cast<std::uint64_t>(reinterpret_cast<std::uintptr_t>(context));
 }
 
@@ -139,10 +138,10 @@
     if (options_.tls) {
         tls_ = std::make_unique<Tls>(options_.tls);
         options_.identity.certificateName = [this] { return tls_->peerName(); };
-        options_.identity.allowPlainWithoutTls = true;  // it is not in the clear
+        options_.identity.allowPlainWithoutTls = true;  // TLS encrypts the password
     }
     if (options_.server) pn_transport_set_server(d.transport);
-    secure(d.transport, options_.identity);
+    configureSasl(d.transport, options_.identity);
     pn_transport_set_max_frame(d.transport, static_cast<std::uint32_t>(options_.limits.frameBytes));
     pn_transport_set_idle_timeout(
         d.transport, static_cast<pn_millis_t>(std::chrono::duration_cast<std::chrono::milliseconds>(
@@ -172,9 +171,9 @@
     return it == links_.end() ? nullptr : it->second;
 }
 LinkId Connection::idOf(pn_link_t* l) {
-    if (const auto known = idOfTag(pn_link_get_context(l)); known != 0) return known;
+    if (const auto known = idOfContext(pn_link_get_context(l)); known != 0) return known;
     const LinkId id = nextLink_++;
-    pn_link_set_context(l, tagOf(id));
+    pn_link_set_context(l, contextOf(id));
     links_[id] = l;
     return id;
 }
@@ -205,7 +204,7 @@
 void Connection::refuse(LinkId id, const Condition& why) {
     pn_link_t* l = link(id);
     if (l == nullptr) return;
-    // Attached without a terminus, then detached with the reason (part 2, 2.6.3).
+    // Attach without a terminus, then detach with the reason (part 2, 2.6.3).
     pn_link_open(l);
     set(pn_link_condition(l), why);
     pn_link_close(l);
@@ -277,8 +276,7 @@
 }
 
 void Connection::dispatch() {
-    // A handler that asks for something only adds events: they are taken by the loop that is
-    // already at work.
+    // Operations of a handler only add events, which the running loop picks up.
     if (dispatching_) return;
     dispatching_ = true;
     while (pn_event_t* event = pn_connection_driver_next_event(&engine_->driver)) handle(event);
@@ -329,7 +327,7 @@
             const LinkId id = idOf(l);
             if ((pn_link_state(l) & PN_LOCAL_CLOSED) == 0) pn_link_close(l);
             handler_.detached(*this, id, why);
-            forgetLink(l);
+            removeLink(l);
             break;
         }
         case PN_LINK_FLOW: {
@@ -347,7 +345,7 @@
     }
 }
 
-void Connection::forgetLink(pn_link_t* l) {
+void Connection::removeLink(pn_link_t* l) {
     const LinkId id = idOf(l);
     links_.erase(id);
     std::erase_if(deliveries_, [&](const auto& d) { return d.second.link == id; });
@@ -375,10 +373,10 @@
 
 void Connection::onIncoming(pn_delivery_t* d) {
     pn_link_t* l = pn_delivery_link(d);
-    auto id = idOfTag(pn_delivery_get_context(d));
+    auto id = idOfContext(pn_delivery_get_context(d));
     if (id == 0) {
         id = nextDelivery_++;
-        pn_delivery_set_context(d, tagOf(id));
+        pn_delivery_set_context(d, contextOf(id));
         deliveries_[id] = {d, idOf(l), {}, false, false};
     }
     const auto it = deliveries_.find(id);
@@ -389,19 +387,20 @@
         pn_delivery_settle(d);
         return;
     }
-    if (in.whole) return;  // the other side settled or changed its mind: our decision stands
+    if (in.complete) return;  // the peer settled or changed its state: our disposition stands
     while (const std::size_t pending = pn_delivery_pending(d)) {
         const std::size_t before = in.bytes.size();
         in.bytes.resize(before + pending);
         const ssize_t n = pn_link_recv(l, in.bytes.data() + before, pending);
         in.bytes.resize(before + static_cast<std::size_t>(std::max<ssize_t>(n, 0)));
         if (n <= 0) break;
-        // What is too large is dropped as it comes: a message of any size costs no more than one.
+        // Bytes of an oversized message are discarded as they arrive, which bounds the memory that
+        // it needs.
         in.tooLarge = in.tooLarge || in.bytes.size() > options_.limits.messageBytes;
         if (in.tooLarge) in.bytes.clear();
     }
     if (pn_delivery_partial(d)) return;
-    in.whole = true;
+    in.complete = true;
     pn_link_advance(l);
     const std::string bytes = std::move(in.bytes);
     const LinkId on = in.link;
@@ -419,14 +418,14 @@
     handler_.messageReceived(*this, on, id, std::move(message), std::move(broken));
 }
 
-bool Connection::feed(std::string& plain) {
+bool Connection::feedEngine(std::string& plain) {
     auto& d = engine_->driver;
     std::string_view rest = plain;
     while (!rest.empty()) {
-        const pn_rwbytes_t room = pn_connection_driver_read_buffer(&d);
-        if (room.size == 0) return false;
-        const std::size_t n = std::min(room.size, rest.size());
-        std::memcpy(room.start, rest.data(), n);
+        const pn_rwbytes_t space = pn_connection_driver_read_buffer(&d);
+        if (space.size == 0) return false;
+        const std::size_t n = std::min(space.size, rest.size());
+        std::memcpy(space.start, rest.data(), n);
         rest.remove_prefix(n);
         pn_connection_driver_read_done(&d, n);
         dispatch();
@@ -434,7 +433,7 @@
     return true;
 }
 
-TimePoint Connection::tick() {
+TimePoint Connection::updateTimer() {
     const auto ms = [](TimePoint t) {
         return std::chrono::duration_cast<std::chrono::milliseconds>(t.time_since_epoch());
     };
@@ -442,30 +441,31 @@
     return next == 0 ? TimePoint::max() : TimePoint(std::chrono::milliseconds(next));
 }
 
-std::string Connection::wire() {
+std::string Connection::takeOutput() {
     auto& d = engine_->driver;
     std::string out;
-    // A frame or two at a time: what the other side does not read stays in the engine.
+    // Take a few frames at a time: what the peer does not read stays in the engine.
     const pn_bytes_t ready = pn_connection_driver_write_buffer(&d);
     if (ready.size > 0) {
         if (tls_)
-            tls_->send({ready.start, ready.size});
+            tls_->encrypt({ready.start, ready.size});
         else
             out.assign(ready.start, ready.size);
         pn_connection_driver_write_done(&d, ready.size);
     }
-    if (tls_) out = tls_->takeWire();
+    if (tls_) out = tls_->takeOutput();
     return out;
 }
 
-Task<void> Connection::write(Scope& scope) {
+Task<void> Connection::writeLoop(Scope& scope) {
     auto& d = engine_->driver;
     while (!closed_ && !scope.cancelled()) {
-        const TimePoint next = tick();
+        const TimePoint next = updateTimer();
         dispatch();
-        const std::string bytes = wire();
+        const std::string bytes = takeOutput();
         if (!bytes.empty()) {
-            // A peer that reads nothing is cut off; until then what waits for it is one buffer.
+            // A peer that does not read is disconnected; until then at most this buffer waits for
+            // it.
             const TimePoint until = loop_.now() + options_.limits.writeTimeout;
             const bool written = co_await socket_->write(bytes, until, scope);
             if (!written) break;
@@ -480,7 +480,7 @@
     writerEnded_.notify();
 }
 
-Task<void> Connection::read(Scope& scope) {
+Task<void> Connection::readLoop(Scope& scope) {
     auto& d = engine_->driver;
     std::string data, plain;
     while (!aborted_ && !pn_connection_driver_read_closed(&d)) {
@@ -488,19 +488,20 @@
         const long n = co_await socket_->read(data, TimePoint::max(), scope);
         if (n <= 0 || aborted_) break;
         plain.clear();
-        const bool whole = !tls_ || tls_->received(data, plain);
-        const bool fed = feed(tls_ ? plain : data);
+        const bool complete = !tls_ || tls_->decrypt(data, plain);
+        const bool fed = feedEngine(tls_ ? plain : data);
         wake_.notify();
-        if (!whole || !fed) break;
+        if (!complete || !fed) break;
     }
     pn_connection_driver_read_close(&d);
 }
 
 Task<void> Connection::run(std::shared_ptr<Connection> self, Scope& scope) {
     self->writing_ = true;
-    scope.spawn([](std::shared_ptr<Connection> c, Scope& s) -> Task<void> { co_await c->write(s); }(
-                                                                self, scope));
-    co_await self->read(scope);
+    scope.spawn([](std::shared_ptr<Connection> c, Scope& s) -> Task<void> {
+        co_await c->writeLoop(s);
+    }(self, scope));
+    co_await self->readLoop(scope);
     self->dispatch();
     self->wake_.notify();
     while (self->writing_ && !scope.cancelled())
--- a/src/gateway/amqp/connection_test.cpp
+++ b/src/gateway/amqp/connection_test.cpp
@@ -19,7 +19,7 @@
 using basaltchute::testing::World;
 using gateway::testing::Client;
 
-/// Takes every link and keeps what comes.
+/// Accepts every link and records the messages.
 struct Acceptor final : Handler {
     void attached(Connection& c, LinkId id, const Attach& a) override {
         c.confirm(id);
@@ -43,7 +43,7 @@
     Condition ending;
 };
 
-/// One server's side of a connection, for tests of the wire itself.
+/// Server side of one connection.
 struct Server {
     explicit Server(World& w) : world(w), listener(w.loop, "127.0.0.1:0") {}
     World& world;
@@ -60,15 +60,15 @@
     }
 };
 
-struct Ended {
-    explicit Ended(World& ended) : world(ended) {}
-    Ended(const Ended&) = delete;
-    Ended& operator=(const Ended&) = delete;
+struct WorldGuard {
+    explicit WorldGuard(World& ended) : world(ended) {}
+    WorldGuard(const WorldGuard&) = delete;
+    WorldGuard& operator=(const WorldGuard&) = delete;
     World& world;
-    ~Ended() { world.end(world.scope); }
+    ~WorldGuard() { world.end(world.scope); }
 };
 
-TEST(AmqpMessage, KeepsTheTypesOfItsIdsAndSaysWhatIsWrong) {
+TEST(AmqpMessage, PreservesIdTypesAndReportsInvalidInput) {
     for (const Id& id :
          {Id{Id::Kind::text, "a b"}, Id{Id::Kind::number, "18446744073709551615"},
           Id{Id::Kind::uuid, "0123456789abcdef"}, Id{Id::Kind::binary, std::string("\0\xff", 2)}}) {
@@ -91,10 +91,10 @@
     EXPECT_EQ(Id::fromText("b:0x"), std::nullopt);
 }
 
-TEST(AmqpConnection, WhatIsTooLargeIsDroppedAsItComesAndReported) {
+TEST(AmqpConnection, OversizedMessageIsDiscardedAndReported) {
     World world;
     Server server(world);
-    const Ended ended(world);
+    const WorldGuard ended(world);
     Connection::Options options;
     options.identity.allowAnonymous = true;
     options.limits.messageBytes = 1000;
@@ -118,18 +118,18 @@
     EXPECT_EQ(server.handler.messages[2].body, "fits");
 }
 
-TEST(AmqpConnection, APeerThatReadsNothingIsCutOffAfterAWhile) {
+TEST(AmqpConnection, PeerThatStopsReadingIsDisconnectedAfterWriteTimeout) {
     World world;
     Server server(world);
-    const Ended ended(world);
+    const WorldGuard ended(world);
     Connection::Options options;
     options.identity.allowAnonymous = true;
     options.limits.writeTimeout = 5s;
     options.limits.idleTimeout = 10min;
     world.scope.spawn(server.serve(std::move(options)));
-    // Between the two stands a relay that stops passing on what the server says.
+    // A relay between client and server stops forwarding the server's bytes.
     Listener relay(world.loop, "127.0.0.1:0");
-    bool stuck = false;
+    bool relayBlocked = false;
     const auto pass = [](World& w, Socket& from, Socket& to, const bool* stop) -> Task<void> {
         std::string data;
         while (true) {
@@ -143,23 +143,23 @@
             co_await to.write(data, TimePoint::max(), w.scope);
         }
     };
-    std::unique_ptr<Socket> near, far;
+    std::unique_ptr<Socket> clientSide, serverSide;
     world.scope.spawn([](World& w, Listener& l, std::string address, std::unique_ptr<Socket>& a,
                          std::unique_ptr<Socket>& b) -> Task<void> {
         a = co_await l.accept(w.scope);
         const auto to = parseAddress(address);
         b = co_await Socket::connect(w.loop, *to, TimePoint::max(), w.scope);
-    }(world, relay, server.listener.address(), near, far));
+    }(world, relay, server.listener.address(), clientSide, serverSide));
     Client c(world.loop, relay.address());
     c.start();
-    ASSERT_TRUE(world.until([&] { return near && far; }));
-    world.scope.spawn(pass(world, *near, *far, nullptr));
-    world.scope.spawn(pass(world, *far, *near, &stuck));
+    ASSERT_TRUE(world.until([&] { return clientSide && serverSide; }));
+    world.scope.spawn(pass(world, *clientSide, *serverSide, nullptr));
+    world.scope.spawn(pass(world, *serverSide, *clientSide, &relayBlocked));
     ASSERT_TRUE(world.until([&] { return c.open; }));
     c.readFrom("q", 1000);
     ASSERT_TRUE(world.until(
         [&] { return server.connection && server.connection->credit(server.handler.link) > 0; }));
-    stuck = true;
+    relayBlocked = true;
     const std::string large(std::size_t{1} << 20U, 'x');
     Message m;
     m.body = large;
@@ -170,10 +170,10 @@
     EXPECT_TRUE(world.until([&] { return server.handler.over; }, 10s));
 }
 
-TEST(AmqpConnection, PasswordsAreCheckedAndDoNotTravelInTheClearUnasked) {
+TEST(AmqpConnection, PasswordsAreCheckedAndNotSentInClearByDefault) {
     World world;
     Server server(world);
-    const Ended ended(world);
+    const WorldGuard ended(world);
     const auto attempt = [&](const std::string& password, bool plainInClear) {
         Connection::Options options;
         options.identity.checkPassword = [](const std::string& user, const std::string& given) {
@@ -195,7 +195,7 @@
     EXPECT_EQ(attempt("secret", false), "refused");
 }
 
-/// Certificates made on the spot, by an authority of their own.
+/// Test certificates signed by an authority of their own.
 class Authority {
   public:
     Authority()
@@ -258,10 +258,10 @@
     long serial_ = 0;
 };
 
-TEST(AmqpConnection, TlsProvesBothSidesAndNewCertificatesLeaveOpenLinksAlone) {
+TEST(AmqpConnection, TlsAuthenticatesBothSidesAndReloadKeepsOpenConnections) {
     World world;
     Server server(world);
-    const Ended ended(world);
+    const WorldGuard ended(world);
     Authority authority;
     TlsFiles files = authority.make("broker.example");
     files.required = true;
@@ -288,7 +288,8 @@
     const auto first = server.connection;
     mine.host = "other.example";
     EXPECT_FALSE(connect(mine)->open) << "another host's certificate";
-    // The authority is exchanged: who was let in stays, who comes is asked by the new one.
+    // The authority is replaced: open connections stay, new ones are checked against the new
+    // authority.
     {
         Authority other;
         files = other.make("broker.example");
--- a/src/gateway/amqp/message.cpp
+++ b/src/gateway/amqp/message.cpp
@@ -14,7 +14,7 @@
 struct FreeMessage {
     void operator()(pn_message_t* m) const { pn_message_free(m); }
 };
-using Owned = std::unique_ptr<pn_message_t, FreeMessage>;
+using MessagePtr = std::unique_ptr<pn_message_t, FreeMessage>;
 
 std::string textOf(pn_bytes_t b) {
     return {b.start, b.size};
@@ -61,13 +61,13 @@
     return a;
 }
 
-constexpr std::string_view letters = "-nubt";  // in the order of Id::Kind
+constexpr std::string_view kindLetters = "-nubt";  // in the order of Id::Kind
 constexpr std::string_view hexDigits = "0123456789abcdef";
 
 }  // namespace
 
 std::string Id::toText() const {
-    std::string out{letters[static_cast<std::size_t>(kind)], ':'};
+    std::string out{kindLetters[static_cast<std::size_t>(kind)], ':'};
     if (kind == Kind::text || kind == Kind::number) return out + bytes;
     for (const char c : bytes) {
         const auto b = static_cast<unsigned char>(c);
@@ -79,7 +79,7 @@
 
 std::optional<Id> Id::fromText(std::string_view text) {
     if (text.size() < 2 || text[1] != ':') return std::nullopt;
-    const auto letter = letters.find(text[0]);
+    const auto letter = kindLetters.find(text[0]);
     if (letter == std::string_view::npos) return std::nullopt;
     Id out;
     out.kind = static_cast<Kind>(letter);
@@ -98,7 +98,7 @@
 }
 
 std::optional<std::string> encode(const Message& m) {
-    const Owned out(pn_message());
+    const MessagePtr out(pn_message());
     pn_message_set_durable(out.get(), true);
     pn_message_set_id(out.get(), atomOf(m.id));
     pn_message_set_correlation_id(out.get(), atomOf(m.correlation));
@@ -137,7 +137,7 @@
 }
 
 std::variant<Message, std::string> decode(std::string_view bytes) {
-    const Owned in(pn_message());
+    const MessagePtr in(pn_message());
     if (bytes.empty() || pn_message_decode(in.get(), bytes.data(), bytes.size()) != 0)
         return std::string("not an AMQP message");
     Message m;
--- a/src/gateway/amqp/message.h
+++ b/src/gateway/amqp/message.h
@@ -15,7 +15,7 @@
     std::string bytes;  // of a number: its decimal digits
     bool operator==(const Id&) const = default;
     [[nodiscard]] bool empty() const { return kind == Kind::none; }
-    /// Printable and reversible, for records: a letter for the kind, a colon, the value.
+    /// Printable and reversible form for records: a letter for the kind, a colon, the value.
     [[nodiscard]] std::string toText() const;
     static std::optional<Id> fromText(std::string_view text);
 };
@@ -29,9 +29,9 @@
     std::map<std::string, std::string> properties;  // application properties that are strings
 };
 
-/// The bytes of a bare message with its header, or nothing if it cannot be encoded.
+/// Encodes a bare message with its header; nullopt if it cannot be encoded.
 std::optional<std::string> encode(const Message& message);
-/// The message, or one line that says what is wrong with it.
+/// Decodes a message, or returns an error text.
 std::variant<Message, std::string> decode(std::string_view bytes);
 
 }  // namespace basaltchute::amqp
--- a/src/gateway/amqp/sasl.h
+++ b/src/gateway/amqp/sasl.h
@@ -6,23 +6,24 @@
 
 namespace basaltchute::amqp {
 
-/// Who a connection is, and whom it lets in (SASL, AMQP 1.0 part 5, 5.3). PLAIN by a name and a
-/// password, EXTERNAL by the certificate that TLS has checked, ANONYMOUS where it is allowed.
+/// Credentials of a connecting side and access rules of a listening side (SASL, AMQP 1.0 part
+/// 5, 5.3). Mechanisms: PLAIN with user and password, EXTERNAL with the certificate verified by
+/// TLS, ANONYMOUS where allowed.
 struct Identity {
-    // Of the side that connects.
+    // Connecting side.
     std::string user, password;
-    bool useCertificate = false;  // it shows a certificate
-    // Of the side that listens.
+    bool useCertificate = false;  // authenticate with the TLS certificate
+    // Listening side.
     std::function<bool(const std::string& user, const std::string& password)> checkPassword;
     bool allowAnonymous = false;
-    std::function<std::string()>
-        certificateName;            // the checked certificate's name; "" if there is none
-    std::string authenticatedUser;  // who the other side has proved to be
-    // Of both.
-    bool allowPlainWithoutTls = false;  // passwords may travel as they are: asked for, or under TLS
+    std::function<std::string()> certificateName;  // name in the verified certificate, or empty
+    std::string authenticatedUser;                 // authenticated user of the peer
+    // Both sides.
+    bool allowPlainWithoutTls =
+        false;  // allow passwords without encryption; set for TLS connections
 };
 
-/// Makes `identity`, which must outlive the transport, its SASL layer.
-void secure(pn_transport_t* transport, Identity& identity);
+/// Installs the SASL layer for `identity`, which must outlive the transport.
+void configureSasl(pn_transport_t* transport, Identity& identity);
 
 }  // namespace basaltchute::amqp
--- a/src/gateway/amqp/tls.cpp
+++ b/src/gateway/amqp/tls.cpp
@@ -15,7 +15,8 @@
 struct FreeSession {
     void operator()(SSL* s) const { SSL_free(s); }
 };
-constexpr std::size_t maxWaiting = std::size_t{1} << 20U;  // bytes kept for the handshake's end
+constexpr std::size_t maxWaiting = std::size_t{1}
+                                   << 20U;  // bytes buffered until the handshake is complete
 }  // namespace
 
 class TlsContext {
@@ -87,11 +88,10 @@
 }
 Tls::~Tls() = default;
 
-bool Tls::received(std::string_view wire, std::string& plain) {
+bool Tls::decrypt(std::string_view encrypted, std::string& plain) {
     auto& s = *session_;
-    BIO_write(s.in, wire.data(), static_cast<int>(wire.size()));
-    // OpenSSL fills it; only what it wrote is read.
-    // NOLINTNEXTLINE(cppcoreguidelines-pro-type-member-init)
+    BIO_write(s.in, encrypted.data(), static_cast<int>(encrypted.size()));
+    // Uninitialized: OpenSSL fills it, and only what it wrote is read.
     std::array<char, 16384> buffer;
     while (!s.broken) {
         ERR_clear_error();
@@ -108,17 +108,18 @@
     return !s.broken;
 }
 
-void Tls::send(std::string_view plain) {
+void Tls::encrypt(std::string_view plain) {
     auto& s = *session_;
     s.waiting.append(plain);
     if (s.waiting.size() > maxWaiting) s.broken = true;
     s.flush();
 }
 
-std::string Tls::takeWire() {
-    std::string wire(BIO_ctrl_pending(session_->out), '\0');
-    if (!wire.empty()) BIO_read(session_->out, wire.data(), static_cast<int>(wire.size()));
-    return wire;
+std::string Tls::takeOutput() {
+    std::string encrypted(BIO_ctrl_pending(session_->out), '\0');
+    if (!encrypted.empty())
+        BIO_read(session_->out, encrypted.data(), static_cast<int>(encrypted.size()));
+    return encrypted;
 }
 
 std::string Tls::peerName() const {
--- a/src/gateway/amqp/tls.h
+++ b/src/gateway/amqp/tls.h
@@ -6,34 +6,37 @@
 
 namespace basaltchute::amqp {
 
+/// Paths and checks for one side of TLS connections.
 struct TlsFiles {
-    std::string certificate, key;  // PEM; of the side that shows one
-    std::string trust;             // PEM with the authorities that the other side must be signed by
-    bool required = false;         // a listening side asks for a certificate and insists
-    std::string host;              // name that the server's certificate must bear, on connecting
+    std::string certificate,
+        key;                // PEM files of the own certificate and private key; empty if none
+    std::string trust;      // PEM file with the authorities that may sign the peer's certificate
+    bool required = false;  // the listening side requires a client certificate
+    std::string host;       // expected name in the server's certificate, for connecting
 };
 
-/// What was read from the files; connections keep the one they began with, so that files can be
-/// read again without touching them.
+/// The loaded files. Connections keep the context that they started with, so that reloading the
+/// files does not affect them.
 class TlsContext;
 using TlsHandle = std::shared_ptr<const TlsContext>;
-/// The context, or one line that says which file is wrong.
+/// Loads the files, or returns an error text that names the invalid file.
 std::variant<TlsHandle, std::string> loadTls(const TlsFiles& files, bool server);
 
-/// TLS between a socket and the engine, over memory alone: it does no input or output itself.
+/// TLS between a socket and the AMQP engine, in memory only: it does no input or output.
 class Tls {
   public:
     explicit Tls(TlsHandle context);
     ~Tls();
     Tls(const Tls&) = delete;
     Tls& operator=(const Tls&) = delete;
-    /// Takes bytes from the wire and appends what they say; false once the session is broken.
-    bool received(std::string_view wire, std::string& plain);
-    /// Takes bytes for the other side; kept until the handshake has ended.
-    void send(std::string_view plain);
-    /// What is to be written to the wire.
-    std::string takeWire();
-    /// The common name of the other side's checked certificate; empty without one.
+    /// Decrypts bytes from the network and appends the plaintext; false once the session has
+    /// failed.
+    bool decrypt(std::string_view encrypted, std::string& plain);
+    /// Encrypts bytes for the peer; they are buffered until the handshake is complete.
+    void encrypt(std::string_view plain);
+    /// Returns the bytes to write to the network.
+    std::string takeOutput();
+    /// Common name of the verified certificate of the peer; empty without one.
     [[nodiscard]] std::string peerName() const;
 
   private:
--- a/src/gateway/journal/journal_entry.h
+++ b/src/gateway/journal/journal_entry.h
@@ -7,34 +7,38 @@
 
 namespace basaltchute::gateway {
 
-/// How far a message has come; what is on record, in this order.
+/// Progress of a message. The stages are stored by name and follow each other in this order.
 enum class Stage : std::uint8_t {
-    entered,   // it has a job ref; a submission under it may have left
-    refused,   // for good: its delivery may be rejected
-    accepted,  // the job's acceptance stands: its delivery may be accepted
-    final,     // the job is over and has a number in its queue's order of results
-    replied    // the result was taken by whoever asked for it, or nobody asked
+    entered,   // has a job ref; a submission with this ref may have been sent
+    refused,   // permanently refused: the delivery may be rejected
+    accepted,  // the controllers accepted the job: the delivery may be accepted
+    final,     // the job has ended and has its number in the queue's order of results
+    replied    // the receiver settled the result, or no reply was requested
 };
 
-/// One message's line in the ledger.
+/// The journal's entry for one message.
 struct JournalEntry {
-    std::string key;           // what identifies the message within its queue
-    std::string ref;           // of its job
-    std::uint64_t digest = 0;  // of its body: one id does not stand for two messages
+    std::string key;           // identifies the message within its queue
+    std::string ref;           // job reference
+    std::uint64_t digest = 0;  // hash of the body; detects an id reused for another message
     Stage stage = Stage::entered;
-    std::string origin;          // the source it came from; empty for a listening link
-    std::string replyTo;         // empty: nobody wants to know
-    std::string correlation;     // amqp::Id as written
-    std::string reason;          // of a refusal, or of a reply that was not taken
-    std::string status;          // `done` or `cancelled` once final
-    std::uint64_t number = 0;    // in the queue's order of results, from 1
-    std::uint32_t attempts = 1;  // how often it was taken up
-    WallMillis expiresAt{};      // when it may be forgotten; 0 while it is not over
+    std::string origin;          // name of the source broker; empty for a client's link
+    std::string replyTo;         // reply address; empty if no reply is requested
+    std::string correlation;     // correlation id in the form of amqp::Id::toText
+    std::string reason;          // why the message was refused or its reply was rejected
+    std::string status;          // final job status: `done` or `cancelled`
+    std::uint64_t number = 0;    // position in the queue's order of results, from 1
+    std::uint32_t attempts = 1;  // how often processing of the message was started
+    WallMillis expiresAt{};      // when the entry may be removed; 0 while the message is unfinished
 
-    [[nodiscard]] bool over() const { return stage == Stage::refused || stage == Stage::replied; }
+    [[nodiscard]] bool finished() const {
+        return stage == Stage::refused || stage == Stage::replied;
+    }
 };
 
+/// The stage's name in stored entries and in admin responses.
 const char* nameOf(Stage stage);
+/// The stage with this name, or nullopt.
 std::optional<Stage> stageOf(const std::string& name);
 
 }  // namespace basaltchute::gateway
--- a/src/gateway/journal/message_journal.cpp
+++ b/src/gateway/journal/message_journal.cpp
@@ -11,22 +11,24 @@
 
 constexpr std::array<const char*, 5> stageNames{"entered", "refused", "accepted", "final",
                                                 "replied"};
-// What an entry takes beside its texts, and what the fields that change may add after it was given
-// its place: stage, status or the reason of a refusal, number, attempts, time, names of members.
-constexpr std::size_t growth = 270;
-constexpr std::size_t longestWhy = 60;
-constexpr std::size_t frame = 32;     // of a page around its entries
-constexpr std::size_t openPages = 2;  // the newest ones, which still take entries
+// Bytes of an entry besides its texts, including what later changes may add after the entry was
+// assigned to a page: stage, status or reason of a refusal, number, attempts, expiry and member
+// names.
+constexpr std::size_t entryOverheadBytes = 270;
+constexpr std::size_t maxReasonLength = 60;
+constexpr std::size_t pageOverheadBytes = 32;  // JSON of a page around its entries
+constexpr std::size_t maxOpenPages = 2;        // only the newest pages accept new entries
 
-/// A reason is for people: one line of plain characters, so that its size is known.
-void makePlain(std::string& why) {
-    if (why.size() > longestWhy) why.resize(longestWhy);
-    for (char& c : why)
+/// Limits a reason to one line of printable characters without quotes, which bounds its encoded
+/// size.
+void sanitizeReason(std::string& reason) {
+    if (reason.size() > maxReasonLength) reason.resize(maxReasonLength);
+    for (char& c : reason)
         if (c < ' ' || c > '~' || c == '"' || c == '\\') c = '\'';
 }
 
-/// JSON text of a string takes at most six bytes for each of its bytes, mostly one.
-std::size_t written(const std::string& s) {
+/// Encoded size of a JSON string: up to six bytes per byte, usually one.
+std::size_t encodedSize(const std::string& s) {
     std::size_t n = 2;
     for (const char c : s) {
         const auto b = static_cast<unsigned char>(c);
@@ -49,9 +51,9 @@
 MessageJournal::MessageJournal(std::string prefix, std::size_t pageBytes)
     : prefix_(std::move(prefix)), pageBytes_(pageBytes) {}
 
-std::size_t MessageJournal::sizeOf(const JournalEntry& e) {
-    return written(e.key) + written(e.ref) + written(e.origin) + written(e.replyTo) +
-           written(e.correlation) + growth;
+std::size_t MessageJournal::maxEncodedSize(const JournalEntry& e) {
+    return encodedSize(e.key) + encodedSize(e.ref) + encodedSize(e.origin) +
+           encodedSize(e.replyTo) + encodedSize(e.correlation) + entryOverheadBytes;
 }
 std::string MessageJournal::recordKey(PageNumber page) const {
     return prefix_ + std::to_string(page);
@@ -65,30 +67,30 @@
     return n;
 }
 
-void MessageJournal::index(const JournalEntry& e, bool in) {
+void MessageJournal::updateIndices(const JournalEntry& e, bool added) {
     auto& count = counts_[static_cast<std::size_t>(e.stage)];
-    count += in ? 1 : std::size_t(-1);
+    count += added ? 1 : std::size_t(-1);
     if (e.stage == Stage::final) {
-        if (in)
+        if (added)
             unsent_[e.number] = e.key;
         else
             unsent_.erase(e.number);
     }
     if (e.expiresAt.count() != 0) {
-        if (in)
-            byForget_.emplace(e.expiresAt, e.key);
+        if (added)
+            byExpiry_.emplace(e.expiresAt, e.key);
         else
-            byForget_.erase({e.expiresAt, e.key});
+            byExpiry_.erase({e.expiresAt, e.key});
     }
-    if (in) nextNumber_ = std::max(nextNumber_, e.number + 1);
+    if (added) nextNumber_ = std::max(nextNumber_, e.number + 1);
 }
 
-void MessageJournal::place(JournalEntry entry, PageNumber number, std::uint64_t version) {
+void MessageJournal::insertEntry(JournalEntry entry, PageNumber number, std::uint64_t version) {
     auto& page = pages_[number];
-    const std::size_t bytes = sizeOf(entry);
+    const std::size_t bytes = maxEncodedSize(entry);
     page.keys.insert(entry.key);
     page.bytes += bytes;
-    index(entry, true);
+    updateIndices(entry, true);
     const std::string key = entry.key;
     entries_[key] = {std::move(entry), number, version, bytes};
 }
@@ -120,7 +122,7 @@
         e.number = json::count(v, "number").value_or(0);
         e.attempts = static_cast<std::uint32_t>(json::count(v, "attempts").value_or(1));
         e.expiresAt = WallMillis(json::count(v, "forgetMs").value_or(0));
-        place(std::move(e), *number, 0);
+        insertEntry(std::move(e), *number, 0);
     }
     return std::nullopt;
 }
@@ -130,36 +132,39 @@
     return it == entries_.end() ? nullptr : &it->second.entry;
 }
 void MessageJournal::forEach(const std::function<void(const JournalEntry&)>& visit) const {
-    for (const auto& [key, kept] : entries_) visit(kept.entry);
+    for (const auto& [key, stored] : entries_) visit(stored.entry);
 }
 bool MessageJournal::fits(const JournalEntry& e) const {
-    return sizeOf(e) + frame <= pageBytes_;
+    return maxEncodedSize(e) + pageOverheadBytes <= pageBytes_;
 }
 
 MessageJournal::PageNumber MessageJournal::pageWithSpaceFor(std::size_t bytes) {
-    // Only the newest pages take entries: what is busy now stays together, and old pages empty.
-    std::size_t looked = 0;
-    for (auto it = pages_.rbegin(); it != pages_.rend() && looked < openPages; ++it, ++looked)
-        if (!it->second.closing && it->second.bytes + bytes + frame <= pageBytes_) return it->first;
+    // Only the newest pages accept entries: active entries stay together and old pages become
+    // empty.
+    std::size_t examined = 0;
+    for (auto it = pages_.rbegin(); it != pages_.rend() && examined < maxOpenPages;
+         ++it, ++examined)
+        if (!it->second.closing && it->second.bytes + bytes + pageOverheadBytes <= pageBytes_)
+            return it->first;
     return nextPage_++;
 }
 
 std::string MessageJournal::add(JournalEntry e) {
-    const PageNumber number = pageWithSpaceFor(sizeOf(e));
+    const PageNumber number = pageWithSpaceFor(maxEncodedSize(e));
     const std::uint64_t version = ++pages_[number].version;
-    place(std::move(e), number, version);
+    insertEntry(std::move(e), number, version);
     return recordKey(number);
 }
 
-std::string MessageJournal::change(const std::string& key,
-                                   const std::function<void(JournalEntry&)>& how) {
-    auto& kept = entries_.at(key);
-    index(kept.entry, false);
-    how(kept.entry);
-    makePlain(kept.entry.reason);
-    index(kept.entry, true);
-    kept.version = ++pages_[kept.page].version;
-    return recordKey(kept.page);
+std::string MessageJournal::update(const std::string& key,
+                                   const std::function<void(JournalEntry&)>& modify) {
+    auto& stored = entries_.at(key);
+    updateIndices(stored.entry, false);
+    modify(stored.entry);
+    sanitizeReason(stored.entry.reason);
+    updateIndices(stored.entry, true);
+    stored.version = ++pages_[stored.page].version;
+    return recordKey(stored.page);
 }
 
 bool MessageJournal::isDurable(const std::string& key) const {
@@ -204,23 +209,24 @@
     if (it != pages_.end()) it->second.durable = std::max(it->second.durable, version);
 }
 
-MessageJournal::Forgotten MessageJournal::forget(WallMillis now, std::size_t most) {
-    Forgotten out;
+MessageJournal::Removed MessageJournal::removeExpired(WallMillis now, std::size_t most) {
+    Removed out;
     std::set<PageNumber> touched;
-    while (!byForget_.empty() && byForget_.begin()->first <= now && out.keys.size() < most) {
-        const auto it = entries_.find(byForget_.begin()->second);
+    while (!byExpiry_.empty() && byExpiry_.begin()->first <= now && out.keys.size() < most) {
+        const auto it = entries_.find(byExpiry_.begin()->second);
         auto& page = pages_.at(it->second.page);
         page.keys.erase(it->first);
         page.bytes -= it->second.bytes;
         touched.insert(it->second.page);
         if (it->second.entry.stage == Stage::final) ++out.unsent;
-        index(it->second.entry, false);
+        updateIndices(it->second.entry, false);
         out.keys.push_back(it->first);
         entries_.erase(it);
     }
     for (const auto number : touched) {
         auto& page = pages_.at(number);
-        // Never used again: a deletion that is applied late must not meet new entries.
+        // An empty page is never used again: a deletion that is applied late must not hit new
+        // entries.
         page.closing = page.keys.empty();
         if (page.closing) continue;
         ++page.version;
@@ -229,7 +235,7 @@
     return out;
 }
 
-std::vector<std::string> MessageJournal::closing() const {
+std::vector<std::string> MessageJournal::deletableRecords() const {
     std::vector<std::string> out;
     for (const auto& [number, page] : pages_)
         if (page.closing && page.durable == page.version) out.push_back(recordKey(number));
@@ -247,19 +253,19 @@
     std::map<PageNumber, std::size_t> bytes, keys;
     std::size_t due = 0;
     std::string wrong;
-    for (const auto& [key, kept] : entries_) {
-        ++counts[static_cast<std::size_t>(kept.entry.stage)];
-        if (kept.entry.stage == Stage::final) unsent[kept.entry.number] = key;
-        if (kept.entry.expiresAt.count() != 0) ++due;
-        bytes[kept.page] += kept.bytes;
-        ++keys[kept.page];
-        if (!pages_.contains(kept.page) || !pages_.at(kept.page).keys.contains(key))
+    for (const auto& [key, stored] : entries_) {
+        ++counts[static_cast<std::size_t>(stored.entry.stage)];
+        if (stored.entry.stage == Stage::final) unsent[stored.entry.number] = key;
+        if (stored.entry.expiresAt.count() != 0) ++due;
+        bytes[stored.page] += stored.bytes;
+        ++keys[stored.page];
+        if (!pages_.contains(stored.page) || !pages_.at(stored.page).keys.contains(key))
             wrong += key + " is not on its page; ";
-        if (kept.entry.number >= nextNumber_) wrong += key + " has a number to come; ";
+        if (stored.entry.number >= nextNumber_) wrong += key + " has a number to come; ";
     }
     if (counts != counts_) wrong += "counts of stages; ";
     if (unsent != unsent_) wrong += "what is to be sent; ";
-    if (due != byForget_.size()) wrong += "what is to be forgotten; ";
+    if (due != byExpiry_.size()) wrong += "what is to be forgotten; ";
     for (const auto& [number, page] : pages_) {
         if (page.bytes != bytes[number]) wrong += "bytes of a page; ";
         if (page.keys.size() != keys[number]) wrong += "keys of a page; ";
--- a/src/gateway/membership/membership.cpp
+++ b/src/gateway/membership/membership.cpp
@@ -14,18 +14,19 @@
 
 namespace {
 
-constexpr Duration lookPause = 200ms;  // between two looks, however much changes
+constexpr Duration refreshInterval = 200ms;  // minimum time between two listings
 constexpr Duration watchTimeout = 10s;
-constexpr Duration blindPause = 1s;
-constexpr double safety = 0.9;  // of a grant's life: clocks drift, and writes take time
-constexpr Duration touchTimeout = 1s;
+constexpr Duration retryDelay = 1s;
+constexpr double leaseSafetyFactor =
+    0.9;  // share of the lease that is relied on, because clocks drift and writes take time
+constexpr Duration keepAliveTimeout = 1s;
 
-std::uint64_t weight(const QueueName& queue, const std::string& instance) {
+std::uint64_t rendezvousWeight(const QueueName& queue, const std::string& instance) {
     const std::string both = queue + '\n' + instance;
     return XXH3_64bits(both.data(), both.size());
 }
 
-std::optional<Member> memberOf(const std::string& data) {
+std::optional<Member> parseMember(const std::string& data) {
     const auto doc = json::parse(data);
     if (!doc || !doc->IsObject()) return std::nullopt;
     Member m;
@@ -48,7 +49,7 @@
     std::uint64_t most = 0;
     for (const auto& [name, m] : members) {
         if (m.draining || !m.queues.contains(queue)) continue;
-        const std::uint64_t w = weight(queue, name);
+        const std::uint64_t w = rendezvousWeight(queue, name);
         if (best != nullptr && w <= most) continue;
         best = &m;
         most = w;
@@ -78,7 +79,7 @@
 std::string Membership::queueKey(const QueueName& queue) const {
     return settings_.statePrefix + "own/queue/" + queue;
 }
-std::string Membership::record() const {
+std::string Membership::memberRecord() const {
     json::Writer out;
     out.open().field("instance", settings_.instance).field("incarnation", incarnation_);
     out.field("advertise", settings_.advertise).field("admin", settings_.admin);
@@ -102,50 +103,52 @@
     return nullptr;
 }
 
-void Membership::lose(const QueueName& queue) {
-    const auto held = ownedQueues_.find(queue);
-    if (held == ownedQueues_.end()) return;
-    past_[queue] = held->second.revision;
-    ownedQueues_.erase(held);
-    spdlog::warn("queue {}: no longer held by this instance", queue);
+void Membership::loseQueue(const QueueName& queue) {
+    const auto owned = ownedQueues_.find(queue);
+    if (owned == ownedQueues_.end()) return;
+    lastOwnedRevisions_[queue] = owned->second.revision;
+    ownedQueues_.erase(owned);
+    spdlog::warn("queue ownership lost: queue={}", queue);
     hooks_.lost(queue);
 }
-void Membership::loseAll() {
+void Membership::loseAllQueues() {
     leaseId_ = 0;
     memberRevision_ = 0;
-    while (!ownedQueues_.empty()) lose(QueueName(ownedQueues_.begin()->first));
+    while (!ownedQueues_.empty()) loseQueue(QueueName(ownedQueues_.begin()->first));
     hooks_.changed();
 }
 void Membership::fenced(const QueueName& queue) {
-    lose(queue);
+    loseQueue(queue);
     changed_.notify();
 }
 
-Task<bool> Membership::register_(Scope& scope) {
-    const bool may = co_await writeLimiter_.acquire(1, scope);
-    if (!may) co_return false;
-    const bool said = draining_;
+Task<bool> Membership::registerMember(Scope& scope) {
+    const bool acquired = co_await writeLimiter_.acquire(1, scope);
+    if (!acquired) co_return false;
+    const bool drainingAtWrite = draining_;
     kv_store::Transaction txn;
-    // An earlier run of this instance, or another of its name, may still be there: it ends first.
+    // The record of an earlier run, or of another instance of the same name, may still exist:
+    // it must expire first.
     txn.preconditions = {{memberKey(), memberRevision_}};
-    txn.puts = {{memberKey(), record(), leaseId_}};
+    txn.puts = {{memberKey(), memberRecord(), leaseId_}};
     const auto committed = co_await client_.commit(std::move(txn), scope);
     if (committed.status == Status::ok) {
         memberRevision_ = committed.revision;
-        announced_ = said;
+        announcedDraining_ = drainingAtWrite;
         co_return true;
     }
     if (committed.status == Status::conflict) {
         const auto found = co_await client_.get(memberKey(), scope);
-        const auto other = found.entry ? memberOf(found.entry->data) : std::nullopt;
+        const auto other = found.entry ? parseMember(found.entry->data) : std::nullopt;
         if (other && other->incarnation == incarnation_) {
-            // Our own, applied although its answer was lost.
+            // Our own write was applied although its answer was lost.
             memberRevision_ = found.entry->revision;
-            announced_ = other->draining;
+            announcedDraining_ = other->draining;
             co_return true;
         }
         if (other)
-            spdlog::info("another run of instance {} is still on record", settings_.instance);
+            spdlog::info("member record of another incarnation still exists: instance={}",
+                         settings_.instance);
         else
             memberRevision_ = 0;
     }
@@ -156,40 +159,42 @@
     const Duration every = settings_.leaseTtl / 4;
     while (!scope.cancelled()) {
         if (leaseId_ == 0) {
-            const auto g = co_await client_.grantLease(settings_.leaseTtl, scope);
-            if (g.status == Status::ok) {
-                leaseId_ = g.id;
-                leaseValidUntil_ = g.sentAt + fromSeconds(toSeconds(settings_.leaseTtl) * safety);
+            const auto lease = co_await client_.grantLease(settings_.leaseTtl, scope);
+            if (lease.status == Status::ok) {
+                leaseId_ = lease.id;
+                leaseValidUntil_ =
+                    lease.sentAt + fromSeconds(toSeconds(settings_.leaseTtl) * leaseSafetyFactor);
             }
         } else {
-            const auto g = co_await client_.keepAlive(leaseId_, touchTimeout, scope);
+            const auto lease = co_await client_.keepAlive(leaseId_, keepAliveTimeout, scope);
             if (scope.cancelled()) co_return;
-            if (g.status == Status::ok)
-                leaseValidUntil_ = g.sentAt + fromSeconds(toSeconds(settings_.leaseTtl) * safety);
-            if (g.status == Status::notFound) {
-                spdlog::warn("the grant has ended: all queues go back");
-                loseAll();
+            if (lease.status == Status::ok)
+                leaseValidUntil_ =
+                    lease.sentAt + fromSeconds(toSeconds(settings_.leaseTtl) * leaseSafetyFactor);
+            if (lease.status == Status::notFound) {
+                spdlog::warn("lease expired, all queues are lost: instance={}", settings_.instance);
+                loseAllQueues();
                 continue;
             }
         }
-        if (leaseId_ != 0 && (memberRevision_ == 0 || announced_ != draining_)) {
-            const bool listed = co_await register_(scope);
-            if (listed) changed_.notify();
+        if (leaseId_ != 0 && (memberRevision_ == 0 || announcedDraining_ != draining_)) {
+            const bool registered = co_await registerMember(scope);
+            if (registered) changed_.notify();
         }
         const bool waiting = leaseId_ == 0 || memberRevision_ == 0;
-        const Duration pause = waiting ? std::min(every, Duration(blindPause)) : every;
+        const Duration pause = waiting ? std::min(every, Duration(retryDelay)) : every;
         co_await loop_.wait(drained_, loop_.now() + pause, scope);
     }
 }
 
-void Membership::read(const std::vector<kv_store::KeyValue>& items) {
+void Membership::parseRecords(const std::vector<kv_store::KeyValue>& items) {
     const std::string members = settings_.statePrefix + "own/member/";
     const std::string queues = settings_.statePrefix + "own/queue/";
     members_.clear();
     owners_.clear();
     for (const auto& item : items) {
         if (item.key.starts_with(members)) {
-            if (auto m = memberOf(item.data)) members_[m->instance] = std::move(*m);
+            if (auto m = parseMember(item.data)) members_[m->instance] = std::move(*m);
         } else if (item.key.starts_with(queues)) {
             const auto doc = json::parse(item.data);
             const auto by =
@@ -204,89 +209,89 @@
         const auto listing = co_await client_.list(settings_.statePrefix + "own/", scope);
         if (scope.cancelled()) co_return;
         if (listing.status != Status::ok) {
-            co_await loop_.sleep(blindPause, scope);
+            co_await loop_.sleep(retryDelay, scope);
             continue;
         }
-        read(listing.entries);
-        act(listing.revision, scope);
+        parseRecords(listing.entries);
+        reconcileOwnership(listing.revision, scope);
         hooks_.changed();
-        co_await loop_.sleep(lookPause, scope);
+        co_await loop_.sleep(refreshInterval, scope);
         const auto status = co_await client_.watch(settings_.statePrefix + "own/", listing.revision,
                                                    watchTimeout, scope);
-        if (status != Status::ok) co_await loop_.wait(changed_, loop_.now() + blindPause, scope);
+        if (status != Status::ok) co_await loop_.wait(changed_, loop_.now() + retryDelay, scope);
     }
 }
 
-void Membership::act(kv_store::Revision at, Scope& scope) {
+void Membership::reconcileOwnership(kv_store::Revision at, Scope& scope) {
     for (const auto& [queue, q] : settings_.queues) {
         const auto owner = owners_.find(queue);
-        const bool mine = owner != owners_.end() && owner->second.first == incarnation_;
-        const auto held = ownedQueues_.find(queue);
-        if (held != ownedQueues_.end() &&
-            (!mine || owner->second.second != held->second.revision)) {
-            // A listing may be older than a claim of ours that was answered meanwhile.
-            if (at >= held->second.revision) lose(queue);
+        const bool ownedByRecord = owner != owners_.end() && owner->second.first == incarnation_;
+        const auto owned = ownedQueues_.find(queue);
+        if (owned != ownedQueues_.end() &&
+            (!ownedByRecord || owner->second.second != owned->second.revision)) {
+            // The listing may be older than a claim that was committed in the meantime.
+            if (at >= owned->second.revision) loseQueue(queue);
             continue;
         }
         const Member* wanted = preferredOwner(queue, members_);
         const bool wantsMe = wanted != nullptr && wanted->incarnation == incarnation_;
-        if (mine && held == ownedQueues_.end() && !claiming_.contains(queue) &&
-            owner->second.second > past_[queue]) {
-            // A claim of ours whose answer was lost.
+        if (ownedByRecord && owned == ownedQueues_.end() && !claiming_.contains(queue) &&
+            owner->second.second > lastOwnedRevisions_[queue]) {
+            // Our claim was committed although its answer was lost.
             ownedQueues_[queue] = {owner->second.second, false};
             hooks_.gained(queue, {queueKey(queue), owner->second.second});
         } else if (owner == owners_.end() && wantsMe && !draining_ && leaseValid() &&
                    claiming_.insert(queue).second) {
-            scope.spawn(claim(queue, scope));
-        } else if (held != ownedQueues_.end() && !held->second.yielding &&
+            scope.spawn(claimQueue(queue, scope));
+        } else if (owned != ownedQueues_.end() && !owned->second.releasing &&
                    (draining_ || (wanted != nullptr && !wantsMe))) {
-            held->second.yielding = true;
-            scope.spawn(giveAway(queue, scope));
+            owned->second.releasing = true;
+            scope.spawn(releaseQueue(queue, scope));
         }
     }
 }
 
-Task<void> Membership::claim(QueueName queue, Scope& scope) {
-    const bool may = co_await writeLimiter_.acquire(1, scope);
+Task<void> Membership::claimQueue(QueueName queue, Scope& scope) {
+    const bool acquired = co_await writeLimiter_.acquire(1, scope);
     json::Writer out;
     out.open().field("incarnation", incarnation_).field("instance", settings_.instance).close();
     kv_store::Transaction txn;
-    // Guarded by the own record too: a member that was taken for dead claims nothing.
+    // Also requires our member record: a member that is considered dead must not claim queues.
     txn.preconditions = {{queueKey(queue), 0}, {memberKey(), memberRevision_}};
     txn.puts = {{queueKey(queue), out.text(), leaseId_}};
     kv_store::CommitResult committed;
-    if (may && leaseValid() && memberRevision_ != 0)
+    if (acquired && leaseValid() && memberRevision_ != 0)
         committed = co_await client_.commit(std::move(txn), scope);
     claiming_.erase(queue);
     if (scope.cancelled()) co_return;
     if (committed.status == Status::ok && leaseValid()) {
         owners_[queue] = {incarnation_, committed.revision};
         ownedQueues_[queue] = {committed.revision, false};
-        spdlog::info("queue {}: held by this instance now", queue);
+        spdlog::info("queue ownership gained: queue={}", queue);
         hooks_.gained(queue, {queueKey(queue), committed.revision});
         hooks_.changed();
     }
     changed_.notify();
 }
 
-Task<void> Membership::giveAway(QueueName queue, Scope& scope) {
+Task<void> Membership::releaseQueue(QueueName queue, Scope& scope) {
     const kv_store::Revision revision = ownedQueues_.at(queue).revision;
-    co_await hooks_.yield(queue);
+    co_await hooks_.drainQueue(queue);
     while (!scope.cancelled()) {
-        const auto held = ownedQueues_.find(queue);
-        if (held == ownedQueues_.end() || held->second.revision != revision) co_return;
-        const bool may = co_await writeLimiter_.acquire(1, scope);
-        if (!may) co_return;
+        const auto owned = ownedQueues_.find(queue);
+        if (owned == ownedQueues_.end() || owned->second.revision != revision) co_return;
+        const bool acquired = co_await writeLimiter_.acquire(1, scope);
+        if (!acquired) co_return;
         kv_store::Transaction txn;
         txn.preconditions = {{queueKey(queue), revision}};
         txn.deletes = {queueKey(queue)};
         const auto committed = co_await client_.commit(std::move(txn), scope);
         if (committed.status == Status::ok || committed.status == Status::conflict) break;
-        co_await loop_.sleep(blindPause, scope);
+        co_await loop_.sleep(retryDelay, scope);
     }
     if (scope.cancelled()) co_return;
-    spdlog::info("queue {}: given away", queue);
-    past_[queue] = revision;
+    spdlog::info("queue ownership released: queue={}", queue);
+    lastOwnedRevisions_[queue] = revision;
     ownedQueues_.erase(queue);
     owners_.erase(queue);
     hooks_.changed();
--- a/src/gateway/membership/membership.h
+++ b/src/gateway/membership/membership.h
@@ -12,67 +12,70 @@
 
 namespace basaltchute::gateway {
 
-/// A live instance, as its own record says.
+/// A running gateway instance, as described by its member record.
 struct Member {
     std::string instance, incarnation, advertise, admin;
     bool draining = false;
-    std::set<QueueName> queues;  // that its settings name
+    std::set<QueueName> queues;  // queues that its settings name
 };
 
-/// Which of the members a queue belongs to: rendezvous hashing over those that serve it and do not
-/// drain, so that one that comes or goes moves no queue but its own. Nobody: nullptr.
+/// The member that should own the queue: rendezvous hashing over the members that serve it and are
+/// not draining, so that a member that joins or leaves moves only its own queues. Returns nullptr
+/// if there is none.
 const Member* preferredOwner(const QueueName& queue, const std::map<std::string, Member>& members);
 
-/// Membership and ownership of queues. Each instance keeps a record under a grant; a queue's owner
-/// keeps one for the queue under the same grant, and the revision of that one is its fence: every
-/// ledger write is guarded by it, so an owner whose grant has ended writes nothing more.
+/// Tracks the members of the gateway cluster and owns queues on behalf of this instance. Each
+/// instance keeps a member record under a lease; the owner of a queue keeps an owner record under
+/// the same lease. The revision of the owner record is the fencing token: each journal write has it
+/// as a precondition, so an owner whose lease has expired can no longer write. Created and observed
+/// by Gateway.
 class Membership {
   public:
     struct Hooks {
         std::function<void(const QueueName&, kv_store::Precondition fence)> gained;
-        /// Ends what is under way in good order; the queue is given away afterwards.
-        std::function<Task<void>(QueueName)> yield;
-        /// The grant has ended, or somebody else holds the queue.
+        /// Finishes work in progress on the queue; the queue is released afterwards.
+        std::function<Task<void>(QueueName)> drainQueue;
+        /// The lease has expired, or another instance owns the queue.
         std::function<void(const QueueName&)> lost;
-        /// Somebody's ownership has changed.
+        /// The owner of some queue has changed.
         std::function<void()> changed;
     };
     Membership(EventLoop& loop, kv_store::Client& client, WriteLimiter& writeLimiter,
                const Settings& settings, std::string incarnation, Hooks hooks);
     void start(Scope& scope);
-    /// Whether this instance may act as the queue's owner, by its own clock.
+    /// Whether this instance may act as owner of the queue, by its own clock.
     [[nodiscard]] bool holds(const QueueName& queue) const;
-    /// Who holds the queue, if that one lives and is known.
+    /// The current owner of the queue, or nullptr if it is unknown or not alive.
     [[nodiscard]] const Member* holder(const QueueName& queue) const;
     [[nodiscard]] const std::map<std::string, Member>& all() const { return members_; }
-    /// Takes no queue any more and gives away what it holds.
+    /// Claims no more queues and releases those it owns.
     void drain();
     [[nodiscard]] bool draining() const { return draining_; }
-    /// Holds no queue, nor is about to.
+    /// Whether this instance owns no queue and is claiming none.
     [[nodiscard]] bool idle() const { return ownedQueues_.empty() && claiming_.empty(); }
-    /// A write met another owner's fence.
+    /// Reports that a write to the queue failed its fencing precondition.
     void fenced(const QueueName& queue);
-    /// Ends the grant, and with it all records under it.
+    /// Revokes the lease, which deletes all records under it.
     Task<void> leave(Scope& scope);
 
   private:
     struct OwnedQueue {
         kv_store::Revision revision = 0;
-        bool yielding = false;
+        bool releasing = false;
     };
     [[nodiscard]] std::string memberKey() const;
     [[nodiscard]] std::string queueKey(const QueueName& queue) const;
-    [[nodiscard]] std::string record() const;
+    [[nodiscard]] std::string memberRecord() const;
     [[nodiscard]] bool leaseValid() const;
     Task<void> keepLease(Scope& scope);
-    Task<bool> register_(Scope& scope);
+    Task<bool> registerMember(Scope& scope);
     Task<void> refresh(Scope& scope);
-    void read(const std::vector<kv_store::KeyValue>& items);
-    void act(kv_store::Revision at, Scope& scope);
-    Task<void> claim(QueueName queue, Scope& scope);
-    Task<void> giveAway(QueueName queue, Scope& scope);
-    void lose(const QueueName& queue);
-    void loseAll();
+    void parseRecords(const std::vector<kv_store::KeyValue>& items);
+    void reconcileOwnership(kv_store::Revision at, Scope& scope);
+    Task<void> claimQueue(QueueName queue, Scope& scope);
+    Task<void> releaseQueue(QueueName queue, Scope& scope);
+    void loseQueue(const QueueName& queue);
+    void loseAllQueues();
 
     EventLoop& loop_;
     kv_store::Client& client_;
@@ -83,16 +86,16 @@
     kv_store::LeaseId leaseId_ = 0;
     TimePoint leaseValidUntil_{};
     kv_store::Revision memberRevision_ = 0;
-    bool draining_ = false, announced_ = false;
+    bool draining_ = false, announcedDraining_ = false;
     Event changed_, drained_;
     std::map<std::string, Member> members_;
     std::map<QueueName, std::pair<std::string, kv_store::Revision>>
-        owners_;  // incarnation, revision
+        owners_;  // incarnation and revision of the owner record
     std::map<QueueName, OwnedQueue> ownedQueues_;
     std::set<QueueName> claiming_;
-    /// The revision under which a queue was held last: a listing that is older than its end must
-    /// not bring it back.
-    std::map<QueueName, kv_store::Revision> past_;
+    /// Revision of the last owner record of this instance, by queue: an outdated listing must not
+    /// restore ended ownership.
+    std::map<QueueName, kv_store::Revision> lastOwnedRevisions_;
 };
 
 }  // namespace basaltchute::gateway
--- a/src/gateway/membership/membership_test.cpp
+++ b/src/gateway/membership/membership_test.cpp
@@ -21,7 +21,7 @@
     return out;
 }
 
-TEST(Membership, QueuesAreSpreadAndOnlyThoseOfWhoComesOrGoesMove) {
+TEST(Membership, QueuesAreSpreadEvenlyAndOnlyQueuesOfChangedMembersMove) {
     std::set<QueueName> queues;
     for (int i = 0; i < 200; ++i) queues.insert("team/" + std::to_string(i));
     auto all = members(4, queues);
@@ -42,59 +42,59 @@
     EXPECT_EQ(preferredOwner("team/0", {}), nullptr);
 }
 
-TEST(RoundRobinQueue, TeamsAreServedInTurnHoweverManyOneHasWaiting) {
-    RoundRobinQueue<int> t;
-    for (int i = 0; i < 5; ++i) t.push("a", i);
-    t.push("b", 10);
-    t.push("c", 20);
+TEST(RoundRobinQueue, TeamsTakeTurnsRegardlessOfBacklog) {
+    RoundRobinQueue<int> queue;
+    for (int i = 0; i < 5; ++i) queue.push("a", i);
+    queue.push("b", 10);
+    queue.push("c", 20);
     std::vector<int> order;
-    while (auto n = t.next()) order.push_back(*n);
+    while (auto n = queue.next()) order.push_back(*n);
     EXPECT_EQ(order, (std::vector<int>{0, 10, 20, 1, 2, 3, 4}));
 }
 
-TEST(WriteLimiter, EachPassesInItsTurnAndWhoHasGoneHoldsUpNobody) {
+TEST(WriteLimiter, WritersTakeTurnsAndAbandonedRequestsExpire) {
     basaltchute::testing::World world;
     RateLimiter writes(1, 1, world.clock.now());
-    WriteLimiter t(world.loop, writes);
-    EXPECT_FALSE(t.tryAcquire(1, 0s, 0.5));
-    EXPECT_FALSE(t.tryAcquire(2, 0s, 1)) << "the first one waits for the budget";
-    EXPECT_TRUE(t.tryAcquire(2, 0s, 2)) << "which has enough for both";
-    EXPECT_FALSE(t.tryAcquire(2, 0s, 1));
-    EXPECT_TRUE(t.tryAcquire(1, 0s, 1));
-    EXPECT_FALSE(t.tryAcquire(1, 0s, 1)) << "once a turn";
-    EXPECT_TRUE(t.tryAcquire(2, 0s, 1));
+    WriteLimiter limiter(world.loop, writes);
+    EXPECT_FALSE(limiter.tryAcquire(1, 0s, 0.5));
+    EXPECT_FALSE(limiter.tryAcquire(2, 0s, 1)) << "the first requester is waiting for the budget";
+    EXPECT_TRUE(limiter.tryAcquire(2, 0s, 2)) << "enough for both requesters";
+    EXPECT_FALSE(limiter.tryAcquire(2, 0s, 1));
+    EXPECT_TRUE(limiter.tryAcquire(1, 0s, 1));
+    EXPECT_FALSE(limiter.tryAcquire(1, 0s, 1)) << "one success per turn";
+    EXPECT_TRUE(limiter.tryAcquire(2, 0s, 1));
     world.run(1s);
-    EXPECT_TRUE(t.tryAcquire(2, 0s, 1)) << "the other one no longer asks";
-    EXPECT_FALSE(t.tryAcquire(4, 3s, 0.5));
-    EXPECT_TRUE(t.tryAcquire(5, 0s, 1)) << "what is due at once goes before what may wait";
-    // A ledger that is always ready to write leaves room for a claim.
+    EXPECT_TRUE(limiter.tryAcquire(2, 0s, 1)) << "the other request has expired";
+    EXPECT_FALSE(limiter.tryAcquire(4, 3s, 0.5));
+    EXPECT_TRUE(limiter.tryAcquire(5, 0s, 1)) << "requests without slack go first";
+    // A queue owner that writes all the time does not starve a claim.
     writes.tryTake(world.clock.now());
     bool claimed = false;
     world.scope.spawn([](WriteLimiter& writeLimiter, Scope& scope, bool& flag) -> Task<void> {
         flag = co_await writeLimiter.acquire(1, scope);
-    }(t, world.scope, claimed));
-    int passed = 0;
+    }(limiter, world.scope, claimed));
+    int acquiredByOwner = 0;
     EXPECT_TRUE(world.until(
         [&] {
-            if (t.tryAcquire(3, 0s, writes.available(world.clock.now()))) {
+            if (limiter.tryAcquire(3, 0s, writes.available(world.clock.now()))) {
                 writes.tryTake(world.clock.now());
-                ++passed;
+                ++acquiredByOwner;
             }
             return claimed;
         },
         3s));
-    EXPECT_EQ(passed, 0);
+    EXPECT_EQ(acquiredByOwner, 0);
     world.end(world.scope);
 }
 
-TEST(ConcurrencyLimiter, HalvesWhileMessagesWaitLongAndComesBackInSteps) {
-    ConcurrencyLimiter p(64);
-    for (int i = 0; i < 10; ++i) p.observe(5s, 2s);
-    EXPECT_EQ(p.window(), 1);
-    p.observe(1s, 2s);
-    EXPECT_EQ(p.window(), 5);
-    for (int i = 0; i < 20; ++i) p.observe(0s, 2s);
-    EXPECT_EQ(p.window(), 64);
+TEST(ConcurrencyLimiter, HalvesWhileMessagesAreOldAndRecoversInSteps) {
+    ConcurrencyLimiter limiter(64);
+    for (int i = 0; i < 10; ++i) limiter.observe(5s, 2s);
+    EXPECT_EQ(limiter.window(), 1);
+    limiter.observe(1s, 2s);
+    EXPECT_EQ(limiter.window(), 5);
+    for (int i = 0; i < 20; ++i) limiter.observe(0s, 2s);
+    EXPECT_EQ(limiter.window(), 64);
 }
 
 }  // namespace
--- a/src/gateway/queue_owner/concurrency_limiter.h
+++ b/src/gateway/queue_owner/concurrency_limiter.h
@@ -5,23 +5,24 @@
 
 namespace basaltchute::gateway {
 
-/// How many messages of a queue may be on their way to custody. Grows by one step while the oldest
-/// of them is young and halves while it is not: whatever is scarce, the write budget or the
-/// controllers, shows in that age.
+/// Limits how many messages of a queue may be in progress before the gateway has taken
+/// responsibility for them. The window grows by one step while the oldest of these messages is
+/// younger than the target age and is halved otherwise: a shortage of either write budget or
+/// controller capacity shows in that age.
 class ConcurrencyLimiter {
   public:
-    explicit ConcurrencyLimiter(int most) : most_(most), window_(most) {}
+    explicit ConcurrencyLimiter(int maxWindow) : maxWindow_(maxWindow), window_(maxWindow) {}
     [[nodiscard]] int window() const { return window_; }
-    /// Once a second. `oldest`: age of the oldest message that is not in custody yet.
-    void observe(Duration oldest, Duration aim) {
-        if (oldest > aim)
+    /// Call once a second. `oldest`: age of the oldest message that is not settled yet.
+    void observe(Duration oldest, Duration targetAge) {
+        if (oldest > targetAge)
             window_ = std::max(1, window_ / 2);
         else
-            window_ = std::min(most_, window_ + std::max(1, most_ / 16));
+            window_ = std::min(maxWindow_, window_ + std::max(1, maxWindow_ / 16));
     }
 
   private:
-    int most_, window_;
+    int maxWindow_, window_;
 };
 
 }  // namespace basaltchute::gateway
--- a/src/gateway/queue_owner/controllers.h
+++ b/src/gateway/queue_owner/controllers.h
@@ -10,37 +10,40 @@
 
 namespace basaltchute::gateway {
 
-/// The controllers, by the users' interface alone.
+/// Client of the controllers' public job API; used by QueueOwner to submit jobs and to poll them.
 class ControllerClient {
   public:
     ControllerClient(EventLoop& loop, const Settings& settings, std::uint64_t seed);
 
-    struct Answer {
-        /// `undecided`: nobody took it within the patience; it may have been taken nevertheless.
+    struct SubmitResult {
+        /// `undecided`: no controller confirmed the submission in time; it may have been accepted
+        /// anyway.
         enum class Kind { accepted, refused, undecided } kind = Kind::undecided;
-        std::string text;  // the job's status, or why it was refused
+        std::string text;  // job status, or reason of the refusal
     };
-    /// Submits until there is an answer, by `Retry-After` and with jitter, for the settings'
-    /// patience. Repeating a submission under the same ref makes no second job.
-    Task<Answer> submit(std::string body, Scope& scope);
+    /// Submits a job and retries, honoring `Retry-After` and with jitter, until there is an answer
+    /// or the configured timeout has passed. Repeating a submission with the same ref creates no
+    /// second job.
+    Task<SubmitResult> submit(std::string body, Scope& scope);
 
-    struct State {
+    struct JobState {
         enum class Kind { known, unknown, undecided } kind = Kind::undecided;
         std::string status;
     };
-    Task<State> query(std::string ref, Scope& scope);
+    /// Reads the status of a job once.
+    Task<JobState> query(std::string ref, Scope& scope);
 
-    /// Polls that may be sent now; what is not at hand is asked later.
-    [[nodiscard]] RateLimiter& polls() { return polls_; }
+    /// Limits the rate of job pollLimiter.
+    [[nodiscard]] RateLimiter& pollLimiter() { return pollLimiter_; }
     [[nodiscard]] std::uint64_t retries() const { return retries_; }
 
   private:
-    http::Client& next();
+    http::Client& currentNode();
     EventLoop& loop_;
     const Settings& settings_;
     std::vector<std::unique_ptr<http::Client>> nodes_;
-    std::size_t at_ = 0;
-    RateLimiter polls_;
+    std::size_t nodeIndex_ = 0;
+    RateLimiter pollLimiter_;
     std::mt19937_64 random_;
     std::uint64_t retries_ = 0;
 };
--- a/src/gateway/queue_owner/counters.h
+++ b/src/gateway/queue_owner/counters.h
@@ -5,7 +5,7 @@
 
 namespace basaltchute::gateway {
 
-/// What an instance has done since it started. `docs/gateway-operations.md` says what each means.
+/// Event counts of an instance since its start; `docs/gateway-operations.md` describes each.
 struct Counters {
     std::uint64_t arrived = 0, duplicates = 0, accepted = 0, rejected = 0, released = 0;
     std::uint64_t finals = 0, replies = 0, repliesAgain = 0, repliesRefused = 0, repliesLost = 0;
--- a/src/gateway/queue_owner/prepare.cpp
+++ b/src/gateway/queue_owner/prepare.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr std::size_t longestKey = 160, longestReplyTo = 256, longestCorrelation = 256;
-constexpr std::size_t largestSubmission = std::size_t{64} * 1024;  // bytes, by the users' interface
-constexpr std::size_t refBytes = 160;
+constexpr std::size_t maxKeyLength = 160, maxReplyToLength = 256, maxCorrelationLength = 256;
+constexpr std::size_t maxSubmissionBytes = std::size_t{64} * 1024;  // limit of the job API
+constexpr std::size_t maxRefBytes = 160;
 
 std::string hashOf(const std::string& text) {
     const XXH128_hash_t h = XXH3_128bits(text.data(), text.size());
@@ -26,22 +26,22 @@
 
 }  // namespace
 
-std::variant<PreparedMessage, std::string> prepare(const QueueSettings& queue,
-                                                   const std::string& origin,
-                                                   const amqp::Message& m) {
+std::variant<PreparedMessage, std::string> prepareMessage(const QueueSettings& queue,
+                                                          const std::string& origin,
+                                                          const amqp::Message& m) {
     PreparedMessage out;
     JournalEntry& e = out.entry;
     e.origin = origin;
     e.digest = XXH3_64bits(m.body.data(), m.body.size());
     e.replyTo = m.replyTo;
-    if (e.replyTo.size() > longestReplyTo) return std::string("reply-to: longer than 256 bytes");
-    // What comes over a listening link is answered over one.
+    if (e.replyTo.size() > maxReplyToLength) return std::string("reply-to: longer than 256 bytes");
+    // Messages from a client's link are answered over a client's link.
     if (origin.empty() && !e.replyTo.empty() &&
         !e.replyTo.starts_with(replyAddressPrefix(queue.name)))
         return "reply-to: expected an address that begins with " + replyAddressPrefix(queue.name);
-    const amqp::Id& back = m.correlation.empty() ? m.id : m.correlation;
-    e.correlation = back.empty() ? "" : back.toText();
-    if (e.correlation.size() > longestCorrelation)
+    const amqp::Id& replyId = m.correlation.empty() ? m.id : m.correlation;
+    e.correlation = replyId.empty() ? "" : replyId.toText();
+    if (e.correlation.size() > maxCorrelationLength)
         return std::string("correlation-id: longer than 256 bytes");
 
     std::string key;
@@ -64,12 +64,12 @@
             content.append("\n").append(k).append("=").append(v);
         key = "c:" + hashOf(content);
     }
-    e.key = key.size() <= longestKey ? key : "h:" + hashOf(key);
+    e.key = key.size() <= maxKeyLength ? key : "h:" + hashOf(key);
 
     auto doc = json::parse(m.body);
     if (!doc || !doc->IsObject()) return std::string("body: expected a JSON object");
     auto& memory = doc->GetAllocator();
-    const auto own = [&](const char* name, const std::string& value) {
+    const auto setOrCheckField = [&](const char* name, const std::string& value) {
         const auto it = doc->FindMember(name);
         if (it == doc->MemberEnd()) {
             doc->AddMember(json::Value(name, memory), json::Value(value.c_str(), memory), memory);
@@ -77,23 +77,23 @@
         }
         return it->value.IsString() && it->value.GetString() == value;
     };
-    if (!own("crew", queue.team)) return "body: \"crew\" expected to be " + queue.team;
-    if (!own("category", queue.jobClass))
+    if (!setOrCheckField("crew", queue.team)) return "body: \"crew\" expected to be " + queue.team;
+    if (!setOrCheckField("category", queue.jobClass))
         return "body: \"category\" expected to be " + queue.jobClass;
     if (doc->HasMember("ref")) return std::string("body: no \"ref\" expected, the ledger gives it");
-    const auto given = json::parse(queue.job);
-    for (const auto& member : given->GetObject())
+    const auto defaults = json::parse(queue.job);
+    for (const auto& member : defaults->GetObject())
         if (!doc->HasMember(member.name))
             doc->AddMember(json::Value(member.name, memory), json::Value(member.value, memory),
                            memory);
     const std::string text = json::text(*doc);
     out.job = text.substr(1, text.size() - 2);
-    if (out.job.size() + refBytes > largestSubmission)
+    if (out.job.size() + maxRefBytes > maxSubmissionBytes)
         return std::string("body: the submission would be larger than 64 KiB");
     return out;
 }
 
-std::string submission(const PreparedMessage& p, const std::string& ref) {
+std::string submissionBody(const PreparedMessage& p, const std::string& ref) {
     return R"({"ref":")" + ref + "\"," + p.job + '}';
 }
 
--- a/src/gateway/queue_owner/prepare.h
+++ b/src/gateway/queue_owner/prepare.h
@@ -8,23 +8,23 @@
 
 namespace basaltchute::gateway {
 
-/// A message as the ledger and the controllers take it.
+/// A message that has been checked and converted to a journal entry and a job submission.
 struct PreparedMessage {
-    JournalEntry entry;      // without a ref; of a message without id, the key of its content
-    std::string job;         // a submission without its ref: JSON members, no braces
-    bool anonymous = false;  // without id
+    JournalEntry entry;  // without a ref; the key of a message without id is a hash of its content
+    std::string job;     // the submission without its ref: JSON members without braces
+    bool anonymous = false;  // the message has no id
     bool redelivered = false;
 };
 
-/// Reads a message of the queue, or says in one line why it can never be taken.
-std::variant<PreparedMessage, std::string> prepare(const QueueSettings& queue,
-                                                   const std::string& origin,
-                                                   const amqp::Message& message);
+/// Checks and converts a message of the queue, or returns the reason why it can never be accepted.
+std::variant<PreparedMessage, std::string> prepareMessage(const QueueSettings& queue,
+                                                          const std::string& origin,
+                                                          const amqp::Message& message);
 
-/// The submission's text.
-std::string submission(const PreparedMessage& prepared, const std::string& ref);
+/// The body of the job submission with this ref.
+std::string submissionBody(const PreparedMessage& prepared, const std::string& ref);
 
-/// The beginning of addresses that replies to a queue's clients are read from.
+/// Prefix of the addresses from which the clients of a queue read replies.
 inline std::string replyAddressPrefix(const QueueName& queue) {
     return "reply/" + queue + '/';
 }
--- a/src/gateway/queue_owner/queue_owner.cpp
+++ b/src/gateway/queue_owner/queue_owner.cpp
@@ -15,16 +15,16 @@
 
 namespace {
 
-constexpr std::size_t flightWindow = 16;  // replies without disposition, to one address
-// Custody goes before results by so much: where writes are scarce, one of them then stands for
-// more results.
+constexpr std::size_t maxRepliesInFlight = 16;  // unsettled replies per address
+// Journaling of new messages is written before results by this much, so that one write covers more
+// results when the write budget is scarce.
 constexpr Duration resultSlack = 3s;
-constexpr std::size_t pollsAtOnce = 16;
-constexpr Duration laneRest = 1s;  // after a receiver has given a reply back
-constexpr Duration windDownTimeout = 12s;
-constexpr Duration reloadPause = 1s;
-constexpr std::size_t forgetAtOnce = 500;
-constexpr double pageShare = 0.75;  // of the largest value
+constexpr std::size_t maxActivePolls = 16;
+constexpr Duration channelRetryDelay = 1s;  // delay after a receiver released a reply
+constexpr Duration drainTimeout = 12s;
+constexpr Duration loadRetryDelay = 1s;
+constexpr std::size_t maxRemovedAtOnce = 500;
+constexpr double pageShare = 0.75;  // share of the maximum value size
 
 Disposition released() {
     return {Outcome::released, {}, false};
@@ -35,11 +35,11 @@
 constexpr const char* invalidField = "amqp:invalid-field";
 constexpr const char* failedBefore = "amqp:precondition-failed";
 
-/// The key of a run of a message without id, and back.
-std::string runOf(const std::string& content, std::uint32_t run) {
+/// Key of one run of a message without id: content hash and run number.
+std::string runKeyOf(const std::string& content, std::uint32_t run) {
     return content + '/' + std::to_string(run);
 }
-std::optional<std::pair<std::string, std::uint32_t>> contentOf(const std::string& key) {
+std::optional<std::pair<std::string, std::uint32_t>> parseRunKey(const std::string& key) {
     const auto slash = key.rfind('/');
     if (!key.starts_with("c:") || slash == std::string::npos) return std::nullopt;
     return std::pair(key.substr(0, slash),
@@ -59,11 +59,11 @@
       journal_(services.settings.statePrefix + "q/" + queue.name + '/',
                static_cast<std::size_t>(static_cast<double>(services.settings.state.valueBytes) *
                                         pageShare)),
-      writer_(loop_, services.state, services.settings.state.txnOps, fence_, *this, *this, this),
-      pace_(services.settings.limits.credit),
+      writer_(loop_, services.kvClient, services.settings.state.txnOps, fence_, *this, *this, this),
+      concurrency_(services.settings.limits.credit),
       committed_(loop_),
-      freed_(loop_),
-      polled_(loop_) {}
+      progress_(loop_),
+      pollScheduled_(loop_) {}
 
 std::optional<kv_store::EncodedRecord> QueueOwner::encode(const std::string& key) {
     return journal_.encode(key);
@@ -86,45 +86,46 @@
 }
 
 void QueueOwner::start(std::function<void()> ready) {
-    scope_.spawn(open(std::move(ready)));
+    scope_.spawn(loadAndServe(std::move(ready)));
 }
 
-Task<void> QueueOwner::open(std::function<void()> ready) {
+Task<void> QueueOwner::loadAndServe(std::function<void()> ready) {
     const auto self = shared_from_this();
     const std::string prefix = services_.settings.statePrefix + "q/" + queue_.name + '/';
     while (!scope_.cancelled()) {
-        const auto listing = co_await services_.state.list(prefix, scope_);
+        const auto listing = co_await services_.kvClient.list(prefix, scope_);
         if (scope_.cancelled()) co_return;
         if (listing.status == kv_store::Status::ok) {
-            // A record that cannot be read is not guessed at: what it held might run twice.
+            // The queue is not served with an unreadable record: its messages might run twice.
             if (!load(listing.entries)) co_return;
             break;
         }
-        co_await loop_.sleep(reloadPause, scope_);
+        co_await loop_.sleep(loadRetryDelay, scope_);
     }
     if (scope_.cancelled()) co_return;
     ready_ = true;
     scope_.spawn(writer_.run(scope_));
-    scope_.spawn(everySecond());
-    scope_.spawn(pollAll());
-    scope_.spawn(forget());
+    scope_.spawn(adjustCreditEverySecond());
+    scope_.spawn(runPolls());
+    scope_.spawn(removeExpiredEntries());
     ready();
 }
 
 bool QueueOwner::load(const std::vector<kv_store::KeyValue>& items) {
     for (const auto& item : items) {
         if (const auto wrong = journal_.load(item.key, item.data)) {
-            spdlog::error("queue {} is not served: {}", queue_.name, *wrong);
+            spdlog::error("queue is not served, its journal is invalid: queue={} error={}",
+                          queue_.name, *wrong);
             return false;
         }
         writer_.setKnownRevision(item.key, item.revision);
     }
     journal_.forEach([&](const JournalEntry& e) {
         if (e.stage == Stage::entered || e.stage == Stage::accepted)
-            pollLater(e.key, Duration::zero());
-        if (e.stage == Stage::final) lanes_[{e.origin, e.replyTo}].waiting.insert(e.number);
-        if (const auto run = contentOf(e.key)) {
-            auto& runs = runs_[run->first];
+            schedulePoll(e.key, Duration::zero());
+        if (e.stage == Stage::final) replyChannels_[{e.origin, e.replyTo}].pending.insert(e.number);
+        if (const auto run = parseRunKey(e.key)) {
+            auto& runs = lastRuns_[run->first];
             runs = std::max(runs, run->second);
         }
     });
@@ -140,125 +141,129 @@
 Task<void> QueueOwner::drain() {
     const auto self = shared_from_this();
     closing_ = true;
-    for (const auto& [place, inlet] : inlets_)
-        if (const auto c = inlet.connection.lock()) c->drain(place.second);
-    const TimePoint until = loop_.now() + windDownTimeout;
-    const auto flying = [&] {
-        return std::any_of(lanes_.begin(), lanes_.end(),
-                           [](const auto& l) { return !l.second.flying.empty(); });
+    for (const auto& [linkKey, receivingLink] : receivingLinks_)
+        if (const auto c = receivingLink.connection.lock()) c->drain(linkKey.second);
+    const TimePoint until = loop_.now() + drainTimeout;
+    const auto inFlight = [&] {
+        return std::any_of(replyChannels_.begin(), replyChannels_.end(),
+                           [](const auto& l) { return !l.second.inFlight.empty(); });
     };
-    while ((!unsettled_.empty() || flying()) && loop_.now() < until && !scope_.cancelled())
-        co_await loop_.wait(freed_, loop_.now() + 100ms, scope_);
+    while ((!unsettled_.empty() || inFlight()) && loop_.now() < until && !scope_.cancelled())
+        co_await loop_.wait(progress_, loop_.now() + 100ms, scope_);
 }
 
-// Inlets and credit.
+// Receiving links and credit.
 
 void QueueOwner::addReceivingLink(const std::shared_ptr<amqp::Connection>& connection,
                                   amqp::LinkId link, std::string origin) {
-    const Place place{connection.get(), link};
-    inlets_[place] = {connection, std::move(origin), 0};
-    refill(place, inlets_[place]);
+    const LinkKey linkKey{connection.get(), link};
+    receivingLinks_[linkKey] = {connection, std::move(origin), 0};
+    replenishCredit(linkKey, receivingLinks_[linkKey]);
 }
-void QueueOwner::refill(const Place& place, Inlet& inlet) {
-    const auto c = inlet.connection.lock();
+void QueueOwner::replenishCredit(const LinkKey& linkKey, ReceivingLink& receivingLink) {
+    const auto c = receivingLink.connection.lock();
     if (!c || closing_ || !ready_) return;
-    // The team's room, as far as the gateway knows it: jobs of this queue that are not over.
+    // Limit of the team's unfinished jobs, as far as the gateway knows them.
     const std::size_t used = journal_.unfinished() + unsettled_.size();
-    const std::size_t room = queue_.unfinished > used ? queue_.unfinished - used : 0;
-    const auto each =
-        static_cast<std::size_t>(pace_.window()) / std::max<std::size_t>(1, inlets_.size());
-    const auto fair = std::min<std::size_t>(std::max<std::size_t>(1, each), room);
-    const int aim = std::min(static_cast<int>(fair), services_.memoryWindow());
-    c->addCredit(place.second, aim - c->credit(place.second) - inlet.inHand);
+    const std::size_t remainingJobs = queue_.unfinished > used ? queue_.unfinished - used : 0;
+    const auto each = static_cast<std::size_t>(concurrency_.window()) /
+                      std::max<std::size_t>(1, receivingLinks_.size());
+    const auto creditShare = std::min<std::size_t>(std::max<std::size_t>(1, each), remainingJobs);
+    const int targetCredit = std::min(static_cast<int>(creditShare), services_.maxCreditByMemory());
+    c->addCredit(linkKey.second,
+                 targetCredit - c->credit(linkKey.second) - receivingLink.unsettled);
 }
-void QueueOwner::refillAll() {
-    for (auto& [place, inlet] : inlets_) refill(place, inlet);
+void QueueOwner::replenishAllCredit() {
+    for (auto& [linkKey, receivingLink] : receivingLinks_) replenishCredit(linkKey, receivingLink);
 }
 
 Duration QueueOwner::oldestUnsettledAge() const {
     return unsettled_.empty() ? Duration::zero() : loop_.now() - *unsettled_.begin();
 }
 
-Task<void> QueueOwner::everySecond() {
+Task<void> QueueOwner::adjustCreditEverySecond() {
     while (!scope_.cancelled()) {
         co_await loop_.sleep(1s, scope_);
         if (scope_.cancelled()) co_return;
-        // A message waits for a write at least, however few there are: one write carries them all.
-        pace_.observe(oldestUnsettledAge(), services_.settings.limits.age + 2 * round_);
-        refillAll();
+        // Each message waits for at least one write, which all waiting messages share.
+        concurrency_.observe(oldestUnsettledAge(),
+                             services_.settings.limits.age + 2 * averageCommitTime_);
+        replenishAllCredit();
         sendReplies();
     }
 }
 
-// From arrival to custody.
+// From arrival to acceptance by the controllers.
 
 void QueueOwner::trackArrival(const IncomingMessage& a) {
-    unsettled_.insert(a.since);
+    unsettled_.insert(a.receivedAt);
     ++services_.counters.arrived;
     const auto c = a.connection.lock();
-    const auto inlet = inlets_.find({c.get(), a.link});
-    if (inlet != inlets_.end()) ++inlet->second.inHand;
+    const auto receivingLink = receivingLinks_.find({c.get(), a.link});
+    if (receivingLink != receivingLinks_.end()) ++receivingLink->second.unsettled;
 }
 
 Task<void> QueueOwner::processMessage(IncomingMessage a) {
     const auto self = shared_from_this();
     std::string origin;
-    const auto before = a.connection.lock();
-    if (const auto it = inlets_.find({before.get(), a.link}); it != inlets_.end())
+    const auto connection = a.connection.lock();
+    if (const auto it = receivingLinks_.find({connection.get(), a.link});
+        it != receivingLinks_.end())
         origin = it->second.origin;
     Disposition d;
     if (scope_.cancelled())
         d = released();
     else
-        d = co_await decide(a, origin);
+        d = co_await handleMessage(a, origin);
     auto& n = services_.counters;
     if (d.outcome == Outcome::accepted) ++n.accepted;
     if (d.outcome == Outcome::rejected) ++n.rejected;
     if (d.outcome == Outcome::released) ++n.released;
-    if (before) before->settle(a.delivery, d);
-    unsettled_.erase(unsettled_.find(a.since));
-    const Place place{before.get(), a.link};
-    if (const auto it = inlets_.find(place); it != inlets_.end()) {
-        --it->second.inHand;
-        refill(place, it->second);
+    if (connection) connection->settle(a.delivery, d);
+    unsettled_.erase(unsettled_.find(a.receivedAt));
+    const LinkKey linkKey{connection.get(), a.link};
+    if (const auto it = receivingLinks_.find(linkKey); it != receivingLinks_.end()) {
+        --it->second.unsettled;
+        replenishCredit(linkKey, it->second);
     }
-    freed_.notify();
+    progress_.notify();
 }
 
-std::optional<std::string> QueueOwner::runKey(const PreparedMessage& p) {
+std::optional<std::string> QueueOwner::anonymousKey(const PreparedMessage& p) {
     const std::string& content = p.entry.key;
-    const std::uint32_t last = runs_.contains(content) ? runs_.at(content) : 0;
+    const std::uint32_t last = lastRuns_.contains(content) ? lastRuns_.at(content) : 0;
     if (p.redelivered && last > 0) {
-        // A delivery of it failed before. What was not taken then goes on; what was may be the
-        // same message or an equal one, so it runs again as often as its class allows.
-        const JournalEntry* e = journal_.find(runOf(content, last));
+        // An earlier delivery failed. If that run was not submitted for certain, continue it.
+        // Otherwise this may be the same message or an equal one: it runs again as often as the job
+        // class allows.
+        const JournalEntry* e = journal_.find(runKeyOf(content, last));
         if (e != nullptr && e->stage == Stage::entered) return e->key;
         if (last >= queue_.attempts) return std::nullopt;
     }
-    return runOf(content, ++runs_[content]);
+    return runKeyOf(content, ++lastRuns_[content]);
 }
 
-Task<Disposition> QueueOwner::decide(const IncomingMessage& a, const std::string& origin) {
-    if (!a.broken.empty()) co_return rejected("amqp:decode-error", a.broken);
-    auto read = prepare(queue_, origin, a.message);
+Task<Disposition> QueueOwner::handleMessage(const IncomingMessage& a, const std::string& origin) {
+    if (!a.decodeError.empty()) co_return rejected("amqp:decode-error", a.decodeError);
+    auto read = prepareMessage(queue_, origin, a.message);
     if (const auto* why = std::get_if<std::string>(&read)) co_return rejected(invalidField, *why);
     auto& p = std::get<PreparedMessage>(read);
     if (!journal_.fits(p.entry)) co_return rejected(invalidField, "its addresses are too long");
     if (p.anonymous && queue_.withoutId == WithoutId::atLeastOnce) {
-        auto key = runKey(p);
+        auto key = anonymousKey(p);
         if (!key)
             co_return rejected(failedBefore,
                                "ran " + std::to_string(queue_.attempts) + " times before");
         p.entry.key = std::move(*key);
     }
-    auto d = co_await enter(std::move(p));
+    auto d = co_await journalAndSubmit(std::move(p));
     co_return d;
 }
 
-Task<Disposition> QueueOwner::enter(PreparedMessage p) {
+Task<Disposition> QueueOwner::journalAndSubmit(PreparedMessage p) {
     const std::string key = p.entry.key;
-    while (busy_.contains(key)) {
-        const WakeReason woke = co_await loop_.wait(freed_, TimePoint::max(), scope_);
+    while (busyKeys_.contains(key)) {
+        const WakeReason woke = co_await loop_.wait(progress_, TimePoint::max(), scope_);
         if (woke == WakeReason::cancelled) co_return released();
     }
     const JournalEntry* known = journal_.find(key);
@@ -268,8 +273,8 @@
         ++services_.counters.duplicates;
         if (known->stage != Stage::refused) co_return Disposition{Outcome::accepted, {}, false};
         const std::string why = known->reason;
-        const bool stands = co_await standing(key);
-        if (!stands) co_return released();
+        const bool durable = co_await waitUntilDurable(key);
+        if (!durable) co_return released();
         co_return rejected(invalidField, why);
     }
     if (closing_) co_return released();
@@ -278,69 +283,70 @@
         QueueOwner& queueOwner;
         const std::string& key;
         Busy(QueueOwner& t, const std::string& k) : queueOwner(t), key(k) {
-            queueOwner.busy_.insert(key);
+            queueOwner.busyKeys_.insert(key);
         }
         Busy(const Busy&) = delete;
         Busy& operator=(const Busy&) = delete;
         ~Busy() {
-            queueOwner.busy_.erase(key);
-            queueOwner.freed_.notify();
+            queueOwner.busyKeys_.erase(key);
+            queueOwner.progress_.notify();
         }
     };
     const Busy busy(*this, key);
     if (known == nullptr) {
-        const auto ref = co_await services_.refs.next(scope_);
+        const auto ref = co_await services_.jobIds.next(scope_);
         if (!ref || scope_.cancelled()) co_return released();
         p.entry.ref = *ref;
-        // Until its job is known to exist, the entry is worth no more than a repetition.
-        p.entry.expiresAt = forgetAt();
-        changed(journal_.add(p.entry), kv_store::WritePriority::userRequest);
+        // Until the job is known to exist, losing the entry only leads to a redelivery, so it may
+        // expire.
+        p.entry.expiresAt = expiryTime();
+        markDirty(journal_.add(p.entry), kv_store::WritePriority::userRequest);
     } else {
         p.entry.ref = known->ref;
-        change(key, kv_store::WritePriority::userRequest, [&](JournalEntry& e) {
+        updateEntry(key, kv_store::WritePriority::userRequest, [&](JournalEntry& e) {
             ++e.attempts;
-            e.expiresAt = forgetAt();
+            e.expiresAt = expiryTime();
         });
     }
     const TimePoint asked = loop_.now();
-    const bool entered = co_await standing(key);
-    round_ += (loop_.now() - asked - round_) / 8;
-    if (!entered || !services_.holds(queue_.name)) co_return released();
+    const bool entered = co_await waitUntilDurable(key);
+    averageCommitTime_ += (loop_.now() - asked - averageCommitTime_) / 8;
+    if (!entered || !services_.ownsQueue(queue_.name)) co_return released();
 
-    std::string text = submission(p, p.entry.ref);
+    std::string text = submissionBody(p, p.entry.ref);
     const auto answer = co_await services_.controllers.submit(std::move(text), scope_);
     if (scope_.cancelled()) co_return released();
-    using Kind = ControllerClient::Answer::Kind;
-    // A poll may have found the job meanwhile.
+    using Kind = ControllerClient::SubmitResult::Kind;
+    // A poll may have found the job in the meantime.
     const bool open = journal_.find(key) != nullptr && journal_.find(key)->stage == Stage::entered;
     if (answer.kind == Kind::undecided && open) {
-        // It may have been taken nevertheless, and the message may never come again.
-        pollLater(key, services_.settings.limits.poll);
+        // A controller may have accepted it anyway, and the message may never be redelivered.
+        schedulePoll(key, services_.settings.limits.poll);
         co_return released();
     }
     const bool refuse = answer.kind == Kind::refused && open;
     if (refuse) {
-        change(key, kv_store::WritePriority::userRequest, [&](JournalEntry& e) {
+        updateEntry(key, kv_store::WritePriority::userRequest, [&](JournalEntry& e) {
             e.stage = Stage::refused;
             e.reason = answer.text;
-            e.expiresAt = forgetAt();
+            e.expiresAt = expiryTime();
         });
     } else if (open) {
-        // Custody has passed already: the ref stands here and the job with the controllers, so
-        // that whoever owns the queue next finds it by a poll. This note of it takes its time.
-        change(key, kv_store::WritePriority::background, [](JournalEntry& e) {
+        // The ref is committed and the controllers have the job, so that a later owner of the queue
+        // finds the job by polling. This change can be written with low priority.
+        updateEntry(key, kv_store::WritePriority::background, [](JournalEntry& e) {
             e.stage = Stage::accepted;
             e.expiresAt = WallMillis(0);
         });
-        pollLater(key, services_.settings.limits.poll);
+        schedulePoll(key, services_.settings.limits.poll);
     }
     if (!refuse) co_return Disposition{Outcome::accepted, {}, false};
-    const bool stands = co_await standing(key);
-    if (!stands) co_return released();
+    const bool durable = co_await waitUntilDurable(key);
+    if (!durable) co_return released();
     co_return rejected(invalidField, answer.text);
 }
 
-Task<bool> QueueOwner::standing(std::string key) {
+Task<bool> QueueOwner::waitUntilDurable(std::string key) {
     while (!journal_.isDurable(key)) {
         if (journal_.find(key) == nullptr) co_return false;
         const WakeReason woke = co_await loop_.wait(committed_, TimePoint::max(), scope_);
@@ -349,117 +355,121 @@
     co_return !scope_.cancelled();
 }
 
-void QueueOwner::changed(const std::string& record, kv_store::WritePriority urgency) {
-    writer_.markDirty(record, urgency);
+void QueueOwner::markDirty(const std::string& record, kv_store::WritePriority priority) {
+    writer_.markDirty(record, priority);
 }
-void QueueOwner::change(const std::string& key, kv_store::WritePriority urgency,
-                        const std::function<void(JournalEntry&)>& how) {
-    changed(journal_.change(key, how), urgency);
+void QueueOwner::updateEntry(const std::string& key, kv_store::WritePriority priority,
+                             const std::function<void(JournalEntry&)>& modify) {
+    markDirty(journal_.update(key, modify), priority);
 }
-WallMillis QueueOwner::forgetAt() const {
+WallMillis QueueOwner::expiryTime() const {
     return loop_.clock().wall() + queue_.retain;
 }
 
-// From custody to the result.
+// From acceptance to the result.
 
-void QueueOwner::pollLater(const std::string& key, Duration in) {
-    // One poll at a time: a message that comes again must not have its job asked for twice as
-    // often.
-    if (!followed_.insert(key).second) return;
-    polls_.emplace(loop_.now() + in, key);
-    polled_.notify();
+void QueueOwner::schedulePoll(const std::string& key, Duration in) {
+    // One poll per key: a redelivered message must not double the polling of its job.
+    if (!polledKeys_.insert(key).second) return;
+    pollSchedule_.emplace(loop_.now() + in, key);
+    pollScheduled_.notify();
 }
 
-Task<void> QueueOwner::pollAll() {
+Task<void> QueueOwner::runPolls() {
     while (!scope_.cancelled()) {
-        if (polls_.empty() || polls_.begin()->first > loop_.now()) {
-            const TimePoint until = polls_.empty() ? TimePoint::max() : polls_.begin()->first;
-            co_await loop_.wait(polled_, until, scope_);
+        if (pollSchedule_.empty() || pollSchedule_.begin()->first > loop_.now()) {
+            const TimePoint until =
+                pollSchedule_.empty() ? TimePoint::max() : pollSchedule_.begin()->first;
+            co_await loop_.wait(pollScheduled_, until, scope_);
             continue;
         }
-        if (pollsUnderWay_ >= pollsAtOnce || !services_.controllers.polls().tryTake(loop_.now())) {
-            const Duration pause = services_.controllers.polls().timeUntil(loop_.now());
+        if (activePolls_ >= maxActivePolls ||
+            !services_.controllers.pollLimiter().tryTake(loop_.now())) {
+            const Duration pause = services_.controllers.pollLimiter().timeUntil(loop_.now());
             co_await loop_.sleep(std::max(pause, Duration(20ms)), scope_);
             continue;
         }
-        std::string key = polls_.begin()->second;
-        polls_.erase(polls_.begin());
-        ++pollsUnderWay_;
+        std::string key = pollSchedule_.begin()->second;
+        pollSchedule_.erase(pollSchedule_.begin());
+        ++activePolls_;
         scope_.spawn(poll(std::move(key)));
     }
 }
 
 Task<void> QueueOwner::poll(std::string key) {
     const JournalEntry* e = journal_.find(key);
-    ControllerClient::State state;
-    const bool asked = e != nullptr && !busy_.contains(key);
+    ControllerClient::JobState state;
+    const bool asked = e != nullptr && !busyKeys_.contains(key);
     if (asked) state = co_await services_.controllers.query(e->ref, scope_);
-    --pollsUnderWay_;
+    --activePolls_;
     if (scope_.cancelled()) co_return;
-    followed_.erase(key);
+    polledKeys_.erase(key);
     e = journal_.find(key);
     if (e == nullptr || (e->stage != Stage::entered && e->stage != Stage::accepted)) co_return;
-    using Kind = ControllerClient::State::Kind;
-    if (state.kind == Kind::known && !busy_.contains(key)) {
+    using Kind = ControllerClient::JobState::Kind;
+    if (state.kind == Kind::known && !busyKeys_.contains(key)) {
         if (state.status == "done" || state.status == "cancelled") {
-            finish(key, state.status);
+            recordResult(key, state.status);
             co_return;
         }
         if (e->stage == Stage::entered)
-            change(key, kv_store::WritePriority::background, [](JournalEntry& entry) {
+            updateEntry(key, kv_store::WritePriority::background, [](JournalEntry& entry) {
                 entry.stage = Stage::accepted;
                 entry.expiresAt = WallMillis(0);
             });
     }
     if (state.kind == Kind::unknown && e->stage == Stage::accepted)
-        spdlog::error("queue {}: accepted job {} is not known any more", queue_.name, e->ref);
-    pollLater(key, services_.settings.limits.poll);
+        spdlog::error("controllers no longer know an accepted job: queue={} job={}", queue_.name,
+                      e->ref);
+    schedulePoll(key, services_.settings.limits.poll);
 }
 
-void QueueOwner::finish(const std::string& key, const std::string& status) {
+void QueueOwner::recordResult(const std::string& key, const std::string& status) {
     ++services_.counters.finals;
     const std::uint64_t number = journal_.nextNumber();
-    change(key, kv_store::WritePriority::immediate, [&](JournalEntry& e) {
+    updateEntry(key, kv_store::WritePriority::immediate, [&](JournalEntry& e) {
         e.status = status;
         e.number = number;
         e.stage = e.replyTo.empty() ? Stage::replied : Stage::final;
-        e.expiresAt = forgetAt();
+        e.expiresAt = expiryTime();
     });
     const JournalEntry& e = *journal_.find(key);
-    if (e.stage == Stage::final) lanes_[{e.origin, e.replyTo}].waiting.insert(number);
+    if (e.stage == Stage::final) replyChannels_[{e.origin, e.replyTo}].pending.insert(number);
 }
 
 // Replies.
 
 void QueueOwner::sendReplies() {
-    if (!ready_ || closing_ || !services_.holds(queue_.name)) return;
-    for (auto it = lanes_.begin(); it != lanes_.end();) {
-        auto& [key, lane] = *it;
-        if (lane.waiting.empty()) {
-            it = lane.flying.empty() ? lanes_.erase(it) : std::next(it);
+    if (!ready_ || closing_ || !services_.ownsQueue(queue_.name)) return;
+    for (auto it = replyChannels_.begin(); it != replyChannels_.end();) {
+        auto& [key, channel] = *it;
+        if (channel.pending.empty()) {
+            it = channel.inFlight.empty() ? replyChannels_.erase(it) : std::next(it);
             continue;
         }
-        const auto outlet =
-            lane.notBefore > loop_.now() ? std::nullopt : services_.outlet(key.first, key.second);
-        if (outlet) send(key, lane, *outlet);
+        const auto replyLink = channel.notBefore > loop_.now()
+                                   ? std::nullopt
+                                   : services_.findReplyLink(key.first, key.second);
+        if (replyLink) send(key, channel, *replyLink);
         ++it;
     }
 }
 
-void QueueOwner::send(const LaneKey& to, Lane& lane, const ReplyLink& outlet) {
-    while (!lane.waiting.empty() && lane.flying.size() < flightWindow &&
-           outlet.connection->credit(outlet.link) > 0) {
-        const std::uint64_t number = *lane.waiting.begin();
+void QueueOwner::send(const ReplyChannelKey& to, ReplyChannel& channel,
+                      const ReplyLink& replyLink) {
+    while (!channel.pending.empty() && channel.inFlight.size() < maxRepliesInFlight &&
+           replyLink.connection->credit(replyLink.link) > 0) {
+        const std::uint64_t number = *channel.pending.begin();
         const auto unsent = journal_.unsent().find(number);
         if (unsent == journal_.unsent().end()) {
-            lane.waiting.erase(number);  // forgotten
+            channel.pending.erase(number);  // the entry has expired
             continue;
         }
-        // Only what stands is told, and nothing overtakes it.
+        // Only committed results are sent, and no later result overtakes them.
         if (!journal_.isDurable(unsent->second)) return;
         const JournalEntry& e = *journal_.find(unsent->second);
         amqp::Message m;
-        // The receiver's key: the same however often this reply has to be sent.
+        // Lets the receiver detect duplicates: the same id each time this reply is sent.
         m.id = {amqp::Id::Kind::text, "result/" + e.ref};
         m.correlation = amqp::Id::fromText(e.correlation).value_or(amqp::Id{});
         m.to = to.second;
@@ -471,122 +481,124 @@
         m.body = body.text();
         const auto bytes = amqp::encode(m);
         const std::string tag = std::to_string(serial_) + '.' + std::to_string(nextTag_++);
-        if (!bytes || !outlet.connection->send(outlet.link, *bytes, tag)) return;
-        lane.waiting.erase(number);
-        lane.flying[tag] = {number, {outlet.connection.get(), outlet.link}};
+        if (!bytes || !replyLink.connection->send(replyLink.link, *bytes, tag)) return;
+        channel.pending.erase(number);
+        channel.inFlight[tag] = {number, {replyLink.connection.get(), replyLink.link}};
         ++services_.counters.replies;
     }
 }
 
-void QueueOwner::answered(const std::string& key, const std::string& why) {
-    change(key, kv_store::WritePriority::immediate, [&](JournalEntry& e) {
+void QueueOwner::recordReplyOutcome(const std::string& key, const std::string& why) {
+    updateEntry(key, kv_store::WritePriority::immediate, [&](JournalEntry& e) {
         e.stage = Stage::replied;
         e.reason = why;
-        e.expiresAt = forgetAt();
+        e.expiresAt = expiryTime();
     });
 }
 
 void QueueOwner::handleReplyDisposition(const std::string& tag, const Disposition& d) {
-    for (auto& [key, lane] : lanes_) {
-        const auto flight = lane.flying.find(tag);
-        if (flight == lane.flying.end()) continue;
+    for (auto& [key, channel] : replyChannels_) {
+        const auto flight = channel.inFlight.find(tag);
+        if (flight == channel.inFlight.end()) continue;
         const std::uint64_t number = flight->second.number;
-        lane.flying.erase(flight);
+        channel.inFlight.erase(flight);
         const auto unsent = journal_.unsent().find(number);
         if (unsent == journal_.unsent().end()) break;
-        const std::string entry = unsent->second;  // leaves the index when it is answered
+        const std::string entry =
+            unsent->second;  // copied: the entry leaves the index when its outcome is recorded
         if (d.outcome == Outcome::released || d.outcome == Outcome::modified) {
-            lane.waiting.insert(number);
-            lane.notBefore = loop_.now() + laneRest;
+            channel.pending.insert(number);
+            channel.notBefore = loop_.now() + channelRetryDelay;
             ++services_.counters.repliesAgain;
         } else if (d.outcome == Outcome::rejected) {
             ++services_.counters.repliesRefused;
-            spdlog::warn("queue {}: a reply to {} was refused: {} {}", queue_.name, key.second,
-                         d.condition.name, d.condition.description);
-            answered(entry, "refused: " + d.condition.description);
+            spdlog::warn("reply was rejected: queue={} address={} condition={} description={}",
+                         queue_.name, key.second, d.condition.name, d.condition.description);
+            recordReplyOutcome(entry, "refused: " + d.condition.description);
         } else {
-            answered(entry, "");
+            recordReplyOutcome(entry, "");
         }
         break;
     }
-    freed_.notify();
+    progress_.notify();
     sendReplies();
 }
 
 void QueueOwner::linkClosed(const amqp::Connection& connection, amqp::LinkId link) {
-    const Place place{&connection, link};
-    inlets_.erase(place);
-    for (auto& [key, lane] : lanes_)
-        for (auto it = lane.flying.begin(); it != lane.flying.end();) {
-            if (it->second.place != place) {
+    const LinkKey linkKey{&connection, link};
+    receivingLinks_.erase(linkKey);
+    for (auto& [key, channel] : replyChannels_)
+        for (auto it = channel.inFlight.begin(); it != channel.inFlight.end();) {
+            if (it->second.linkKey != linkKey) {
                 ++it;
                 continue;
             }
-            // It may have arrived or not: sent again under the same id.
-            lane.waiting.insert(it->second.number);
+            // It may have arrived or not: it is sent again with the same id.
+            channel.pending.insert(it->second.number);
             ++services_.counters.repliesAgain;
-            it = lane.flying.erase(it);
+            it = channel.inFlight.erase(it);
         }
-    freed_.notify();
+    progress_.notify();
 }
 
 std::optional<std::string> QueueOwner::replay(const std::string& key) {
     const JournalEntry* e = journal_.find(key);
     if (e == nullptr) return "no such key in " + queue_.name;
     if (e->stage == Stage::refused) {
-        // The message may be sent again, from the dead letters or anew, and goes on from here.
-        change(key, kv_store::WritePriority::userRequest, [&](JournalEntry& entry) {
+        // The message may be sent again, from the dead letters or as a new one, and continues from
+        // here.
+        updateEntry(key, kv_store::WritePriority::userRequest, [&](JournalEntry& entry) {
             entry.stage = Stage::entered;
             entry.reason.clear();
-            entry.expiresAt = forgetAt();
+            entry.expiresAt = expiryTime();
         });
         return std::nullopt;
     }
     if (e->stage != Stage::replied || e->replyTo.empty())
         return key + " is " + nameOf(e->stage) +
                (e->replyTo.empty() ? " and has no reply-to" : ": there is nothing to send again");
-    change(key, kv_store::WritePriority::userRequest, [&](JournalEntry& entry) {
+    updateEntry(key, kv_store::WritePriority::userRequest, [&](JournalEntry& entry) {
         entry.stage = Stage::final;
         entry.reason.clear();
-        entry.expiresAt = forgetAt();
+        entry.expiresAt = expiryTime();
     });
-    lanes_[{e->origin, e->replyTo}].waiting.insert(e->number);
+    replyChannels_[{e->origin, e->replyTo}].pending.insert(e->number);
     return std::nullopt;
 }
 
-// The end of an entry.
+// Expiry of entries.
 
-Task<void> QueueOwner::forget() {
+Task<void> QueueOwner::removeExpiredEntries() {
     const Duration every = std::clamp<Duration>(queue_.retain / 100, 1s, 60s);
     while (!scope_.cancelled()) {
         co_await loop_.sleep(every, scope_);
         if (scope_.cancelled()) co_return;
-        if (!services_.holds(queue_.name)) continue;
-        const auto gone = journal_.forget(loop_.clock().wall(), forgetAtOnce);
+        if (!services_.ownsQueue(queue_.name)) continue;
+        const auto gone = journal_.removeExpired(loop_.clock().wall(), maxRemovedAtOnce);
         for (const auto& record : gone.changed)
-            changed(record, kv_store::WritePriority::background);
+            markDirty(record, kv_store::WritePriority::background);
         for (const auto& key : gone.keys)
-            if (const auto run = contentOf(key)) {
-                const auto last = runs_.find(run->first);
-                if (last != runs_.end() && last->second == run->second) runs_.erase(last);
+            if (const auto run = parseRunKey(key)) {
+                const auto last = lastRuns_.find(run->first);
+                if (last != lastRuns_.end() && last->second == run->second) lastRuns_.erase(last);
             }
         if (gone.unsent > 0) {
             services_.counters.repliesLost += gone.unsent;
-            spdlog::error("queue {}: {} results were never fetched and are forgotten", queue_.name,
+            spdlog::error("undelivered results expired: queue={} count={}", queue_.name,
                           gone.unsent);
         }
-        auto records = journal_.closing();
+        auto records = journal_.deletableRecords();
         if (records.empty()) continue;
         const auto most = std::min(static_cast<double>(services_.settings.state.txnOps),
-                                   std::floor(services_.state.writeLimiter().burst()));
+                                   std::floor(services_.kvClient.writeLimiter().burst()));
         records.resize(std::min(records.size(), static_cast<std::size_t>(most)));
-        const bool may =
+        const bool acquired =
             co_await services_.writeLimiter.acquire(static_cast<double>(records.size()), scope_);
-        if (!may) co_return;
+        if (!acquired) co_return;
         kv_store::Transaction txn;
         txn.preconditions = {fence_};
         txn.deletes = records;
-        const auto committed = co_await services_.state.commit(std::move(txn), scope_);
+        const auto committed = co_await services_.kvClient.commit(std::move(txn), scope_);
         if (committed.status != kv_store::Status::ok) continue;
         for (const auto& record : records) {
             journal_.deleted(record);
--- a/src/gateway/queue_owner/queue_owner.h
+++ b/src/gateway/queue_owner/queue_owner.h
@@ -19,14 +19,14 @@
 
 namespace basaltchute::gateway {
 
-/// A message that came on some link and has no disposition yet.
+/// A received message that has not been settled yet.
 struct IncomingMessage {
     std::weak_ptr<amqp::Connection> connection;
     amqp::LinkId link = 0;
     amqp::DeliveryId delivery = 0;
     amqp::Message message;
-    std::string broken;  // why there is no message
-    TimePoint since{};
+    std::string decodeError;  // why the message could not be decoded; empty if it could
+    TimePoint receivedAt{};
 };
 
 /// A link on which replies to one address can be sent.
@@ -35,26 +35,29 @@
     amqp::LinkId link = 0;
 };
 
-/// What a queue's owner needs of the instance.
+/// What a queue owner uses of its gateway instance.
 struct Services {
     EventLoop& loop;
     const Settings& settings;
-    kv_store::Client& state;
+    kv_store::Client& kvClient;
     ControllerClient& controllers;
-    JobIdAllocator& refs;
+    JobIdAllocator& jobIds;
     Counters& counters;
     WriteLimiter& writeLimiter;
-    std::function<bool(const QueueName&)> holds;   // by the clock, now
-    std::function<void(const QueueName&)> fenced;  // a write met another owner's fence
+    std::function<bool(const QueueName&)>
+        ownsQueue;  // whether the lease is valid now and covers the queue
+    std::function<void(const QueueName&)>
+        fenced;  // a write failed because another instance owns the queue
     std::function<std::optional<ReplyLink>(const std::string& origin, const std::string& replyTo)>
-        outlet;
-    std::function<int()> memoryWindow;  // credit that the memory allows a link
+        findReplyLink;
+    std::function<int()> maxCreditByMemory;  // credit per link that the memory limit allows
 };
 
-/// What an instance does for a queue while it owns it: takes messages into custody step by step,
-/// follows their jobs, and sends results in the order in which they became final. Each step stands
-/// in the ledger before the next one begins, so that whoever owns the queue next repeats at most
-/// one step, which has no further effect. `docs/amqp.md` has the reasoning.
+/// Serves one queue while the instance owns it: journals each message, submits its job, polls the
+/// job and sends the result to the reply address, in the order in which the results became final.
+/// Each step is committed to the journal before the next one begins, so that the next owner of the
+/// queue repeats at most one step, and the repetition has no further effect. `docs/amqp.md` gives
+/// the reasons. Created by Gateway when the instance gains the queue.
 class QueueOwner : public std::enable_shared_from_this<QueueOwner>,
                    private kv_store::RecordSource,
                    private kv_store::WriteObserver,
@@ -63,79 +66,88 @@
     QueueOwner(Services& services, const QueueSettings& queue, kv_store::Precondition fence,
                std::uint64_t serial);
 
-    /// Reads the ledger, then serves until `end`.
+    /// Loads the journal, then serves the queue until `end`. `ready` is called after loading.
     void start(std::function<void()> ready);
     [[nodiscard]] bool ready() const { return ready_; }
     [[nodiscard]] bool closing() const { return closing_; }
-    /// Takes nothing new and ends what is under way; nothing of it is unsettled afterwards.
+    /// Accepts no more messages and waits for those in progress and for replies in flight, for a
+    /// limited time.
     Task<void> drain();
-    /// Ends at once.
+    /// Cancels all work at once.
     Task<void> end();
 
+    /// Registers a link on which messages of this queue arrive and gives it credit.
+    /// `origin`: name of the source broker; empty for a client.
     void addReceivingLink(const std::shared_ptr<amqp::Connection>& connection, amqp::LinkId link,
                           std::string origin);
-    /// Counts the message as under way; `take` must follow.
+    /// Counts the message as unsettled; a call of `processMessage` must follow.
     void trackArrival(const IncomingMessage& arrival);
+    /// Takes the message through all steps up to its disposition and settles it.
     Task<void> processMessage(IncomingMessage arrival);
 
-    /// Sends what can be sent.
+    /// Sends all replies that are due as far as the links have credit.
     void sendReplies();
+    /// Handles the disposition of the reply with this delivery tag.
     void handleReplyDisposition(const std::string& tag, const amqp::Disposition& disposition);
+    /// Forgets a link; its unsettled replies will be sent again.
     void linkClosed(const amqp::Connection& connection, amqp::LinkId link);
     [[nodiscard]] std::uint64_t serial() const { return serial_; }
 
     [[nodiscard]] const MessageJournal& journal() const { return journal_; }
     [[nodiscard]] const QueueSettings& queue() const { return queue_; }
+    /// Number of received messages without a disposition.
     [[nodiscard]] std::size_t unsettledCount() const { return unsettled_.size(); }
     [[nodiscard]] Duration oldestUnsettledAge() const;
-    [[nodiscard]] int creditWindow() const { return pace_.window(); }
-    [[nodiscard]] std::size_t receivingLinks() const { return inlets_.size(); }
-    /// Sends a result once more, or forgets a refusal. One line if that cannot be.
+    [[nodiscard]] int creditWindow() const { return concurrency_.window(); }
+    [[nodiscard]] std::size_t receivingLinks() const { return receivingLinks_.size(); }
+    /// Sends a delivered result again, or clears a refusal so that the message can be sent again.
+    /// Returns an error text if the entry allows neither.
     std::optional<std::string> replay(const std::string& key);
 
   private:
-    using Place = std::pair<const amqp::Connection*, amqp::LinkId>;
-    struct Inlet {
+    using LinkKey = std::pair<const amqp::Connection*, amqp::LinkId>;
+    struct ReceivingLink {
         std::weak_ptr<amqp::Connection> connection;
         std::string origin;
-        int inHand = 0;  // arrived, without disposition
+        int unsettled = 0;  // received messages without a disposition
     };
-    struct Flight {
+    struct SentReply {
         std::uint64_t number = 0;
-        Place place;
+        LinkKey linkKey;
     };
-    struct Lane {  // replies to one address, in order
-        std::set<std::uint64_t> waiting;
-        std::map<std::string, Flight> flying;  // by tag
+    struct ReplyChannel {  // replies to one address, in order
+        std::set<std::uint64_t> pending;
+        std::map<std::string, SentReply> inFlight;  // by delivery tag
         TimePoint notBefore{};
     };
-    using LaneKey = std::pair<std::string, std::string>;  // origin, reply-to
+    using ReplyChannelKey = std::pair<std::string, std::string>;  // origin, reply-to
 
     std::optional<kv_store::EncodedRecord> encode(const std::string& key) override;
     void onCommitted(const std::string& key, std::uint64_t version) override;
     void onFenced() override;
     double allowance(kv_store::WritePriority mostUrgent, double available) override;
 
-    Task<void> open(std::function<void()> ready);
+    Task<void> loadAndServe(std::function<void()> ready);
     bool load(const std::vector<kv_store::KeyValue>& items);
-    Task<amqp::Disposition> decide(const IncomingMessage& arrival, const std::string& origin);
-    Task<amqp::Disposition> enter(PreparedMessage prepared);
-    [[nodiscard]] std::optional<std::string> runKey(const PreparedMessage& prepared);
-    Task<bool> standing(std::string key);
-    void changed(const std::string& record, kv_store::WritePriority urgency);
-    void change(const std::string& key, kv_store::WritePriority urgency,
-                const std::function<void(JournalEntry&)>& how);
-    void refill(const Place& place, Inlet& inlet);
-    void refillAll();
-    Task<void> everySecond();
-    Task<void> pollAll();
+    Task<amqp::Disposition> handleMessage(const IncomingMessage& arrival,
+                                          const std::string& origin);
+    Task<amqp::Disposition> journalAndSubmit(PreparedMessage prepared);
+    [[nodiscard]] std::optional<std::string> anonymousKey(const PreparedMessage& prepared);
+    Task<bool> waitUntilDurable(std::string key);
+    void markDirty(const std::string& record, kv_store::WritePriority priority);
+    void updateEntry(const std::string& key, kv_store::WritePriority priority,
+                     const std::function<void(JournalEntry&)>& modify);
+    void replenishCredit(const LinkKey& linkKey, ReceivingLink& inlet);
+    void replenishAllCredit();
+    Task<void> adjustCreditEverySecond();
+    Task<void> runPolls();
     Task<void> poll(std::string key);
-    void pollLater(const std::string& key, Duration in);
-    void finish(const std::string& key, const std::string& status);
-    void send(const LaneKey& to, Lane& lane, const ReplyLink& outlet);
-    void answered(const std::string& key, const std::string& why);
-    Task<void> forget();
-    [[nodiscard]] WallMillis forgetAt() const;
+    void schedulePoll(const std::string& key, Duration in);
+    void recordResult(const std::string& key, const std::string& status);
+    void send(const ReplyChannelKey& to, ReplyChannel& channel, const ReplyLink& replyLink);
+    void recordReplyOutcome(const std::string& key, const std::string& why);
+    Task<void> removeExpiredEntries();
+    [[nodiscard]] WallMillis expiryTime() const;
 
     Services& services_;
     EventLoop& loop_;
@@ -145,19 +157,20 @@
     Scope scope_;
     MessageJournal journal_;
     kv_store::TransactionWriter writer_;
-    ConcurrencyLimiter pace_;
-    Duration round_{};  // that an entry lately took to stand
+    ConcurrencyLimiter concurrency_;
+    Duration averageCommitTime_{};  // moving average of the time to commit an entry
     bool ready_ = false, closing_ = false;
-    Event committed_, freed_, polled_;
-    std::map<Place, Inlet> inlets_;
+    Event committed_, progress_, pollScheduled_;
+    std::map<LinkKey, ReceivingLink> receivingLinks_;
     std::multiset<TimePoint> unsettled_;
-    std::set<std::string> busy_;  // keys that a delivery is taken through its steps for
-    std::unordered_map<std::string, std::uint32_t> runs_;  // of messages without id, by content
-    std::map<LaneKey, Lane> lanes_;
+    std::set<std::string> busyKeys_;  // keys of messages that are being processed
+    std::unordered_map<std::string, std::uint32_t>
+        lastRuns_;  // last run of a message without id, by its content hash
+    std::map<ReplyChannelKey, ReplyChannel> replyChannels_;
     std::uint64_t nextTag_ = 1;
-    std::set<std::pair<TimePoint, std::string>> polls_;
-    std::unordered_set<std::string> followed_;  // keys that are to be polled, or just being
-    std::size_t pollsUnderWay_ = 0;
+    std::set<std::pair<TimePoint, std::string>> pollSchedule_;
+    std::unordered_set<std::string> polledKeys_;  // keys with a scheduled or active poll
+    std::size_t activePolls_ = 0;
 };
 
 }  // namespace basaltchute::gateway
--- a/src/gateway/queue_owner/round_robin_queue.h
+++ b/src/gateway/queue_owner/round_robin_queue.h
@@ -6,7 +6,8 @@
 
 namespace basaltchute::gateway {
 
-/// What waits, taken by team in turns: a flood of one team delays another's by one place each.
+/// Serves waiting items of the teams in turn, so that a backlog of one team delays an item of
+/// another by at most one item per team.
 template <typename T>
 class RoundRobinQueue {
   public:
@@ -28,7 +29,7 @@
     [[nodiscard]] std::size_t size() const { return size_; }
 
   private:
-    std::map<std::string, std::deque<T>> waiting_;  // no team without items
+    std::map<std::string, std::deque<T>> waiting_;  // contains no team without items
     std::string last_;
     std::size_t size_ = 0;
 };
--- a/src/gateway/queue_owner/write_limiter.h
+++ b/src/gateway/queue_owner/write_limiter.h
@@ -8,70 +8,76 @@
 
 namespace basaltchute::gateway {
 
-/// The order in which an instance's duties spend its budget of writes. Left to whoever asks at the
-/// right moment, some queue's ledger waited ten times as long as the others, and a block of refs
-/// or a claim of a queue as long as anybody wrote.
+/// Orders the writes of an instance that share one rate limit. Without an order, writers that
+/// happened to ask at the right moment won: the journal of some queue waited ten times as long as
+/// the others, and the reservation of job refs or the claim of a queue waited as long as anybody
+/// else wrote.
 class WriteLimiter {
   public:
     WriteLimiter(EventLoop& loop, RateLimiter& writes) : loop_(loop), writes_(writes) {}
 
-    /// Asked again and again by who wants to write: how many writes it may spend now of those that
-    /// are `available`, 0 until there is one for it and one for each that is due before. Who has
-    /// stopped asking loses its place. `slack`: how much later than work that is asked for now
-    /// this may be done.
-    double tryAcquire(std::uint64_t who, Duration slack, double available) {
-        return enter(who, loop_.now() + slack, available, 1);
+    /// Polled by a writer that wants to write. Returns how many of the `available` writes it may
+    /// use now, or 0 until there is one for it and one for each earlier request. A requester that
+    /// stops polling loses its place. `slack`: how much later than a request made now without slack
+    /// this one may be served.
+    double tryAcquire(std::uint64_t requester, Duration slack, double available) {
+        return requestTurn(requester, loop_.now() + slack, available, 1);
     }
 
-    /// Waits for its turn, ahead of all that pass, and takes `n` writes, which a burst must hold.
-    /// False once the scope is cancelled.
-    Task<bool> acquire(double n, Scope& scope) {
-        const std::uint64_t who = nextOwn_++;
-        const TimePoint due = loop_.now() - ahead;
+    /// Waits, ahead of all `tryAcquire` requests, until `count` writes are available and consumes
+    /// them. `count` must not exceed the burst size. Returns false once the scope is cancelled.
+    Task<bool> acquire(double count, Scope& scope) {
+        const std::uint64_t requester = nextAcquireId_++;
+        const TimePoint due = loop_.now() - acquireHeadStart;
         while (!scope.cancelled()) {
-            if (enter(who, due, writes_.available(loop_.now()), n) > 0) {
-                writes_.tryTake(loop_.now(), n);
+            if (requestTurn(requester, due, writes_.available(loop_.now()), count) > 0) {
+                writes_.tryTake(loop_.now(), count);
                 co_return true;
             }
-            co_await loop_.sleep(again, scope);
+            co_await loop_.sleep(retryInterval, scope);
         }
         co_return false;
     }
 
   private:
-    static constexpr Duration again = std::chrono::milliseconds(50);
-    static constexpr Duration waitTimeout = 4 * again, ahead = std::chrono::minutes(1);
+    static constexpr Duration retryInterval = std::chrono::milliseconds(50);
+    static constexpr Duration requestTimeout = 4 * retryInterval;
+    static constexpr Duration acquireHeadStart = std::chrono::minutes(1);
     struct WaitingEntry {
-        std::uint64_t who = 0;
-        TimePoint due{}, asked{};
+        std::uint64_t requester = 0;
+        TimePoint due{}, lastRequest{};
     };
-    double enter(std::uint64_t who, TimePoint due, double available, double n) {
+    double requestTurn(std::uint64_t requester, TimePoint due, double available, double count) {
         const TimePoint now = loop_.now();
-        std::erase_if(waiting_, [&](const WaitingEntry& p) { return now - p.asked > waitTimeout; });
-        const auto place = std::find_if(waiting_.begin(), waiting_.end(),
-                                        [&](const WaitingEntry& p) { return p.who == who; });
-        if (place == waiting_.end()) {
-            waiting_.push_back({who, due, now});
+        std::erase_if(waiting_, [&](const WaitingEntry& entry) {
+            return now - entry.lastRequest > requestTimeout;
+        });
+        const auto isRequester = [&](const WaitingEntry& entry) {
+            return entry.requester == requester;
+        };
+        const auto known = std::find_if(waiting_.begin(), waiting_.end(), isRequester);
+        if (known == waiting_.end()) {
+            waiting_.push_back({requester, due, now});
         } else {
-            place->asked = now;
-            place->due = std::min(place->due, due);
+            known->lastRequest = now;
+            known->due = std::min(known->due, due);
         }
         std::stable_sort(
             waiting_.begin(), waiting_.end(),
             [](const WaitingEntry& a, const WaitingEntry& b) { return a.due < b.due; });
-        const auto mine = std::find_if(waiting_.begin(), waiting_.end(),
-                                       [&](const WaitingEntry& p) { return p.who == who; });
-        // Whoever is due before may not ask again for a while: what it needs is left for it.
-        const auto before = static_cast<double>(mine - waiting_.begin());
-        if (available < before + n) return 0;
-        waiting_.erase(mine);
-        return available - before;
+        const auto position = std::find_if(waiting_.begin(), waiting_.end(), isRequester);
+        // Earlier requesters may poll again only later: one write stays available for each.
+        const auto earlierRequests = static_cast<double>(position - waiting_.begin());
+        if (available < earlierRequests + count) return 0;
+        waiting_.erase(position);
+        return available - earlierRequests;
     }
 
     EventLoop& loop_;
     RateLimiter& writes_;
-    std::vector<WaitingEntry> waiting_;                // what is due first goes first
-    std::uint64_t nextOwn_ = std::uint64_t{1} << 63U;  // apart from the serials of queue owners
+    std::vector<WaitingEntry> waiting_;  // ordered by due time
+    // Distinct from the serial numbers of queue owners, which identify them in `tryAcquire`.
+    std::uint64_t nextAcquireId_ = std::uint64_t{1} << 63U;
 };
 
 }  // namespace basaltchute::gateway
