--- a/src/gateway/settings/settings.cpp
+++ b/src/gateway/settings/settings.cpp
@@ -10,10 +10,10 @@
 
 using json::Value;
 
-/// Reads field after field; the first error stands.
-class Reading {
+/// Fills Settings from the JSON document; keeps the first error.
+class SettingsReader {
   public:
-    Reading(Settings& out, ReadFile readFile) : out_(out), readFile_(readFile) {}
+    SettingsReader(Settings& out, ReadFile readFile) : out_(out), readFile_(readFile) {}
     std::string error;
 
     void all(const json::Document& d) {
@@ -27,7 +27,7 @@
             checked("#/controllers/" + std::to_string(i++), c.GetString(),
                     out_.controllers.emplace_back());
         state(d["state"]);
-        out_.grant = seconds(d, "grantSeconds", out_.grant);
+        out_.leaseTtl = seconds(d, "grantSeconds", out_.leaseTtl);
         const auto& refs = d["refs"];
         out_.refWord = json::string(refs, "word").value_or(out_.refWord);
         out_.refsFrom = *json::count(refs, "from");
@@ -78,8 +78,8 @@
         const double share = json::number(s, "share").value_or(0.1);
         out_.state.stateRps = *json::number(s, "requestsPerSecond") * share;
         out_.state.stateWriteRps = *json::number(s, "writesPerSecond") * share;
-        // A burst must hold one whole write beside the part that is kept for what is urgent, or the
-        // least urgent is never written; a grant is kept by requests.
+        // A burst must have room for one whole write besides the part reserved for urgent writes;
+        // otherwise the least urgent writes never run. Keeping the lease alive takes requests.
         if (out_.state.stateWriteRps < 2) fail("#/state/share", "at least 2 writes a second");
         if (out_.state.stateRps < 4) fail("#/state/share", "at least 4 requests a second");
         out_.state.valueBytes =
@@ -175,7 +175,7 @@
             l.messageBytes = static_cast<std::size_t>(*kb * 1024);
         if (const auto mb = json::number(*v, "memoryMb"))
             l.memoryBytes = static_cast<std::size_t>(*mb * 1024 * 1024);
-        l.underWay = json::count(*v, "underWay").value_or(l.underWay);
+        l.maxMessagesInProgress = json::count(*v, "underWay").value_or(l.maxMessagesInProgress);
         l.pollsPerSecond = json::number(*v, "pollsPerSecond").value_or(l.pollsPerSecond);
         l.poll = seconds(*v, "pollSeconds", l.poll);
         l.timeout = seconds(*v, "patienceSeconds", l.timeout);
@@ -193,9 +193,9 @@
     if (!doc) return settings::Error("not JSON");
     if (auto error = json::schemaError(*doc, gatewaySchema)) return std::move(*error);
     Settings out;
-    Reading reading(out, readFile);
-    reading.all(*doc);
-    if (!reading.error.empty()) return settings::Error(reading.error);
+    SettingsReader reader(out, readFile);
+    reader.all(*doc);
+    if (!reader.error.empty()) return settings::Error(reader.error);
     return out;
 }
 
--- a/src/gateway/settings/settings_test.cpp
+++ b/src/gateway/settings/settings_test.cpp
@@ -26,7 +26,7 @@
     return std::holds_alternative<settings::Error>(s) ? std::get<settings::Error>(s) : "";
 }
 
-TEST(GatewaySettings, TheExampleOfTheOperatorsIsGoodAndMeansWhatItSays) {
+TEST(GatewaySettings, ParsesTheExampleSettingsFile) {
     const auto example = settings::readFile(GATEWAY_EXAMPLE);
     ASSERT_TRUE(example);
     const auto s = parse(*example, secrets);
@@ -35,11 +35,11 @@
     EXPECT_EQ(read.users.at("kierros-north").password, "secret");
     EXPECT_DOUBLE_EQ(read.state.stateWriteRps, 2.5);
     EXPECT_EQ(read.sources[0].consume.at("north/replay-verify"), "replay-checks");
-    EXPECT_TRUE(read.networks.hold("192.0.2.77"));
-    EXPECT_FALSE(read.networks.hold("192.0.3.1"));
+    EXPECT_TRUE(read.networks.contains("192.0.2.77"));
+    EXPECT_FALSE(read.networks.contains("192.0.3.1"));
 }
 
-TEST(GatewaySettings, EachErrorNamesTheFieldAndWhatWasExpected) {
+TEST(GatewaySettings, ErrorsNameTheFieldAndTheExpectedValue) {
     EXPECT_EQ(error(text()), "");
     EXPECT_EQ(error("{"), "not JSON");
     EXPECT_EQ(error(text("", "", R"(,"share":0.07)")),
--- a/src/gateway/settings/wire_format_test.cpp
+++ b/src/gateway/settings/wire_format_test.cpp
@@ -51,15 +51,15 @@
     EXPECT_EQ(s.state.stateWriteRps, 10);
     EXPECT_EQ(s.state.valueBytes, 8192U);
     EXPECT_EQ(s.state.txnOps, 12U);
-    EXPECT_EQ(s.grant, Duration(5s));
+    EXPECT_EQ(s.leaseTtl, Duration(5s));
     EXPECT_EQ(s.refWord, "job");
     EXPECT_EQ(s.refsFrom, 7U);
     EXPECT_EQ(s.refsTo, 70U);
 }
 
 TEST_F(GatewaySettingsWireFormat, AccessFields) {
-    EXPECT_TRUE(s.networks.hold("10.9.9.9"));
-    EXPECT_FALSE(s.networks.hold("11.0.0.1"));
+    EXPECT_TRUE(s.networks.contains("10.9.9.9"));
+    EXPECT_FALSE(s.networks.contains("11.0.0.1"));
     EXPECT_TRUE(s.anonymous);
     EXPECT_TRUE(s.passwordsInClear);
     EXPECT_EQ(s.users.at("ada").password, "secret");
@@ -104,7 +104,7 @@
     EXPECT_EQ(s.limits.credit, 13);
     EXPECT_EQ(s.limits.messageBytes, std::size_t{14} * 1024);
     EXPECT_EQ(s.limits.memoryBytes, std::size_t{15} * 1024 * 1024);
-    EXPECT_EQ(s.limits.underWay, 16U);
+    EXPECT_EQ(s.limits.maxMessagesInProgress, 16U);
     EXPECT_EQ(s.limits.pollsPerSecond, 17);
     EXPECT_EQ(s.limits.poll, Duration(18s));
     EXPECT_EQ(s.limits.timeout, Duration(19s));
--- a/src/gateway/testing/broker.cpp
+++ b/src/gateway/testing/broker.cpp
@@ -15,22 +15,23 @@
 
     void attached(amqp::Connection& c, amqp::LinkId id, const amqp::Attach& a) override {
         c.confirm(id);
-        if (a.theySend) {
+        if (a.peerSends) {
             targets_[id] = a.target;
-            c.give(id, 100);
+            c.addCredit(id, 100);
         } else {
             sources_[id] = a.source;
             broker_.queues[a.source];
         }
     }
-    void credited(amqp::Connection&, amqp::LinkId id) override {
+    void creditUpdated(amqp::Connection&, amqp::LinkId id) override {
         if (const auto it = sources_.find(id); it != sources_.end()) broker_.feed(it->second);
     }
-    void arrived(amqp::Connection& c, amqp::LinkId id, amqp::DeliveryId delivery,
-                 amqp::Message message, std::string) override {
+    void messageReceived(amqp::Connection& c, amqp::LinkId id, amqp::DeliveryId delivery,
+                         amqp::Message message, std::string) override {
         const std::string& to = targets_[id];
-        const auto d = broker_.judge ? broker_.judge(to)
-                                     : amqp::Disposition{amqp::Outcome::accepted, {}, false};
+        const auto d = broker_.dispositionFor
+                           ? broker_.dispositionFor(to)
+                           : amqp::Disposition{amqp::Outcome::accepted, {}, false};
         if (d.outcome == amqp::Outcome::accepted) {
             if (broker_.queues.contains(to))
                 broker_.publish(to, std::move(message));
@@ -38,10 +39,10 @@
                 broker_.received[to].push_back(std::move(message));
         }
         c.settle(delivery, d);
-        c.give(id, 1);
+        c.addCredit(id, 1);
     }
-    void decided(amqp::Connection&, amqp::LinkId, const std::string& tag,
-                 amqp::Disposition d) override {
+    void dispositionReceived(amqp::Connection&, amqp::LinkId, const std::string& tag,
+                             amqp::Disposition d) override {
         const auto it = unsettled_.find(tag);
         if (it == unsettled_.end()) return;
         auto [link, queue, message] = std::move(it->second);
@@ -51,7 +52,7 @@
         if (d.outcome == amqp::Outcome::accepted) {
             ++q.accepted;
         } else if (d.outcome == amqp::Outcome::rejected) {
-            q.dead.emplace_back(std::move(message), d.why);
+            q.dead.emplace_back(std::move(message), d.condition);
         } else {
             if (d.outcome == amqp::Outcome::modified && d.deliveryFailed) ++message.deliveryCount;
             q.waiting.push_front(std::move(message));
@@ -68,7 +69,7 @@
         targets_.clear();
         giveBack([](const Unsettled&) { return true; });
     }
-    /// Sends what waits, as far as there is credit.
+    /// Sends waiting messages while there is link credit.
     void feed(const std::string& queue) {
         auto& q = broker_.queues[queue];
         for (const auto& [id, source] : sources_) {
@@ -95,7 +96,7 @@
     template <typename Which>
     void giveBack(const Which& which) {
         std::set<std::string> touched;
-        // The newest first, so that the oldest ends up in front.
+        // Requeues the newest first, so that the oldest ends up at the front.
         for (auto it = unsettled_.end(); it != unsettled_.begin();) {
             --it;
             if (!which(it->second)) continue;
@@ -135,7 +136,7 @@
     options.container = "broker";
     options.server = true;
     options.limits.messageBytes = std::size_t{4} << 20U;
-    options.identity.anonymous = true;
+    options.identity.allowAnonymous = true;
     session->connection =
         std::make_shared<amqp::Connection>(loop_, std::move(socket), std::move(options), *session);
     const auto at = sessions_.insert(sessions_.end(), session);
@@ -151,7 +152,7 @@
     for (const auto& s : std::list<std::shared_ptr<Session>>(sessions_)) s->feed(queue);
 }
 void Broker::cutAll() {
-    for (const auto& s : sessions_) s->connection->cut();
+    for (const auto& s : sessions_) s->connection->abort();
 }
 
 JobService::JobService(EventLoop& loop, Scope& scope, const std::string& address)
@@ -181,7 +182,7 @@
 http::Response JobService::serve(const http::Request& r) {
     const std::string path = "/v1/jobs";
     json::Writer out;
-    if (r.target == "/jobs") {  // for whoever checks: how many jobs each message became
+    if (r.target == "/jobs") {  // for test scripts: the number of jobs per message marker
         out.open();
         for (const auto& [marker, refs] : refsOf)
             out.field(marker, static_cast<std::uint64_t>(refs.size()));
--- a/src/gateway/testing/gateway_fixture.cpp
+++ b/src/gateway/testing/gateway_fixture.cpp
@@ -12,7 +12,7 @@
     settings.controllers = {jobs.address()};
     settings.state = basaltchute::testing::someSettings();
     settings.state.stateAddress = state.address();
-    settings.grant = 3s;
+    settings.leaseTtl = 3s;
     settings.refsFrom = 900'000'000;
     settings.refsTo = 900'999'999;
     settings.anonymous = true;
@@ -64,7 +64,7 @@
 
 Gateway* GatewayFixture::holder(const QueueName& queue) {
     for (const auto& [name, g] : instances)
-        if (const auto t = g->tenure(queue); t && t->ready() && g->members().holds(queue))
+        if (const auto t = g->queueOwner(queue); t && t->ready() && g->members().holds(queue))
             return g.get();
     return nullptr;
 }
