--- a/src/simulator/agent.cpp
+++ b/src/simulator/agent.cpp
@@ -65,7 +65,7 @@
     }
     history_.machines[host_.name] = {
         host_.type, host_.zone, machine.site, host_.spot, {type_.cores, type_.gpus, type_.ramGb}};
-    history_.facts.push_back(
+    history_.events.push_back(
         {time_.seconds(), HistoryEvent::Kind::up, machine_.site, "", host_.name});
     renew(now());
     scope_.spawn(sendHeartbeats());
@@ -76,7 +76,7 @@
     gone_ = true;
     for (auto& [key, h] : tasks_)
         if (h.on) say(HistoryEvent::Kind::taskStopped, h);
-    history_.facts.push_back(
+    history_.events.push_back(
         {time_.seconds(), HistoryEvent::Kind::gone, machine_.site, "", host_.name});
     machine_.cutOff(power);
     machine_.unwind(scope_);
@@ -110,7 +110,7 @@
     e.task = h.task;
     e.machine = host_.name;
     e.number = h.attempt;
-    history_.facts.push_back(std::move(e));
+    history_.events.push_back(std::move(e));
 }
 
 void Agent::renew(TimePoint sentAt) {
--- a/src/simulator/checker.cpp
+++ b/src/simulator/checker.cpp
@@ -25,7 +25,7 @@
 
 class Check {
   public:
-    Check(const History& history, const RuleTerms& terms) : h_(history), terms_(terms) {}
+    Check(const History& history, const CheckerOptions& terms) : h_(history), terms_(terms) {}
     CheckResult run();
 
   private:
@@ -44,7 +44,7 @@
                const std::vector<std::size_t>& events) {
         if (!seen_.insert(rule + what).second) return;
         Violation v{rule, what, {}};
-        for (const auto i : events) v.proof.push_back(h_.facts[i]);
+        for (const auto i : events) v.proof.push_back(h_.events[i]);
         out_.violations.push_back(std::move(v));
     }
     void on(std::size_t i);
@@ -69,7 +69,7 @@
     [[nodiscard]] bool withdrawnBefore(const std::string& id) const;
 
     const History& h_;
-    const RuleTerms& terms_;
+    const CheckerOptions& terms_;
     std::map<std::string, Known> jobs_;
     std::map<std::string, std::pair<double, double>> use_;  // cores and GPUs by team, all sites
     std::set<std::string> seen_, cancelledOn_, up_;
@@ -97,7 +97,7 @@
 }
 
 void Check::place(std::size_t i, const JobSpec& spec, const Known& job) {
-    const HistoryEvent& e = h_.facts[i];
+    const HistoryEvent& e = h_.events[i];
     const MachineFacts& m = h_.machines.at(e.machine);
     const auto bad = [&](const std::string& why, std::vector<std::size_t> proof = {}) {
         proof.push_back(i);
@@ -123,7 +123,7 @@
 }
 
 void Check::on(std::size_t i) {
-    const HistoryEvent& e = h_.facts[i];
+    const HistoryEvent& e = h_.events[i];
     ++launches_;
     const auto spec = h_.jobs.find(e.job);
     if (spec == h_.jobs.end()) return;
@@ -181,10 +181,10 @@
 }
 
 void Check::orphaned(std::size_t i) {
-    const HistoryEvent& e = h_.facts[i];
+    const HistoryEvent& e = h_.events[i];
     before(e.job, [&](const std::string& id, const Known& job) {
         const bool late =
-            job.cancelled && e.at > h_.facts[*job.cancelled].at + terms_.cancelS + cancelSlackS;
+            job.cancelled && e.at > h_.events[*job.cancelled].at + terms_.cancelS + cancelSlackS;
         if (late)
             wrong("orphaned", e.job + " is " + e.text + " long after " + id + " was cancelled",
                   {*job.cancelled, i});
@@ -217,7 +217,7 @@
     for (auto id = cancelledOn_.begin(); id != cancelledOn_.end();) {
         const Known& job = jobs_.at(*id);
         const std::size_t at = *job.cancelled;
-        if (now <= h_.facts[at].at + terms_.cancelS + cancelSlackS) {
+        if (now <= h_.events[at].at + terms_.cancelS + cancelSlackS) {
             ++id;
             continue;
         }
@@ -231,18 +231,18 @@
     if (!answer.asked || *answer.asked > told) return true;
     ++out_.overtaken;
     out_.longestOvertakenS =
-        std::max(out_.longestOvertakenS, answer.at - h_.facts[*answer.asked].at);
+        std::max(out_.longestOvertakenS, answer.at - h_.events[*answer.asked].at);
     return false;
 }
 
 void Check::unfit(std::size_t i) {
-    const HistoryEvent& e = h_.facts[i];
+    const HistoryEvent& e = h_.events[i];
     if (isAnswer(e))
         wrong("accepted_unfit", e.job + " is accepted though " + h_.unfit.at(e.job), {i});
 }
 
 void Check::told(std::size_t i) {
-    const HistoryEvent& e = h_.facts[i];
+    const HistoryEvent& e = h_.events[i];
     if (h_.unfit.contains(e.job)) return unfit(i);
     const bool submitted = h_.jobs.contains(e.job);
     if (!submitted) {
@@ -290,7 +290,7 @@
 }
 
 void Check::asked(std::size_t i) {
-    const HistoryEvent& e = h_.facts[i];
+    const HistoryEvent& e = h_.events[i];
     if (!h_.jobs.contains(e.job)) return;
     Known& job = jobs_[e.job];
     if (e.question == HistoryEvent::Question::cancellation) {
@@ -367,16 +367,16 @@
 void Check::served() {
     // Only what had the time to begin, and what nobody took back before.
     std::map<std::string, std::vector<std::pair<std::uint32_t, std::string>>> classes;
-    const double end = h_.facts.empty() ? 0 : h_.facts.back().at;
+    const double end = h_.events.empty() ? 0 : h_.events.back().at;
     const auto late = [&](const Known& job) {
-        return job.started.value_or(end) - h_.facts[*job.submitted].at > terms_.beginS;
+        return job.started.value_or(end) - h_.events[*job.submitted].at > terms_.beginS;
     };
     for (const auto& [id, job] : jobs_) {
         const auto spec = h_.jobs.find(id);
         if (spec == h_.jobs.end() || !job.submitted || !job.accepted) continue;
         if (!job.started && (job.withdrew || withdrawnBefore(id))) continue;
         if (!spec->second.dependencies.empty()) continue;  // their time begins when others are done
-        if (h_.facts[*job.submitted].at + terms_.beginS > end) continue;
+        if (h_.events[*job.submitted].at + terms_.beginS > end) continue;
         classes[spec->second.jobClass].emplace_back(spec->second.tasks, id);
     }
     for (auto& [name, jobs] : classes) {
@@ -384,7 +384,7 @@
         const auto n = std::max<std::size_t>(
             1, static_cast<std::size_t>(largestShare * static_cast<double>(jobs.size())));
         jobs.resize(std::min(n, jobs.size()));
-        Share& s = out_.largest[name];
+        JobCounts& s = out_.largest[name];
         for (const auto& [tasks, id] : jobs) {
             const Known& job = jobs_.at(id);
             ++s.jobs;
@@ -410,14 +410,15 @@
     for (const auto& [id, job] : jobs_) {
         const auto spec = h_.jobs.find(id);
         if (spec == h_.jobs.end() || !job.submitted) continue;
-        const double at = h_.facts[*job.submitted].at;
+        const double at = h_.events[*job.submitted].at;
         if (!job.accepted && at >= terms_.settledS && at <= terms_.untilS)
             wrong("stuck", id + " was never accepted, long after the last trouble",
                   {*job.submitted});
         // What was cancelled with another was so because that one is.
         if (job.cancelled && !job.withdrew && !withdrawnBefore(id))
             wrong("went_back", id + " is cancelled, and nothing before it is", {*job.cancelled});
-        for (Share* s : {&out_.classes[spec->second.jobClass], &out_.teams[spec->second.team]}) {
+        for (JobCounts* s :
+             {&out_.classes[spec->second.jobClass], &out_.teams[spec->second.team]}) {
             ++s->jobs;
             s->accepted += job.accepted ? 1 : 0;
             s->started += job.started || job.cancelled ? 1 : 0;
@@ -427,8 +428,8 @@
 }
 
 CheckResult Check::run() {
-    for (std::size_t i = 0; i < h_.facts.size(); ++i) {
-        const HistoryEvent& e = h_.facts[i];
+    for (std::size_t i = 0; i < h_.events.size(); ++i) {
+        const HistoryEvent& e = h_.events[i];
         overdue(e.at);
         beside(e.at);
         switch (e.kind) {
@@ -474,7 +475,7 @@
 
 }  // namespace
 
-CheckResult check(const History& history, const RuleTerms& terms) {
+CheckResult check(const History& history, const CheckerOptions& terms) {
     return Check(history, terms).run();
 }
 
--- a/src/simulator/checker.h
+++ b/src/simulator/checker.h
@@ -9,7 +9,7 @@
 namespace basaltchute::simulator {
 
 /// What the rules need to know of a deployment, beside what happened.
-struct RuleTerms {
+struct CheckerOptions {
     double cancelS = 0;
     std::map<std::string, settings::Team> teams;  // over all sites
     /// Nothing is wrong any more from `settledS` on: what is submitted then, and before `untilS`,
@@ -30,12 +30,12 @@
     std::vector<HistoryEvent> proof;  // the shortest part of the history that shows it
 };
 
-struct Share {
+struct JobCounts {
     std::uint64_t jobs = 0, accepted = 0, started = 0, ended = 0;
 };
 struct CheckResult {
     std::vector<Violation> violations;
-    std::map<std::string, Share> classes, teams, largest;
+    std::map<std::string, JobCounts> classes, teams, largest;
     /// Answers older than what was told while their question was on its way: by linearizability the
     /// two may be ordered either way, by the letter of PROTOCOL they may not.
     std::uint64_t overtaken = 0;
@@ -46,6 +46,6 @@
 
 /// Decides from outside: it knows what users, workers and the cloud saw, and no code of the
 /// service.
-CheckResult check(const History& history, const RuleTerms& terms);
+CheckResult check(const History& history, const CheckerOptions& terms);
 
 }  // namespace basaltchute::simulator
--- a/src/simulator/checker_test.cpp
+++ b/src/simulator/checker_test.cpp
@@ -15,7 +15,7 @@
 class CheckerTest : public ::testing::Test {
   protected:
     History history;
-    RuleTerms terms;
+    CheckerOptions terms;
 
     CheckerTest() {
         terms.cancelS = 10;
@@ -43,8 +43,8 @@
         f.kind = kind;
         f.job = id;
         f.site = "east";
-        history.facts.push_back(f);
-        return history.facts.back();
+        history.events.push_back(f);
+        return history.events.back();
     }
     void on(double at, const std::string& id, std::uint32_t task, const std::string& machine) {
         HistoryEvent& f = add(at, Kind::taskStarted, id);
@@ -135,7 +135,7 @@
     EXPECT_EQ(broken(), Rules{});
     told(4, "run-1", 422, "", Question::repetition);
     EXPECT_EQ(broken(), Rules{"forgotten"});
-    history.facts.pop_back();
+    history.events.pop_back();
     told(4, "run-1", 404, "");
     EXPECT_EQ(broken(), Rules{"forgotten"});
 }
@@ -166,7 +166,7 @@
     one.task = 0;
     told(3, "run-1", 200, "done");
     EXPECT_EQ(broken(), Rules{"not_done"});
-    history.facts.pop_back();
+    history.events.pop_back();
     add(3, Kind::completed, "run-1").task = 1;
     told(4, "run-1", 200, "done");
     EXPECT_EQ(broken(), Rules{});
@@ -204,7 +204,7 @@
     EXPECT_EQ(broken(), Rules{}) << "cancel_s is 10";
     told(13.5, "run-3", 200, "cancelled");
     EXPECT_EQ(broken(), Rules{}) << "its own user did not withdraw it, and it is right";
-    history.facts.pop_back();
+    history.events.pop_back();
     told(13.5, "run-3", 200, "pending");
     EXPECT_EQ(broken(), Rules{"orphaned"});
 }
@@ -238,7 +238,7 @@
     EXPECT_EQ(broken(), Rules{}) << "75 s from the end of the troubles on";
     asked(176, "run-1");
     EXPECT_EQ(broken(), Rules{"forgotten"});
-    history.facts.pop_back();
+    history.events.pop_back();
     told(174, "run-1", 200, "running");
     asked(176, "run-1");
     EXPECT_EQ(broken(), Rules{});
@@ -263,16 +263,16 @@
     }
     add(200, Kind::up, "");
     EXPECT_EQ(broken(), Rules{}) << "run-1 began, and half of the others";
-    auto facts = history.facts;
-    std::erase_if(history.facts, [](const HistoryEvent& f) {
+    auto facts = history.events;
+    std::erase_if(history.events, [](const HistoryEvent& f) {
         return f.kind == Kind::taskStarted && f.job == "run-5";
     });
-    std::erase_if(history.facts, [](const HistoryEvent& f) {
+    std::erase_if(history.events, [](const HistoryEvent& f) {
         return f.kind == Kind::taskStarted && f.job == "run-4";
     });
     EXPECT_EQ(broken(), Rules{"not_served"});
-    history.facts = facts;
-    std::erase_if(history.facts, [](const HistoryEvent& f) {
+    history.events = facts;
+    std::erase_if(history.events, [](const HistoryEvent& f) {
         return f.kind == Kind::taskStarted && f.job == "run-1";
     });
     EXPECT_TRUE(broken().contains("begins_late"));
@@ -283,7 +283,7 @@
 TEST_F(CheckerTest, AnAnswerIsNotOlderThanWhatWasToldBeforeItsQuestionLeft) {
     const auto ask = [&](double at) {
         asked(at, "run-1");
-        return history.facts.size() - 1;
+        return history.events.size() - 1;
     };
     told(2, "run-1", 201, "pending", Question::submission);
     for (std::uint32_t t = 0; t < 2; ++t) add(3, Kind::completed, "run-1").task = t;
@@ -291,15 +291,15 @@
     told(5, "run-1", 200, "done");
     const std::size_t since = ask(5.01);
     told(5.8, "run-1", 200, "running");
-    history.facts.back().asked = before;
+    history.events.back().asked = before;
     EXPECT_EQ(broken(), Rules{}) << "the two overlap, and may be ordered either way";
     EXPECT_EQ(check(history, terms).overtaken, 1U);
     EXPECT_NEAR(check(history, terms).longestOvertakenS, 1.8, 1e-9);
     told(5.9, "run-1", 200, "running");
-    history.facts.back().asked = since;
+    history.events.back().asked = since;
     EXPECT_EQ(broken(), Rules{"went_back"});
-    history.facts.back().status = 404;
-    history.facts.back().text = "";
+    history.events.back().status = 404;
+    history.events.back().text = "";
     EXPECT_EQ(broken(), Rules{"forgotten"});
 }
 
@@ -336,7 +336,7 @@
     history.jobs["run-2"].zone = "b";
     told(20, "run-2", 201, "pending", Question::submission);
     const auto pass = [&](double until) {
-        for (double at = history.facts.back().at + 1; at < until; at += 1) add(at, Kind::up, "");
+        for (double at = history.events.back().at + 1; at < until; at += 1) add(at, Kind::up, "");
     };
     pass(109);
     EXPECT_EQ(broken(), Rules{});
@@ -367,7 +367,7 @@
     job("run-3");
     add(60, Kind::submitted, "run-3");
     EXPECT_EQ(broken(), Rules{"stuck"});
-    history.facts.clear();
+    history.events.clear();
     EXPECT_EQ(broken(), Rules{"nothing_ran"});
 }
 
--- a/src/simulator/cloud.cpp
+++ b/src/simulator/cloud.cpp
@@ -114,7 +114,8 @@
 }
 
 http::Response Cloud::list(const std::string& target) {
-    const std::string after = param(target, "after"), page = param(target, "page");
+    const std::string after = queryParameter(target, "after"),
+                      page = queryParameter(target, "page");
     const std::size_t most = page.empty() ? 500 : std::min<std::size_t>(500, std::stoul(page));
     const double lag = toSeconds(terms_.listLag) * time_.between(0.5, 2);
     auto shown = past_.upper_bound(time_.now() - fromSeconds(lag));
--- a/src/simulator/fault_interactions_test.cpp
+++ b/src/simulator/fault_interactions_test.cpp
@@ -25,7 +25,7 @@
     }
     static std::size_t count(const History& h,
                              const std::function<bool(const HistoryEvent&)>& which) {
-        return static_cast<std::size_t>(std::count_if(h.facts.begin(), h.facts.end(), which));
+        return static_cast<std::size_t>(std::count_if(h.events.begin(), h.events.end(), which));
     }
     static std::size_t elections(const History& h, double fromS, double toS) {
         return count(h, [=](const HistoryEvent& f) {
@@ -49,7 +49,7 @@
         f.factor = factor;
         return f;
     }
-    ClassTerms& classOf(const std::string& name) {
+    JobClassOptions& classOf(const std::string& name) {
         return *std::find_if(s.sites[0].classes.begin(), s.sites[0].classes.end(),
                              [&](const auto& c) { return c.name == name; });
     }
@@ -57,7 +57,7 @@
     static std::size_t looksAfterTheEnd(const History& h, double within) {
         std::map<std::string, double> ended;
         std::size_t n = 0;
-        for (const auto& f : h.facts) {
+        for (const auto& f : h.events) {
             const bool ends =
                 f.kind == Kind::answered && (f.text == "done" || f.text == "cancelled");
             if (ends) ended.try_emplace(f.job, f.at);
@@ -71,7 +71,7 @@
         std::map<std::string, int> on;
         std::set<std::string> withdrawn;
         std::size_t n = 0;
-        for (const auto& f : h.facts) {
+        for (const auto& f : h.events) {
             if (f.at > toS) break;
             if (f.kind == Kind::taskStarted) ++on[f.job];
             if (f.kind == Kind::taskStopped) --on[f.job];
@@ -85,7 +85,7 @@
     /// Cores on machines by team at some moment.
     static std::map<std::string, double> used(const History& h, double atS) {
         std::map<std::string, double> out;
-        for (const auto& f : h.facts) {
+        for (const auto& f : h.events) {
             if (f.at > atS) break;
             if (f.kind != Kind::taskStarted && f.kind != Kind::taskStopped) continue;
             const JobSpec& spec = h.jobs.at(f.job);
@@ -120,7 +120,7 @@
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
         const History& h = play(seed);
         std::set<std::string> withdrawn;
-        for (const auto& f : h.facts) {
+        for (const auto& f : h.events) {
             if (f.kind == Kind::cancelRequested) withdrawn.insert(f.job);
             if (f.kind == Kind::answered && f.question == Question::cancellation && f.status == 200)
                 words[std::to_string(seed) + f.job] = f.text;
@@ -213,7 +213,7 @@
         const History& h = play(seed);
         std::map<std::string, double> up;
         std::set<std::string> with;
-        for (const auto& f : h.facts) {
+        for (const auto& f : h.events) {
             if (f.kind == Kind::up) up[f.machine] = f.at;
             // A list is as old as 6 s, and at times twice that.
             if (f.kind == Kind::taskStarted && f.at > 20 && f.at - up[f.machine] < 6)
@@ -244,7 +244,7 @@
 TEST_F(MeetingTest, OneTaskJobsFourASecondForMinutes) {
     // A quarter of them is cancelled; the state service has the rate of the smaller site, and the
     // leader ends twice.
-    ClassTerms& ping = classOf("pair");
+    JobClassOptions& ping = classOf("pair");
     ping.tasks = {1, 1};
     ping.cores = 0.25;
     ping.ramGb = 0.5;
@@ -259,7 +259,7 @@
     s.faults = {fault("node_crash", 80, 0.3), fault("node_crash", 130, 6)};
     const History& h = play(1);
     std::map<std::string, double> submitted, answered;
-    for (const auto& f : h.facts) {
+    for (const auto& f : h.events) {
         if (f.job.empty() || !h.jobs.contains(f.job) || h.jobs.at(f.job).jobClass != "pair")
             continue;
         if (f.kind == Kind::submitted) submitted[f.job] = f.at;
@@ -310,7 +310,7 @@
         const History& h = play(seed);
         std::set<std::string> mute;
         std::map<std::string, int> on;
-        for (const auto& f : h.facts) {
+        for (const auto& f : h.events) {
             if (f.text == "is mute") mute.insert(f.machine);
             if (f.kind == Kind::taskStarted) ++on[f.machine];
             if (f.kind == Kind::taskStopped) --on[f.machine];
@@ -345,7 +345,7 @@
     for (std::uint64_t seed = 1; seed <= 2; ++seed) {
         const History& h = play(seed);
         std::set<std::string> begun;
-        for (const auto& f : h.facts) {
+        for (const auto& f : h.events) {
             if (f.at > 45) break;
             if (f.kind == Kind::taskStarted) begun.insert(f.job);
             waiting += f.kind == Kind::submitted ? 1 : 0;
@@ -364,7 +364,7 @@
     std::size_t again = 0;
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
         std::set<std::string> had;
-        for (const auto& f : play(seed).facts)
+        for (const auto& f : play(seed).events)
             if (f.kind == Kind::taskStarted &&
                 !had.insert(f.job + '/' + std::to_string(f.task)).second && f.at > 40)
                 ++again;
@@ -392,7 +392,7 @@
                     fault("state_outage", 45, 8), fault("node_isolated", 60, 10)};
         const History& h = play(seed);
         std::set<std::string> answered;
-        for (const auto& f : h.facts) {
+        for (const auto& f : h.events) {
             if (f.kind != Kind::answered) continue;
             if (h.unfit.contains(f.job) && (f.status == 400 || f.status == 422))
                 answered.insert(f.job);
--- a/src/simulator/history.cpp
+++ b/src/simulator/history.cpp
@@ -28,7 +28,7 @@
 
 std::uint64_t History::digest() const {
     std::uint64_t sum = 1469598103934665603U;
-    for (const auto& e : facts)
+    for (const auto& e : events)
         for (const char c : text(e)) sum = (sum ^ static_cast<unsigned char>(c)) * 1099511628211U;
     return sum;
 }
--- a/src/simulator/history.h
+++ b/src/simulator/history.h
@@ -42,7 +42,7 @@
 };
 
 struct History {
-    std::vector<HistoryEvent> facts;
+    std::vector<HistoryEvent> events;
     std::unordered_map<std::string, JobSpec> jobs;  // by id, as submitted
     /// Submissions that no controller may accept, and why.
     std::unordered_map<std::string, std::string> unfit;
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -76,10 +76,10 @@
 int one(const simulator::Scenario& scenario, std::uint64_t seed, Show show) {
     const Played p = play(scenario, seed);
     if (show.log)
-        for (const auto& e : p.history.facts) std::cout << simulator::History::text(e) << '\n';
+        for (const auto& e : p.history.events) std::cout << simulator::History::text(e) << '\n';
     const std::string rule = firstRule(p);
     std::cout << fmt::format("seed {}: {} {} events {:016x}\n", seed,
-                             rule.empty() ? "kept" : "BROKEN " + rule, p.history.facts.size(),
+                             rule.empty() ? "kept" : "BROKEN " + rule, p.history.events.size(),
                              p.history.digest());
     print(p.result);
     if (show.shares) printShares(p.result);
--- a/src/simulator/many_agents_test.cpp
+++ b/src/simulator/many_agents_test.cpp
@@ -12,7 +12,7 @@
     Scenario s = scenario("one-site");
     s.swarm = {};
     s.seconds = 100;
-    SiteTerms& site = s.sites.front();
+    SiteOptions& site = s.sites.front();
     site.nodes = 1;
     site.sockets = 1000;
     site.reportS = 6;
@@ -23,7 +23,7 @@
     type.up = 2000;
     type.ordinary = 2000;
     type.spot = 0;
-    ClassTerms whole = site.classes.back();
+    JobClassOptions whole = site.classes.back();
     whole.cores = type.cores;
     whole.ramGb = type.ramGb / 2;
     whole.perMinute = 0;
@@ -32,7 +32,7 @@
     whole.runS = {900, 900};
     whole.deadlineFactor = whole.cancelledShare = 0;
     whole.spot = false;
-    ClassTerms small = site.classes.front();
+    JobClassOptions small = site.classes.front();
     small.initial = 0;
     small.perMinute = 120;
     site.classes = {whole, small};
@@ -44,7 +44,7 @@
     world.run();
     std::set<std::size_t> answered;
     std::size_t asked = 0, failed = 0, started = 0;
-    const auto& facts = world.history().facts;
+    const auto& facts = world.history().events;
     for (const auto& f : facts)
         if (f.kind == HistoryEvent::Kind::answered && f.asked) answered.insert(*f.asked);
     for (std::size_t i = 0; i < facts.size(); ++i) {
--- a/src/simulator/measures.cpp
+++ b/src/simulator/measures.cpp
@@ -51,7 +51,7 @@
         times.try_emplace(name, noTimes())
             .first->second(std::max(f.at - submitted.at(f.job), 1e-3));
     };
-    for (const auto& f : history.facts) {
+    for (const auto& f : history.events) {
         if (f.kind == HistoryEvent::Kind::submitted) submitted[f.job] = f.at;
         if (!submitted.contains(f.job)) continue;
         const bool yes =
--- a/src/simulator/measures_test.cpp
+++ b/src/simulator/measures_test.cpp
@@ -18,11 +18,11 @@
         f.job = id;
         f.kind = HistoryEvent::Kind::submitted;
         f.at = i;
-        h.facts.push_back(f);
+        h.events.push_back(f);
         f.kind = HistoryEvent::Kind::answered;
         f.status = i == 19 ? 503 : 201;
         f.at = i + (i < 17 ? 0.1 : 5.0);
-        h.facts.push_back(f);
+        h.events.push_back(f);
     }
     const auto m = measure(h, check(h, {}));
     EXPECT_NEAR(m.at("c acceptance p50 s"), 0.1, 0.01);
--- a/src/simulator/query.h
+++ b/src/simulator/query.h
@@ -4,7 +4,7 @@
 namespace basaltchute::simulator {
 
 /// The value of a parameter in a request's target; empty if it is not there.
-inline std::string param(const std::string& target, const std::string& name) {
+inline std::string queryParameter(const std::string& target, const std::string& name) {
     const auto at = target.find(name + '=');
     if (at == std::string::npos) return "";
     const auto from = at + name.size() + 1;
--- a/src/simulator/scenario.cpp
+++ b/src/simulator/scenario.cpp
@@ -63,8 +63,8 @@
     return t;
 }
 
-ClassTerms classIn(const json::Value& v) {
-    ClassTerms c;
+JobClassOptions classIn(const json::Value& v) {
+    JobClassOptions c;
     c.name = textOr(v, "name");
     c.standing = textOr(v, "shape") == "standing";
     c.priority = priorityOf(textOr(v, "priority"));
@@ -91,8 +91,8 @@
     return c;
 }
 
-PipelineTerms pipelineIn(const json::Value& v) {
-    PipelineTerms p;
+PipelineOptions pipelineIn(const json::Value& v) {
+    PipelineOptions p;
     p.name = textOr(v, "name");
     p.perMinute = numberOr(v, "perMinute", 0);
     p.fromS = numberOr(v, "fromS", 0);
@@ -101,7 +101,7 @@
     p.late = numberOr(v, "late", 0);
     p.cancelledShare = numberOr(v, "withdrawn", 0);
     for (const auto& s : v["stages"].GetArray()) {
-        PipelineTerms::Stage stage;
+        PipelineOptions::Stage stage;
         stage.jobClass = textOr(s, "class");
         if (const auto* jobs = json::array(s, "jobs"))
             stage.jobs = {(*jobs)[0].GetUint(), (*jobs)[1].GetUint()};
@@ -112,8 +112,8 @@
     return p;
 }
 
-SiteTerms siteIn(const json::Value& v) {
-    SiteTerms s;
+SiteOptions siteIn(const json::Value& v) {
+    SiteOptions s;
     s.name = textOr(v, "name");
     s.nodes = countOr(v, "nodes", 3);
     s.sockets = countOr(v, "sockets", 2000);
@@ -153,7 +153,7 @@
     return std::find(all.begin(), all.end(), kind) != all.end();
 }
 
-std::string wrongIn(const PipelineTerms& p, const SiteTerms& site) {
+std::string wrongIn(const PipelineOptions& p, const SiteOptions& site) {
     for (std::size_t i = 0; i < p.stages.size(); ++i) {
         const auto& stage = p.stages[i];
         const std::string at = fmt::format("/stages/{}", i);
@@ -170,12 +170,12 @@
 
 std::string wrongIn(const Scenario& s) {
     for (std::size_t i = 0; i < s.sites.size(); ++i) {
-        const SiteTerms& site = s.sites[i];
+        const SiteOptions& site = s.sites[i];
         const std::string at = fmt::format("#/sites/{}", i);
         for (std::size_t other = 0; other < i; ++other)
             if (s.sites[other].name == site.name) return at + "/name: expected a name of its own";
         for (std::size_t c = 0; c < site.classes.size(); ++c) {
-            const ClassTerms& k = site.classes[c];
+            const JobClassOptions& k = site.classes[c];
             const bool fits = std::any_of(site.types.begin(), site.types.end(), [&](const auto& t) {
                 return t.cores >= k.cores && t.ramGb >= k.ramGb;
             });
@@ -204,7 +204,7 @@
         if (!isKind(f.kind)) return at + "/kind: expected a known kind of fault";
         if (f.atS > s.seconds) return at + "/atS: expected a time within the run";
         if (f.kind == "state_limits" &&
-            std::any_of(s.sites.begin(), s.sites.end(), [&](const SiteTerms& x) {
+            std::any_of(s.sites.begin(), s.sites.end(), [&](const SiteOptions& x) {
                 return (f.site.empty() || f.site == x.name) && x.next.valueBytes == 0 &&
                        x.next.txnOps == 0 && x.next.writeRps == 0;
             }))
@@ -301,7 +301,7 @@
             s.swarm.pairs.push_back({p[0].GetString(), p[1].GetString()});
     if (s.swarm.kinds.empty()) {
         // What the sites have no terms for would be no trouble.
-        const bool falls = std::all_of(s.sites.begin(), s.sites.end(), [](const SiteTerms& x) {
+        const bool falls = std::all_of(s.sites.begin(), s.sites.end(), [](const SiteOptions& x) {
             return x.next.valueBytes > 0 || x.next.txnOps > 0 || x.next.writeRps > 0;
         });
         for (const auto& k : faultKinds())
--- a/src/simulator/scenario.h
+++ b/src/simulator/scenario.h
@@ -12,7 +12,7 @@
 
 namespace basaltchute::simulator {
 
-struct ClassTerms {
+struct JobClassOptions {
     std::string name;
     bool standing = false;
     Priority priority = Priority::normal;
@@ -28,7 +28,7 @@
 };
 
 /// Jobs of which the later ones need the earlier ones; the deadline is the last one's.
-struct PipelineTerms {
+struct PipelineOptions {
     struct Stage {
         std::string jobClass;
         std::array<std::uint32_t, 2> jobs{1, 1};
@@ -48,14 +48,14 @@
     double writeRps = 0;
 };
 
-struct SiteTerms {
+struct SiteOptions {
     std::string name;
     std::size_t nodes = 3, sockets = 2000;
     std::vector<std::string> zones;
     std::vector<TypeTerms> types;
     std::vector<settings::Team> teams;
-    std::vector<ClassTerms> classes;
-    std::vector<PipelineTerms> pipelines;
+    std::vector<JobClassOptions> classes;
+    std::vector<PipelineOptions> pipelines;
     /// Its nodes start by settings that know no next limits and hold the stored state's form back,
     /// as versions before chains do; a roll brings the others.
     bool heldBack = false;
@@ -87,7 +87,7 @@
 };
 
 /// What is to be shown of a scenario beside the rules; 0: nothing.
-struct Shown {
+struct ExtraChecks {
     /// Once all troubles are over, no job's polls are in vain for so long.
     double knownS = 75;
     /// The largest jobs of each class begin within that, and of each class, team and class's
@@ -97,8 +97,8 @@
 
 struct Scenario {
     double seconds = 60;
-    Shown shown;
-    std::vector<SiteTerms> sites;
+    ExtraChecks shown;
+    std::vector<SiteOptions> sites;
     std::vector<Fault> faults;
     Swarm swarm;
 };
--- a/src/simulator/simulation.cpp
+++ b/src/simulator/simulation.cpp
@@ -83,7 +83,7 @@
         e.site = s.terms.name;
         e.text = json::string(*doc, "node").value_or("?");
         e.number = json::count(*doc, "token").value_or(0);
-        history_.facts.push_back(std::move(e));
+        history_.events.push_back(std::move(e));
     };
     s.state->fault = [this, &s](const http::Request& r) { return stateFault(s, r); };
     s.workerTerms.ended = [this, &s](const std::string& job) {
@@ -245,15 +245,15 @@
         auto n = rate > 0 ? std::poisson_distribution<int>(rate)(time_.random()) : 0;
         for (; n > 0; --n) submit(s, p);
     }
-    if (time_.chance(0.02)) s.people->askForNothing();
+    if (time_.chance(0.02)) s.people->pollUnknownJob();
     time_.after(fromSeconds(arrivalStep), [this, &s] { arrive(s); });
 }
 
-void Simulation::submit(Site& s, const ClassTerms& c) {
+void Simulation::submit(Site& s, const JobClassOptions& c) {
     s.people->submit(plannedJob(s, c));
 }
 
-void Simulation::submit(Site& s, const PipelineTerms& p) {
+void Simulation::submit(Site& s, const PipelineOptions& p) {
     Users::Pipeline out;
     std::vector<std::vector<std::size_t>> ofStage;
     double together = 0;
@@ -277,7 +277,7 @@
     }
     out.jobs.back().spec.deadlineS = together + p.deadlinePlusS;
     if (time_.chance(p.onEarlier))
-        if (auto earlier = s.people->someAccepted(); !earlier.empty())
+        if (auto earlier = s.people->anyAcceptedJob(); !earlier.empty())
             out.jobs.front().spec.dependencies.push_back(std::move(earlier));
     out.lastLate = time_.chance(p.late);
     if (time_.chance(p.cancelledShare)) {
@@ -288,7 +288,7 @@
     s.people->submit(std::move(out));
 }
 
-Users::PlannedJob Simulation::plannedJob(Site& s, const ClassTerms& c) {
+Users::PlannedJob Simulation::plannedJob(Site& s, const JobClassOptions& c) {
     Users::PlannedJob wish;
     JobSpec& j = wish.spec;
     j.id = fmt::format("run-{:06}", ++jobs_);
@@ -418,7 +418,7 @@
     e.at = time_.seconds();
     e.site = f.site;
     e.text = f.text();
-    history_.facts.push_back(std::move(e));
+    history_.events.push_back(std::move(e));
     if (f.kind == "site_apart")
         return cutFor(f, [](const Machine& a, const Machine& b) { return a.site != b.site; });
     for (auto& s : sites_)
@@ -525,7 +525,7 @@
     e.site = s.terms.name;
     e.text = std::move(what);
     e.machine = std::move(machine);
-    history_.facts.push_back(std::move(e));
+    history_.events.push_back(std::move(e));
 }
 
 void Simulation::deliverKept(Site& s) {
--- a/src/simulator/simulation.h
+++ b/src/simulator/simulation.h
@@ -38,7 +38,7 @@
         int refused = 0;  // by the state service, alone; as often as that was begun
     };
     struct Site {
-        SiteTerms terms;
+        SiteOptions terms;
         std::size_t number = 0;
         std::unique_ptr<Machine> services, users;
         std::unique_ptr<Scope> scope;
@@ -66,9 +66,9 @@
     void crash(Node& node, double backS);
     static void stop(Node& node);
     void arrive(Site& site);
-    void submit(Site& s, const ClassTerms& c);
-    void submit(Site& s, const PipelineTerms& p);
-    [[nodiscard]] Users::PlannedJob plannedJob(Site& s, const ClassTerms& c);
+    void submit(Site& s, const JobClassOptions& c);
+    void submit(Site& s, const PipelineOptions& p);
+    [[nodiscard]] Users::PlannedJob plannedJob(Site& s, const JobClassOptions& c);
     /// Ends the nodes one after the other; each is back as a version that knows all there is.
     void roll(Site& site, std::size_t next, double everyS, double backS);
     void upgrade(Site& site, Node& node);
@@ -100,7 +100,7 @@
     Timeline time_;
     Network network_;
     History history_;
-    RuleTerms rules_;
+    CheckerOptions rules_;
     std::vector<std::unique_ptr<Site>> sites_;
     std::vector<Fault> faults_;
     std::optional<std::set<std::size_t>> kept_;
--- a/src/simulator/simulation_fixture.h
+++ b/src/simulator/simulation_fixture.h
@@ -24,7 +24,7 @@
     std::map<std::string, int> on;
     std::set<std::string> told;
     bool successor = false;
-    for (const auto& f : history.facts) {
+    for (const auto& f : history.events) {
         if (f.kind == HistoryEvent::Kind::taskStarted) ++on[f.job];
         if (f.kind == HistoryEvent::Kind::taskStopped) --on[f.job];
         if (f.kind == HistoryEvent::Kind::elected && f.at > fromS) successor = true;
--- a/src/simulator/simulation_test.cpp
+++ b/src/simulator/simulation_test.cpp
@@ -21,14 +21,14 @@
     other.run();
     EXPECT_EQ(first.history().digest(), again.history().digest());
     EXPECT_NE(first.history().digest(), other.history().digest());
-    EXPECT_GT(first.history().facts.size(), 1000U);
+    EXPECT_GT(first.history().events.size(), 1000U);
 }
 
 TEST_F(SimulationTest, TwoSitesServeAndTheCheckerSeesBoth) {
     Simulation world(scenario("two-sites"), 3);
     world.run();
     std::map<std::string, int> started;
-    for (const auto& f : world.history().facts)
+    for (const auto& f : world.history().events)
         if (f.kind == HistoryEvent::Kind::taskStarted) ++started[f.site];
     EXPECT_GT(started["east"], 20);
     EXPECT_GT(started["west"], 20);
@@ -49,7 +49,7 @@
     Simulation world(s, 1);
     world.run();
     std::vector<double> elected;
-    for (const auto& e : world.history().facts)
+    for (const auto& e : world.history().events)
         if (e.kind == HistoryEvent::Kind::elected) elected.push_back(e.at);
     ASSERT_EQ(elected.size(), 2U);
     EXPECT_LT(elected[1], 40.4) << "not after the end of the former grant";
@@ -129,7 +129,7 @@
             ADD_FAILURE() << v.rule << ": " << v.what;
         std::map<std::string, double> done, cancelled;
         std::set<std::string> withdrawn;
-        for (const auto& f : world.history().facts) {
+        for (const auto& f : world.history().events) {
             if (f.kind == HistoryEvent::Kind::cancelRequested) withdrawn.insert(f.job);
             if (f.kind != HistoryEvent::Kind::answered || f.status != 200) continue;
             if (f.text == "done") done.try_emplace(f.job, f.at);
--- a/src/simulator/state_service.cpp
+++ b/src/simulator/state_service.cpp
@@ -109,12 +109,12 @@
 }
 
 Task<http::Response> StateService::watch(std::string target, const Refuses& refuses) {
-    const auto after = std::stoull(param(target, "after"));
+    const auto after = std::stoull(queryParameter(target, "after"));
     ++watches;
     if (after < oldest_) co_return http::Response{410, "{}"};
-    const std::string prefix = param(target, "under");
+    const std::string prefix = queryParameter(target, "under");
     const TimePoint until =
-        loop_.now() + std::chrono::milliseconds(std::stol(param(target, "waitMs")));
+        loop_.now() + std::chrono::milliseconds(std::stol(queryParameter(target, "waitMs")));
     const auto changed = [&] {
         return erasedAt_ > after || std::any_of(keys.begin(), keys.end(), [&](const auto& k) {
                    return k.first.starts_with(prefix) && k.second.stamp > after;
@@ -130,8 +130,9 @@
 }
 
 http::Response StateService::list(const std::string& target) {
-    const std::string prefix = param(target, "under"), after = param(target, "after");
-    const std::string page = param(target, "page");
+    const std::string prefix = queryParameter(target, "under"),
+                      after = queryParameter(target, "after");
+    const std::string page = queryParameter(target, "page");
     const std::size_t most = page.empty() ? 1000 : std::stoul(page);
     json::Writer out;
     out.open().key("pairs").openArray();
--- a/src/simulator/users.cpp
+++ b/src/simulator/users.cpp
@@ -26,7 +26,7 @@
 }
 }  // namespace
 
-std::string submissionOf(const JobSpec& s) {
+std::string submissionBody(const JobSpec& s) {
     json::Writer o;
     o.open().field("ref", s.id).field("category", s.jobClass).field("crew", s.team);
     o.field("shape", s.shape == Shape::service ? "standing" : "array");
@@ -147,8 +147,8 @@
     e.status = status;
     e.text = std::move(word);
     e.asked = asked;
-    history_.facts.push_back(std::move(e));
-    return history_.facts.size() - 1;
+    history_.events.push_back(std::move(e));
+    return history_.events.size() - 1;
 }
 
 http::Request Users::request(const std::string& job, HistoryEvent::Question question) const {
@@ -160,7 +160,7 @@
         default:
             if (const auto odd = unfitBodies_.find(job); odd != unfitBodies_.end())
                 return {"POST", "/v1/jobs", odd->second};
-            return {"POST", "/v1/jobs", submissionOf(history_.jobs.at(job))};
+            return {"POST", "/v1/jobs", submissionBody(history_.jobs.at(job))};
     }
 }
 
@@ -253,7 +253,7 @@
     std::string body;
     const auto without = [&](const std::string& field) {
         why = "it lacks " + field;
-        auto doc = *json::parse(submissionOf(spec));
+        auto doc = *json::parse(submissionBody(spec));
         doc.RemoveMember(field.c_str());
         body = json::text(doc);
     };
@@ -285,7 +285,7 @@
             without("together");
             break;
     }
-    if (body.empty()) body = submissionOf(spec);
+    if (body.empty()) body = submissionBody(spec);
     unfitBodies_[spec.id] = std::move(body);
     scope_.spawn(submitUnfit(spec.id));
 }
@@ -332,7 +332,7 @@
     }
 }
 
-std::string Users::someAccepted() {
+std::string Users::anyAcceptedJob() {
     if (accepted_.empty()) return "";
     return accepted_[static_cast<std::size_t>(
         time_.between(0, static_cast<double>(accepted_.size())))];
@@ -406,7 +406,7 @@
     if (!scope_.cancelled() && final) co_await ask(id, HistoryEvent::Question::poll, 2s);
 }
 
-void Users::askForNothing() {
+void Users::pollUnknownJob() {
     scope_.spawn(strayPoll("stray-" + std::to_string(++strays_)));
 }
 Task<void> Users::strayPoll(std::string id) {
--- a/src/simulator/users.h
+++ b/src/simulator/users.h
@@ -62,7 +62,7 @@
     };
     void submit(Pipeline pipeline);
     /// Some array that was accepted, of no pipeline; empty if there is none.
-    [[nodiscard]] std::string someAccepted();
+    [[nodiscard]] std::string anyAcceptedJob();
     /// From now on somebody asks every node, again and again within milliseconds, and repeats the
     /// submission, whenever a job was said to be accepted, done or cancelled; some cancel at once.
     void pollClosely(bool on) { pollClosely_ = on; }
@@ -76,7 +76,7 @@
     void deliver(std::string target, std::string body);
     void deliverTo(std::size_t node, std::string target, std::string body);
     /// Somebody asks about a job that nobody has submitted.
-    void askForNothing();
+    void pollUnknownJob();
     void end();
 
   private:
@@ -129,6 +129,6 @@
 };
 
 /// A submission as users send it.
-std::string submissionOf(const JobSpec& spec);
+std::string submissionBody(const JobSpec& spec);
 
 }  // namespace basaltchute::simulator
