--- a/src/controller/controller_test.cpp
+++ b/src/controller/controller_test.cpp
@@ -141,7 +141,7 @@
     // Once the state service no longer kept the revision of the leader key, every follower polled
     // it without a pause, and the leader's own writes were refused.
     start(3);
-    state.changeElsewhere(20'000);
+    state.advanceRevisionAndCompact(20'000);
     world.run(12s);  // until the watches that are open now have ended
     const int before = state.watches;
     world.run(20s);
@@ -339,7 +339,7 @@
     start(2);
     ASSERT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
     const std::string before = state.keys.at("lead/holder").data;
-    state.endGrantOf("lead/holder");  // as if the leader had not renewed its lease in time
+    state.expireLeaseOf("lead/holder");  // as if the leader had not renewed its lease in time
     world.run(6s);
     ASSERT_TRUE(state.keys.contains("lead/holder"));
     EXPECT_NE(state.keys.at("lead/holder").data, before);
@@ -588,22 +588,22 @@
     start(1);
     ask(0, "POST", "/v1/jobs", testing::submission("run-1"));
     world.run(5s);
-    const std::set<std::string> before(cloud.bookings.begin(), cloud.bookings.end());
+    const std::set<std::string> before(cloud.rentRequestIds.begin(), cloud.rentRequestIds.end());
     ASSERT_FALSE(before.empty());
     kill(0);
-    cloud.bookings.clear();
+    cloud.rentRequestIds.clear();
     launch(*nodes[0]);
     EXPECT_EQ(ask(0, "GET", "/up").response.status, 200) << "the load balancer does not notice";
     world.run(20s);  // the new process first lists the machines
-    ASSERT_FALSE(cloud.bookings.empty());
-    for (const auto& name : cloud.bookings) EXPECT_FALSE(before.contains(name)) << name;
+    ASSERT_FALSE(cloud.rentRequestIds.empty());
+    for (const auto& name : cloud.rentRequestIds) EXPECT_FALSE(before.contains(name)) << name;
 }
 
 TEST_F(ControllerTest, LateWriteOfAFormerProcessIsFencedOnceItsSuccessorLeads) {
     start(1);
     state.fault = [](const http::Request& r) -> testing::StateService::Fault {
         if (r.body.find("jobs/run-1") == std::string::npos) return {};
-        return {testing::StateService::Fault::Kind::late, 2s};
+        return {testing::StateService::Fault::Kind::executedLate, 2s};
     };
     bool done = false;
     http::RequestOutcome outcome;
@@ -628,7 +628,7 @@
     state.keys.erase("lead/holder");
     state.fault = [](const http::Request& r) -> testing::StateService::Fault {
         if (r.body.find("lead/holder") == std::string::npos) return {};
-        return {testing::StateService::Fault::Kind::late, 800ms};
+        return {testing::StateService::Fault::Kind::executedLate, 800ms};
     };
     launch(*nodes[0]);
     world.run(100ms);
@@ -651,7 +651,7 @@
         if (r.body.find("lead/holder") == std::string::npos ||
             r.body.find("lead/token") == std::string::npos || ++campaigns > 1)
             return {};
-        return {testing::StateService::Fault::Kind::mute, {}};
+        return {testing::StateService::Fault::Kind::responseLost, {}};
     };
     kill(leader());
     const TimePoint ended = world.clock.now();
@@ -674,7 +674,7 @@
     ASSERT_EQ(ask(0, "POST", "/v1/jobs", testing::submission("run-1")).response.status, 201);
     state.fault = [](const http::Request& r) -> testing::StateService::Fault {
         if (r.target.starts_with("/watch")) return {};
-        return {testing::StateService::Fault::Kind::slow, 20ms};
+        return {testing::StateService::Fault::Kind::respondedLate, 20ms};
     };
     std::set<FencingToken> elected{token()};
     std::size_t interrupted = 0;
@@ -756,14 +756,14 @@
     state.fault = [&](const http::Request& r) -> testing::StateService::Fault {
         if (!delayFirstWrite || r.body.find("jobs/run-1") == std::string::npos) return {};
         delayFirstWrite = false;
-        return {testing::StateService::Fault::Kind::late, 1200ms};
+        return {testing::StateService::Fault::Kind::executedLate, 1200ms};
     };
     http::RequestOutcome outcome;
     bool done = false;
     users.spawn(
         send(*nodes[0]->client, {"POST", "/v1/jobs", testing::submission("run-1")}, outcome, done));
     world.run(100ms);
-    state.endGrantOf("lead/holder");
+    state.expireLeaseOf("lead/holder");
     world.until([&] { return done; });
     EXPECT_EQ(outcome.response.status, 503);
     world.until([&] { return token() == 2U && state.keys.contains("lead/holder"); });
@@ -781,7 +781,7 @@
     const std::size_t absentNode = (leader() + 1) % 3;
     state.fault = [](const http::Request& r) -> testing::StateService::Fault {
         if (r.body.find("lead/absent") == std::string::npos) return {};
-        return {testing::StateService::Fault::Kind::late, 4s};
+        return {testing::StateService::Fault::Kind::executedLate, 4s};
     };
     kill(absentNode);
     world.run(4s);
--- a/src/gateway/app/gateway_test.cpp
+++ b/src/gateway/app/gateway_test.cpp
@@ -123,7 +123,7 @@
     s.world.run(1s);
     const auto records = s.state.keys;
     // Its grant ends, and it writes before it hears of that.
-    s.state.endGrantOf("gw/own/member/gw-1");
+    s.state.expireLeaseOf("gw/own/member/gw-1");
     EXPECT_EQ(tenure->replay("t:1"), std::nullopt);
     auto& other = s.start("gw-2");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
@@ -145,7 +145,7 @@
     const auto old = one.tenure(checks);
     // The record of ownership is replaced behind its back: it holds its grant all the while.
     s.state.keys["gw/own/queue/" + checks].stamp += 1000;
-    s.state.changeElsewhere(2000);
+    s.state.advanceRevisionAndCompact(2000);
     const auto before = s.state.keys;
     s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
     s.world.run(500ms);
@@ -166,9 +166,9 @@
             case 0:
                 return {Fault::Kind::refused, {}};
             case 1:
-                return {Fault::Kind::mute, {}};
+                return {Fault::Kind::responseLost, {}};
             case 2:
-                return {Fault::Kind::late, 4s};
+                return {Fault::Kind::executedLate, 4s};
             default:
                 return {};
         }
@@ -372,11 +372,11 @@
         if (r.target.starts_with("/watch?under=gw/own/")) {
             // Something has changed whenever it is asked.
             const auto after = std::stoull(simulator::param(r.target, "after"));
-            s.state.changeElsewhere(1);
+            s.state.advanceRevisionAndCompact(1);
             s.state.keys["gw/own/noise"] = {"{}", after + 1, 0};
         }
         const bool listing = r.target.starts_with("/keys?under=gw/own/");
-        return listing ? Fault{Fault::Kind::slow, 3s} : Fault{};
+        return listing ? Fault{Fault::Kind::respondedLate, 3s} : Fault{};
     };
     std::string better = "gw-2";
     const auto member = [](const std::string& name) {
--- a/src/gateway/testing/fault_test.cpp
+++ b/src/gateway/testing/fault_test.cpp
@@ -108,9 +108,10 @@
         if (x < 0.03) return ++f["state requests refused"], Fault{Fault::Kind::refused, {}};
         if (r.target != "/multi" || x > 0.07) return {};
         if (x < 0.05)
-            return ++f["state requests executed without answer"], Fault{Fault::Kind::mute, {}};
+            return ++f["state requests executed without answer"],
+                   Fault{Fault::Kind::responseLost, {}};
         return ++f["state requests executed late"],
-               Fault{Fault::Kind::late, fromSeconds(2 + 10 * share())};
+               Fault{Fault::Kind::executedLate, fromSeconds(2 + 10 * share())};
     }
 
     void fault() {
@@ -136,7 +137,7 @@
             // What an owner meets that froze past its grant and wakes.
             for (const auto& [key, entry] : fixture_.state.keys)
                 if (key.starts_with("gw/own/member/") && entry.grant != 0) {
-                    fixture_.state.endGrantOf(std::string(key));
+                    fixture_.state.expireLeaseOf(std::string(key));
                     ++f["grants ended under a live owner"];
                     break;
                 }
--- a/src/http/server_test.cpp
+++ b/src/http/server_test.cpp
@@ -39,15 +39,16 @@
         for (std::size_t i = 0; i < clientMachines; ++i) {
             clientHosts_.push_back(std::make_unique<Machine>(
                 network_, "clients", "10.9.1." + std::to_string(i + 1), "a", "x", 0, 0ms));
-            clientScopes_.push_back(std::make_unique<Scope>(clientHosts_.back()->boot()));
+            clientScopes_.push_back(std::make_unique<Scope>(clientHosts_.back()->startProcess()));
         }
         for (std::size_t i = 0; i < agents; ++i) spawn(i, agent(i % clientMachines));
         for (std::size_t i = 0; i < users; ++i) spawn(i, user(i % clientMachines, i % 2 == 0));
         spawn(0, user(0, false));
     }
     ~CrowdedServer() {
-        for (std::size_t i = 0; i < clientMachines; ++i) clientHosts_[i]->unwind(*clientScopes_[i]);
-        serverHost_.unwind(serverScope_);
+        for (std::size_t i = 0; i < clientMachines; ++i)
+            clientHosts_[i]->drainScope(*clientScopes_[i]);
+        serverHost_.drainScope(serverScope_);
         server_.reset();
     }
     CrowdedServer(const CrowdedServer&) = delete;
@@ -130,7 +131,7 @@
     Timeline time_{7};
     Network network_{time_};
     Machine serverHost_{network_, "server", "10.9.0.1", "a", "x", 0, 0ms};
-    Scope serverScope_{serverHost_.boot(processSockets)};
+    Scope serverScope_{serverHost_.startProcess(processSockets)};
     std::unique_ptr<Server> server_;
     std::vector<std::unique_ptr<Machine>> clientHosts_;
     std::vector<std::unique_ptr<Scope>> clientScopes_;
--- a/src/kv_store/transaction_writer_test.cpp
+++ b/src/kv_store/transaction_writer_test.cpp
@@ -25,7 +25,7 @@
     std::set<std::string> tooLarge;
     int failedWrites = 0;
 
-    void begin(simulator::StateService::Terms terms) {
+    void begin(simulator::StateService::Limits terms) {
         service = std::make_unique<simulator::StateService>(world.loop, world.scope, "127.0.0.1:0",
                                                             terms);
         service->keys["lead/holder"] = {"{}", 1, 0};
@@ -82,7 +82,7 @@
     for (int i = 0; i < 40; ++i) write("k" + std::to_string(i), 50);
     world.run(1s);
     ASSERT_EQ(durable.size(), 40U);
-    service->lower({0, 0, 0, 3, {}});
+    service->lowerLimits({0, 0, 0, 3, {}});
     for (int i = 0; i < 40; ++i) write("k" + std::to_string(i), 50);
     world.run(3s);
     for (const auto& [key, v] : durable) EXPECT_EQ(v, 2U) << key;
@@ -104,12 +104,12 @@
     EXPECT_EQ(failedWrites, 0) << "a rate limit is no outage: users only wait";
     EXPECT_NEAR(client->writeLimiter().rate(), 18 * 0.95, 0.01);
     // A lower limit that was not announced: the rate falls in steps, and rises again after a while.
-    service->lower({0, 8, 0, 0, {}});
+    service->lowerLimits({0, 8, 0, 0, {}});
     for (int i = 0; i < 100; ++i) write("more-" + std::to_string(i), 50, WritePriority::immediate);
     world.run(30s);
     EXPECT_EQ(durable.size(), 301U);
     EXPECT_LT(client->writeLimiter().rate(), 9);
-    service->lower({0, 100, 0, 0, {}});
+    service->lowerLimits({0, 100, 0, 0, {}});
     for (int i = 0; i < 200; ++i) {
         write("later", 50);
         world.run(2s);
@@ -127,7 +127,7 @@
     const auto randomBelow = [&](unsigned n) { return random() % n; };
     service->fault = [&](const http::Request& r) -> simulator::StateService::Fault {
         if (r.target != "/multi" || randomBelow(3) > 0) return {};
-        return {simulator::StateService::Fault::Kind::late,
+        return {simulator::StateService::Fault::Kind::executedLate,
                 std::chrono::milliseconds(2000 + randomBelow(10000))};
     };
     service->onPut = [&](const std::string& key, const std::string& data) {
@@ -156,7 +156,7 @@
     service->fault = [&](const http::Request& r) -> simulator::StateService::Fault {
         if (r.target != "/multi") return {};
         ++transactions;
-        return {responsesToLose-- > 0 ? simulator::StateService::Fault::Kind::mute
+        return {responsesToLose-- > 0 ? simulator::StateService::Fault::Kind::responseLost
                                       : simulator::StateService::Fault::Kind::none,
                 {}};
     };
--- a/src/lease_delegation/lease_delegation_test.cpp
+++ b/src/lease_delegation/lease_delegation_test.cpp
@@ -367,7 +367,7 @@
             renewedInside = clock_.now();
         heartbeat(outside, renewedOutside, s > 2);  // later, so that the job is placed in the zone
         if (clock_.now() - renewedInside > settings_.lease) {
-            inside.newSession();
+            inside.startIncarnation();
             renewedInside = clock_.now();
         }
         if (inside.report.incarnation == 1) uninterruptedFor_ = s;
--- a/src/scheduler/cluster_test.cpp
+++ b/src/scheduler/cluster_test.cpp
@@ -19,7 +19,7 @@
     Worker worker("n-1"), other("n-2");
     exchangeHeartbeat(worker);
     clock.advance(settings.heartbeatInterval);
-    worker.newSession();
+    worker.startIncarnation();
     cluster->onStatusReport(worker.next(), Cluster::ReportSource::commandResponse, clock.now());
     Job& job = submit(testing::spec("run-1", 1));
     place();
@@ -34,7 +34,7 @@
     EXPECT_EQ(job.tasks[0].machine, cluster->indexOf("n-1"));
     // Its reports are overdue by now. It responds to a probe with yet another incarnation and gets
     // no task.
-    worker.newSession();
+    worker.startIncarnation();
     cluster->onStatusReport(worker.next(), Cluster::ReportSource::commandResponse, clock.now());
     exchangeHeartbeat(other);
     place();
@@ -108,7 +108,7 @@
 TEST_F(ClusterTest, ANewIncarnationProvesThatNothingRuns) {
     Worker worker("n-1");
     Job& job = submitAndRun(worker, testing::spec("run-1"));
-    worker.newSession();
+    worker.startIncarnation();
     heartbeat(worker);
     EXPECT_EQ(job.tasks[0].state, TaskState::waiting);
     EXPECT_EQ(job.runningCount, 0U);
@@ -896,7 +896,7 @@
                 randomBelow(2) == 0);
         } else {
             Worker& worker = workers[randomBelow(workers.size())];
-            if (randomBelow(30) == 0) worker.newSession();
+            if (randomBelow(30) == 0) worker.startIncarnation();
             if (randomBelow(60) == 0) worker.report.interruptionNotice = 20s;
             for (std::size_t t = 0; t < worker.report.tasks.size(); ++t) {
                 if (worker.report.tasks[t].status == TaskStatus::exited || randomBelow(6) != 0)
--- a/src/scheduler/dependency_tracking_test.cpp
+++ b/src/scheduler/dependency_tracking_test.cpp
@@ -102,7 +102,7 @@
     EXPECT_EQ(third.boundCount, 1U) << "the team's limit is 3, and 2 are in use";
     EXPECT_EQ(cluster->openJobs().size(), 2U);
     clock.advance(300s);
-    worker.newSession();
+    worker.startIncarnation();
     for (int i = 0; i < 3; ++i) exchangeHeartbeatAndPlace();
     finish("run-1");
     exchangeHeartbeatAndPlace();
--- a/src/scheduler/fault_interactions_test.cpp
+++ b/src/scheduler/fault_interactions_test.cpp
@@ -115,7 +115,7 @@
     submitAndRun(worker, testing::spec("run-1"));
     const worker_api::StatusReport before = worker.next();
     // The incarnation ends, and the task is started again on n-2.
-    worker.newSession();
+    worker.startIncarnation();
     heartbeat(worker);
     exchangeHeartbeat(other);
     cluster->setDraining(cluster->indexOf("n-1"), true);
@@ -217,7 +217,7 @@
         EXPECT_EQ(job.boundCount, 2U);
         EXPECT_EQ(job.runningCount, 2U) << "the reports list them as running";
     }
-    partitioned.newSession();  // its lease has ended by its own clock
+    partitioned.startIncarnation();  // its lease has ended by its own clock
     cluster->onHeartbeat(partitioned.next(), clock.now());
     EXPECT_EQ(job.boundCount, 0U);
     cluster->setDraining(cluster->indexOf("n-1"), true);
@@ -263,7 +263,7 @@
         cluster->onHeartbeat(partitioned.next(), clock.now());
         advanceBy(2s);
     }
-    partitioned.newSession();
+    partitioned.startIncarnation();
     cluster->onHeartbeat(partitioned.next(), clock.now());
     place();
     EXPECT_EQ(job.boundCount, 0U);
--- a/src/simulator/agent.cpp
+++ b/src/simulator/agent.cpp
@@ -42,7 +42,7 @@
 }
 }  // namespace
 
-Agent::Agent(Timeline& time, Machine& machine, Cloud::Host host, TypeTerms type,
+Agent::Agent(Timeline& time, Machine& machine, Cloud::Host host, SimulatedMachineType type,
              AgentEnvironment& terms, History& history, const Agent* former)
     : time_(time),
       machine_(machine),
@@ -50,7 +50,7 @@
       type_(std::move(type)),
       terms_(terms),
       history_(history),
-      loop_(machine.boot()),
+      loop_(machine.startProcess()),
       scope_(loop_),
       wake_(loop_) {
     server_ =
@@ -78,11 +78,11 @@
         if (h.on) say(HistoryEvent::Kind::taskStopped, h);
     history_.events.push_back(
         {time_.seconds(), HistoryEvent::Kind::gone, machine_.site, "", host_.name});
-    machine_.cutOff(power);
-    machine_.unwind(scope_);
+    machine_.disconnect(power);
+    machine_.drainScope(scope_);
     server_.reset();
     tasks_.clear();
-    machine_.halt();
+    machine_.endProcess();
 }
 
 void Agent::blockInbound(Duration span) {
--- a/src/simulator/agent.h
+++ b/src/simulator/agent.h
@@ -30,7 +30,7 @@
   public:
     /// `former`: the process that it follows on the same machine. Its lease counts as over:
     /// messages are told older from newer by session and sequence, so they go on.
-    Agent(Timeline& time, Machine& machine, Cloud::Host host, TypeTerms type,
+    Agent(Timeline& time, Machine& machine, Cloud::Host host, SimulatedMachineType type,
           AgentEnvironment& terms, History& history, const Agent* former = nullptr);
     /// The machine and all that is on it is gone; `power`: its connections are reset.
     void kill(bool power);
@@ -89,7 +89,7 @@
     Timeline& time_;
     Machine& machine_;
     Cloud::Host host_;
-    TypeTerms type_;
+    SimulatedMachineType type_;
     AgentEnvironment& terms_;
     History& history_;
     EventLoop& loop_;
--- a/src/simulator/cloud.cpp
+++ b/src/simulator/cloud.cpp
@@ -13,23 +13,23 @@
 constexpr Duration shownDead = 30s;  // a machine that dies goes on being listed as running
 }  // namespace
 
-Cloud::Cloud(Timeline& time, EventLoop& loop, Scope& scope, const std::string& address, Terms terms,
-             Hooks hooks)
+Cloud::Cloud(Timeline& time, EventLoop& loop, Scope& scope, const std::string& address,
+             Config config, Hooks hooks)
     : time_(time),
       loop_(loop),
-      terms_(std::move(terms)),
+      config_(std::move(config)),
       hooks_(std::move(hooks)),
-      requests_(terms_.rps, terms_.rps * 2, loop.now()),
+      requests_(config_.rps, config_.rps * 2, loop.now()),
       server_(loop, address, {},
               [this](http::Request r) -> Task<http::Response> { co_return serve(r); }) {
     server_.start(scope);
     changed();
 }
 
-const TypeTerms* Cloud::typeOf(const std::string& name) const {
-    const auto it = std::find_if(terms_.types.begin(), terms_.types.end(),
+const SimulatedMachineType* Cloud::typeOf(const std::string& name) const {
+    const auto it = std::find_if(config_.types.begin(), config_.types.end(),
                                  [&](const auto& t) { return t.name == name; });
-    return it == terms_.types.end() ? nullptr : &*it;
+    return it == config_.types.end() ? nullptr : &*it;
 }
 
 Cloud::Host& Cloud::add(const std::string& type, const std::string& zone, bool spot) {
@@ -52,7 +52,7 @@
 void Cloud::changed() {
     past_[time_.now()] = hosts_;
     // Lists are as old as twice the lag at most.
-    while (past_.size() > 1 && std::next(past_.begin())->first < time_.now() - terms_.listLag * 2)
+    while (past_.size() > 1 && std::next(past_.begin())->first < time_.now() - config_.listLag * 2)
         past_.erase(past_.begin());
 }
 
@@ -84,7 +84,7 @@
         return {400, R"({"error":"malformed"})"};
     if (const auto before = rented_.find(*booking); before != rented_.end())
         return {200, before->second};
-    const TypeTerms& t = *typeOf(*type);
+    const SimulatedMachineType& t = *typeOf(*type);
     const auto used = std::count_if(hosts_.begin(), hosts_.end(), [&](const auto& h) {
         return h.second.type == *type && h.second.zone == *zone && h.second.spot == spot;
     });
@@ -117,7 +117,7 @@
     const std::string after = queryParameter(target, "after"),
                       page = queryParameter(target, "page");
     const std::size_t most = page.empty() ? 500 : std::min<std::size_t>(500, std::stoul(page));
-    const double lag = toSeconds(terms_.listLag) * time_.between(0.5, 2);
+    const double lag = toSeconds(config_.listLag) * time_.between(0.5, 2);
     auto shown = past_.upper_bound(time_.now() - fromSeconds(lag));
     if (shown != past_.begin()) --shown;
     json::Writer out;
@@ -145,12 +145,12 @@
     if (r.target == "/catalog") {
         json::Writer out;
         out.open().key("rigs").openArray();
-        for (const auto& t : terms_.types) {
+        for (const auto& t : config_.types) {
             out.open().field("sku", t.name).field("cores", t.cores).field("gpus", t.gpus);
             out.field("ramGb", t.ramGb).field("localGb", 50.0).field("fetchGbPerS", t.fetchGbPerS);
             out.field("rate", t.price).field("marketPrice", t.spotPrice).field("readyS", t.bootS);
             out.key("halls").openArray();
-            for (const auto& z : terms_.zones) out.value(z);
+            for (const auto& z : config_.zones) out.value(z);
             out.closeArray().close();
         }
         out.closeArray().close();
--- a/src/simulator/cloud.h
+++ b/src/simulator/cloud.h
@@ -9,7 +9,7 @@
 
 namespace basaltchute::simulator {
 
-struct TypeTerms {
+struct SimulatedMachineType {
     std::string name;
     double cores = 0, gpus = 0, ramGb = 0, fetchGbPerS = 1, price = 1, spotPrice = 0.3;
     double bootS = 20, neverBoots = 0;
@@ -20,11 +20,11 @@
 /// The cloud by its published protocol: lists that lag and go back, boots that are late or never.
 class Cloud {
   public:
-    struct Terms {
+    struct Config {
         double rps = 1e9;
         Duration listLag{};
         std::vector<std::string> zones;
-        std::vector<TypeTerms> types;
+        std::vector<SimulatedMachineType> types;
     };
     struct Host {
         std::string name, address, type, zone;
@@ -35,10 +35,10 @@
         std::function<std::string()> name, address;  // of the next machine
         std::function<void(const Host&)> boot, remove;
     };
-    Cloud(Timeline& time, EventLoop& loop, Scope& scope, const std::string& address, Terms terms,
+    Cloud(Timeline& time, EventLoop& loop, Scope& scope, const std::string& address, Config config,
           Hooks hooks);
     bool down = false;
-    double bootFactor = 1, bootFails = 0;  // troubles, on top of the terms
+    double bootFactor = 1, bootFails = 0;  // troubles, on top of the config
     /// A machine that is there from the start.
     void addRunning(const std::string& type, const std::string& zone);
     /// Stopped on its own, or was taken back: then it is not listed any more.
@@ -51,11 +51,11 @@
     http::Response list(const std::string& target);
     Host& add(const std::string& type, const std::string& zone, bool spot);
     void changed();
-    [[nodiscard]] const TypeTerms* typeOf(const std::string& name) const;
+    [[nodiscard]] const SimulatedMachineType* typeOf(const std::string& name) const;
 
     Timeline& time_;
     EventLoop& loop_;
-    Terms terms_;
+    Config config_;
     Hooks hooks_;
     RateLimiter requests_;
     http::Server server_;
--- a/src/simulator/fault_interactions_test.cpp
+++ b/src/simulator/fault_interactions_test.cpp
@@ -270,7 +270,7 @@
     EXPECT_GT(submitted.size(), 600U);
     EXPECT_GE(answered.size() + 8, submitted.size()) << "but for the last seconds";
     EXPECT_GT(static_cast<double>(quick) / static_cast<double>(submitted.size()), 0.95);
-    const auto& of = world->changes();
+    const auto& of = world->writesByKeyPrefix();
     const double each = static_cast<double>(of.at("jobs")) / static_cast<double>(h.jobs.size());
     EXPECT_LT(each, 3.0) << "accepted and bound in one, and its end or its cancellation";
     EXPECT_LT(of.at("lead"), 30U);
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -30,7 +30,7 @@
     Played out;
     try {
         simulator::Simulation world(scenario, seed);
-        if (kept) world.keep(*kept);
+        if (kept) world.applyOnlyFaults(*kept);
         out.faults = world.faults();
         world.run();
         out.result = world.checkResult();
--- a/src/simulator/many_agents_test.cpp
+++ b/src/simulator/many_agents_test.cpp
@@ -19,7 +19,7 @@
     site.leaseS = 31;
     site.state.writeRps = 400;
     site.state.rps = 800;
-    TypeTerms& type = site.types.front();
+    SimulatedMachineType& type = site.types.front();
     type.up = 2000;
     type.ordinary = 2000;
     type.spot = 0;
--- a/src/simulator/network.cpp
+++ b/src/simulator/network.cpp
@@ -41,10 +41,10 @@
 
 // Descriptors
 
-SimulatedHost::~SimulatedHost() {
+SimulatedSocketBackend::~SimulatedSocketBackend() {
     while (!open_.empty()) close(open_.begin()->first);
 }
-void SimulatedHost::die(bool power) {
+void SimulatedSocketBackend::die(bool power) {
     dead_ = true;
     for (auto& [fd, end] : open_) {
         if (!power) end->peer.reset();
@@ -53,7 +53,7 @@
         resetBacklog(*end);
     }
 }
-void SimulatedHost::resetBacklog(Endpoint& listener) {
+void SimulatedSocketBackend::resetBacklog(Endpoint& listener) {
     for (const auto& waiting : std::exchange(listener.backlog, {}))
         if (const auto peer = waiting->peer.lock())
             network_.carry(machine_, peer, [peer] {
@@ -62,7 +62,7 @@
                     peer->machine->host_->changed(*peer, true, true);
             });
 }
-int SimulatedHost::add(std::shared_ptr<Endpoint> end) {
+int SimulatedSocketBackend::add(std::shared_ptr<Endpoint> end) {
     if (dead_ || open_.size() >= most_) {
         errno = EMFILE;
         return -1;
@@ -74,24 +74,24 @@
     open_[fd] = std::move(end);
     return fd;
 }
-void SimulatedHost::changed(Endpoint& end, bool readable, bool writable) {
+void SimulatedSocketBackend::changed(Endpoint& end, bool readable, bool writable) {
     end.readable = end.readable || readable;
     end.writable = end.writable || writable;
     if (!end.watched) return;
     ready_.insert(end.fd);
     machine_.wake();
 }
-void SimulatedHost::watch(int fd) {
+void SimulatedSocketBackend::watch(int fd) {
     Endpoint& end = *open_.at(fd);
     end.watched = true;
     const bool open = end.kind == Endpoint::Kind::open;
     changed(end, !end.inbox.empty() || end.ended || end.reset || !end.backlog.empty(), open);
 }
-void SimulatedHost::unwatch(int fd) {
+void SimulatedSocketBackend::unwatch(int fd) {
     ready_.erase(fd);
     if (const auto it = open_.find(fd); it != open_.end()) it->second->watched = false;
 }
-std::size_t SimulatedHost::wait(std::span<Ready> into, Duration) {
+std::size_t SimulatedSocketBackend::wait(std::span<Ready> into, Duration) {
     std::size_t n = 0;
     while (n < into.size() && !ready_.empty()) {
         Endpoint& end = *open_.at(*ready_.begin());
@@ -102,7 +102,7 @@
     }
     return n;
 }
-int SimulatedHost::connect(const sockaddr_in& to) {
+int SimulatedSocketBackend::connect(const sockaddr_in& to) {
     auto end = std::make_shared<Endpoint>();
     end->kind = Endpoint::Kind::connecting;
     end->remote = to;
@@ -115,7 +115,7 @@
     errno = EINPROGRESS;
     return fd;
 }
-int SimulatedHost::listen(const sockaddr_in& at) {
+int SimulatedSocketBackend::listen(const sockaddr_in& at) {
     auto end = std::make_shared<Endpoint>();
     end->kind = Endpoint::Kind::listener;
     end->local = at;
@@ -127,7 +127,7 @@
     if (fd < 0) throw std::system_error(EMFILE, std::generic_category(), "listen");
     return fd;
 }
-int SimulatedHost::accept(int fd) {
+int SimulatedSocketBackend::accept(int fd) {
     Endpoint& listener = *open_.at(fd);
     while (!listener.backlog.empty()) {
         auto end = listener.backlog.front();
@@ -139,7 +139,7 @@
     errno = EAGAIN;
     return -1;
 }
-ssize_t SimulatedHost::receive(int fd, std::span<char> into) {
+ssize_t SimulatedSocketBackend::receive(int fd, std::span<char> into) {
     Endpoint& end = *open_.at(fd);
     if (end.reset) {
         errno = ECONNRESET;
@@ -155,11 +155,11 @@
     end.inbox.erase(0, n);
     return static_cast<ssize_t>(n);
 }
-bool SimulatedHost::stale(int fd) const {
+bool SimulatedSocketBackend::stale(int fd) const {
     const Endpoint& end = *open_.at(fd);
     return end.reset || end.ended || !end.inbox.empty();
 }
-ssize_t SimulatedHost::send(int fd, std::span<const char> data) {
+ssize_t SimulatedSocketBackend::send(int fd, std::span<const char> data) {
     Endpoint& end = *open_.at(fd);
     if (dead_ || end.reset || end.closed) {
         errno = EPIPE;
@@ -175,7 +175,7 @@
     });
     return static_cast<ssize_t>(data.size());
 }
-void SimulatedHost::shutDown(int fd) {
+void SimulatedSocketBackend::shutDown(int fd) {
     Endpoint& end = *open_.at(fd);
     end.closed = true;
     end.inbox.clear();
@@ -185,7 +185,7 @@
             if (!peer->closed && peer->fd >= 0) peer->machine->host_->changed(*peer, true, true);
         });
 }
-void SimulatedHost::close(int fd) {
+void SimulatedSocketBackend::close(int fd) {
     const auto end = open_.at(fd);
     ready_.erase(fd);
     if (end->kind == Endpoint::Kind::open && !end->closed) shutDown(fd);
@@ -195,13 +195,13 @@
     open_.erase(fd);
     closed_.insert(fd);
 }
-int SimulatedHost::error(int fd) const {
+int SimulatedSocketBackend::error(int fd) const {
     return open_.at(fd)->error;
 }
-sockaddr_in SimulatedHost::local(int fd) const {
+sockaddr_in SimulatedSocketBackend::local(int fd) const {
     return open_.at(fd)->local;
 }
-sockaddr_in SimulatedHost::remote(int fd) const {
+sockaddr_in SimulatedSocketBackend::remote(int fd) const {
     return open_.at(fd)->remote;
 }
 
@@ -220,14 +220,14 @@
     network_.machines_[at.s_addr] = this;
 }
 Machine::~Machine() {
-    halt();
+    endProcess();
     in_addr at{};
     inet_pton(AF_INET, address.c_str(), &at);
     network_.machines_.erase(at.s_addr);
     std::erase(network_.runnable_, this);
 }
-EventLoop& Machine::boot(std::size_t descriptors) {
-    auto host = std::make_unique<SimulatedHost>(network_, *this, descriptors);
+EventLoop& Machine::startProcess(std::size_t descriptors) {
+    auto host = std::make_unique<SimulatedSocketBackend>(network_, *this, descriptors);
     host_ = host.get();
     loop_ = std::make_unique<EventLoop>(clock_, std::move(host));
     ++boots_;
@@ -237,11 +237,11 @@
     wake();
     return *loop_;
 }
-void Machine::cutOff(bool power) {
+void Machine::disconnect(bool power) {
     powered_ = power;
     if (host_ != nullptr) host_->die(power);
 }
-void Machine::unwind(Scope& scope) {
+void Machine::drainScope(Scope& scope) {
     bool ended = false;
     loop_->spawn([](Scope& s, bool& flag) -> Task<void> {
         co_await s.cancelAndWait();
@@ -252,9 +252,9 @@
         loop_->runOnce(Duration::zero());
     }
 }
-void Machine::halt() {
+void Machine::endProcess() {
     if (!loop_) return;
-    if (!host_->dead_) cutOff();
+    if (!host_->dead_) disconnect();
     loop_.reset();
     host_ = nullptr;
 }
@@ -295,7 +295,7 @@
     });
 }
 
-// Between them
+// LinkPredicate them
 
 Machine* Network::at(const sockaddr_in& address) {
     const auto it = machines_.find(address.sin_addr.s_addr);
@@ -307,10 +307,10 @@
 }
 Duration Network::latency(const Machine& from, const Machine& to) {
     const bool zoned = !from.zone.empty() && from.zone == to.zone;
-    Duration span = from.site != to.site ? terms.betweenSites : zoned ? terms.near : terms.far;
-    span = std::chrono::duration_cast<Duration>(span *
-                                                time_.between(1 - terms.jitter, 1 + terms.jitter));
-    return time_.chance(terms.slow) ? span + 200ms : span;
+    Duration span = from.site != to.site ? config.betweenSites : zoned ? config.near : config.far;
+    span = std::chrono::duration_cast<Duration>(
+        span * time_.between(1 - config.jitter, 1 + config.jitter));
+    return time_.chance(config.slow) ? span + 200ms : span;
 }
 void Network::carry(const Machine& from, const std::shared_ptr<Endpoint>& to,
                     std::function<void()> what) {
@@ -368,11 +368,11 @@
         });
     });
 }
-std::uint64_t Network::cut(Between between) {
+std::uint64_t Network::cut(LinkPredicate between) {
     cuts_[next_] = std::move(between);
     return next_++;
 }
-std::uint64_t Network::refuse(Between between) {
+std::uint64_t Network::refuse(LinkPredicate between) {
     refusals_[next_] = std::move(between);
     return next_++;
 }
@@ -395,7 +395,7 @@
                 }
             continue;
         }
-        to->arrivesAfter = std::max(to->arrivesAfter, time_.now() + terms.far);
+        to->arrivesAfter = std::max(to->arrivesAfter, time_.now() + config.far);
         for (auto& what : held) time_.at(to->arrivesAfter, std::move(what));
     }
     for (const auto& weak : std::exchange(knocking_, {}))
--- a/src/simulator/network.h
+++ b/src/simulator/network.h
@@ -79,13 +79,13 @@
 };
 
 /// The descriptors of one process. They end with it.
-class SimulatedHost final : public SocketBackend {
+class SimulatedSocketBackend final : public SocketBackend {
   public:
-    SimulatedHost(Network& network, Machine& machine, std::size_t descriptors)
+    SimulatedSocketBackend(Network& network, Machine& machine, std::size_t descriptors)
         : network_(network), machine_(machine), most_(descriptors) {}
-    ~SimulatedHost() override;
-    SimulatedHost(const SimulatedHost&) = delete;
-    SimulatedHost& operator=(const SimulatedHost&) = delete;
+    ~SimulatedSocketBackend() override;
+    SimulatedSocketBackend(const SimulatedSocketBackend&) = delete;
+    SimulatedSocketBackend& operator=(const SimulatedSocketBackend&) = delete;
     int connect(const sockaddr_in& to) override;
     int listen(const sockaddr_in& at) override;
     int accept(int fd) override;
@@ -129,14 +129,14 @@
     Machine(const Machine&) = delete;
     Machine& operator=(const Machine&) = delete;
     /// Starts a process: a loop of its own on this machine.
-    EventLoop& boot(std::size_t descriptors = 100'000);
+    EventLoop& startProcess(std::size_t descriptors = 100'000);
     /// The process is about to end: nothing of what it still does is seen. Its connections are
     /// reset, unless the machine loses its power: then they are silent.
-    void cutOff(bool power = true);
+    void disconnect(bool power = true);
     /// Ends the routines of a scope of a process that was cut off.
-    void unwind(Scope& scope);
+    void drainScope(Scope& scope);
     /// Ends the process.
-    void halt();
+    void endProcess();
     [[nodiscard]] bool on() const { return loop_ != nullptr; }
     [[nodiscard]] EventLoop& loop() { return *loop_; }
     /// Stands still until then, while its clocks run on.
@@ -149,13 +149,13 @@
     [[nodiscard]] const DriftingClock& clock() const { return clock_; }
 
   private:
-    friend class SimulatedHost;
+    friend class SimulatedSocketBackend;
     friend class Network;
     void sleepUntilNextTimer();
     Network& network_;
     DriftingClock clock_;
     std::unique_ptr<EventLoop> loop_;
-    SimulatedHost* host_ = nullptr;  // the loop's
+    SimulatedSocketBackend* host_ = nullptr;  // the loop's
     std::uint64_t boots_ = 0;
     TimePoint frozenUntil_{}, wakesAt_ = TimePoint::max();
     bool queued_ = false, powered_ = true;
@@ -164,7 +164,7 @@
 /// What lies between the machines.
 class Network {
   public:
-    struct Terms {
+    struct Config {
         Duration near = std::chrono::microseconds(300), far = std::chrono::milliseconds(1);
         Duration betweenSites = std::chrono::milliseconds(20);
         double jitter = 0.25;
@@ -172,19 +172,19 @@
     };
     explicit Network(Timeline& time) : time_(time) {}
     [[nodiscard]] Timeline& time() { return time_; }
-    Terms terms;
+    Config config;
     /// Everything between two machines for which it says so is held back, one way or both; ended,
     /// it arrives, or the connections are reset.
-    using Between = std::function<bool(const Machine& from, const Machine& to)>;
-    std::uint64_t cut(Between between);
+    using LinkPredicate = std::function<bool(const Machine& from, const Machine& to)>;
+    std::uint64_t cut(LinkPredicate between);
     void heal(std::uint64_t which, bool reset);
     /// From now on connections between such machines are refused; open ones go on.
-    std::uint64_t refuse(Between between);
+    std::uint64_t refuse(LinkPredicate between);
     void allow(std::uint64_t refusal) { refusals_.erase(refusal); }
     void run(TimePoint until);
 
   private:
-    friend class SimulatedHost;
+    friend class SimulatedSocketBackend;
     friend class Machine;
     [[nodiscard]] bool isCut(const Machine& from, const Machine& to) const;
     Duration latency(const Machine& from, const Machine& to);
@@ -196,7 +196,7 @@
 
     Timeline& time_;
     std::map<std::uint32_t, Machine*> machines_;  // by address
-    std::map<std::uint64_t, Between> cuts_, refusals_;
+    std::map<std::uint64_t, LinkPredicate> cuts_, refusals_;
     std::uint64_t next_ = 1;
     std::uint16_t port_ = 20'000;
     std::vector<std::weak_ptr<Endpoint>> holding_;
--- a/src/simulator/scenario.cpp
+++ b/src/simulator/scenario.cpp
@@ -46,8 +46,8 @@
                              : Priority::low;
 }
 
-TypeTerms typeIn(const json::Value& v) {
-    TypeTerms t;
+SimulatedMachineType typeIn(const json::Value& v) {
+    SimulatedMachineType t;
     t.name = textOr(v, "name");
     t.cores = numberOr(v, "cores", 1);
     t.gpus = numberOr(v, "gpus", 0);
--- a/src/simulator/scenario.h
+++ b/src/simulator/scenario.h
@@ -52,7 +52,7 @@
     std::string name;
     std::size_t nodes = 3, sockets = 2000;
     std::vector<std::string> zones;
-    std::vector<TypeTerms> types;
+    std::vector<SimulatedMachineType> types;
     std::vector<settings::Team> teams;
     std::vector<JobClassOptions> classes;
     std::vector<PipelineOptions> pipelines;
@@ -60,7 +60,7 @@
     /// as versions before chains do; a roll brings the others.
     bool heldBack = false;
     NextLimits next;
-    StateService::Terms state{200, 60, std::size_t{16} * 1024, 20, std::chrono::milliseconds(4)};
+    StateService::Limits state{200, 60, std::size_t{16} * 1024, 20, std::chrono::milliseconds(4)};
     double cloudRps = 10, listLagS = 6, reportS = 5, leaseS = 20, cancelS = 45;
     double restartS = 0.2, clockOffMs = 250;
 };
--- a/src/simulator/simulation.cpp
+++ b/src/simulator/simulation.cpp
@@ -52,8 +52,8 @@
         for (auto& n : s->nodes) stop(*n);
         for (auto& [name, w] : s->workers) w->kill(true);
         s->people->end();
-        s->services->cutOff();
-        s->services->unwind(*s->scope);
+        s->services->disconnect();
+        s->services->drainScope(*s->scope);
     }
 }
 
@@ -69,7 +69,7 @@
     const std::string net = fmt::format("10.{}.", s.number);
     const std::string state = net + "1.1:2379", cloud = net + "1.1:8443";
     s.services = machine("services", net + "1.1", "", s);
-    EventLoop& loop = s.services->boot();
+    EventLoop& loop = s.services->startProcess();
     s.scope = std::make_unique<Scope>(loop);
     s.state = std::make_unique<StateService>(loop, *s.scope, state, s.terms.state);
     s.state->onPut = [this, &s](const std::string& key, const std::string& data) {
@@ -113,7 +113,7 @@
         x.listenAddress = ip + ":8080";
         x.peerListenAddress = ip + ":8081";
         x.stateAddress = fmt::format("{}1.1:{}", net, 2380 + i);
-        s.state->open(x.stateAddress, [node = n.get()] { return node->refused > 0; });
+        s.state->addListener(x.stateAddress, [node = n.get()] { return node->refused > 0; });
         x.cloudAddress = cloud;
         x.zones = s.terms.zones;
         x.teams = s.terms.teams;
@@ -148,8 +148,8 @@
     s.users = machine("users", net + "1.2", "", s);
     s.people = std::make_unique<Users>(time_, *s.users, addresses, history_);
 
-    Cloud::Terms terms{s.terms.cloudRps, fromSeconds(s.terms.listLagS), s.terms.zones,
-                       s.terms.types};
+    Cloud::Config terms{s.terms.cloudRps, fromSeconds(s.terms.listLagS), s.terms.zones,
+                        s.terms.types};
     s.cloud = std::make_unique<Cloud>(
         time_, loop, *s.scope, cloud, terms,
         Cloud::Hooks{
@@ -180,7 +180,7 @@
 }
 
 void Simulation::start(Node& n) {
-    EventLoop& loop = n.machine->boot(n.settings.maxSockets);
+    EventLoop& loop = n.machine->startProcess(n.settings.maxSockets);
     n.controller = std::make_unique<controller::Controller>(loop, n.settings, n.operatorSettings,
                                                             std::to_string(time_.random()()));
     n.controller->start();
@@ -188,7 +188,7 @@
 
 void Simulation::stop(Node& n) {
     if (!n.controller) return;
-    n.machine->cutOff();
+    n.machine->disconnect();
     EventLoop& loop = n.machine->loop();
     bool ended = false;
     loop.spawn([](controller::Controller& c, bool& flag) -> Task<void> {
@@ -200,7 +200,7 @@
         loop.runOnce(Duration::zero());
     }
     n.controller.reset();
-    n.machine->halt();
+    n.machine->endProcess();
 }
 
 void Simulation::crash(Node& n, double backS) {
@@ -425,7 +425,7 @@
         if (f.site.empty() || s->terms.name == f.site) applyTo(*s, f);
 }
 
-void Simulation::cutFor(const Fault& f, Network::Between between) {
+void Simulation::cutFor(const Fault& f, Network::LinkPredicate between) {
     const std::uint64_t cut = network_.cut(std::move(between));
     time_.after(fromSeconds(f.forS), [this, cut, reset = f.reset] { network_.heal(cut, reset); });
 }
@@ -462,15 +462,17 @@
     using Kind = StateService::Fault::Kind;
     if (r.target.starts_with("/watch")) return {};
     if (s.lateWrites > 0 && r.target == "/multi" && time_.chance(s.lateShare))
-        return {Kind::late, fromSeconds(time_.between(2, 12))};
+        return {Kind::executedLate, fromSeconds(time_.between(2, 12))};
     if (s.answersLost > 0 && r.target == "/multi" && time_.chance(s.lostShare))
-        return {Kind::mute, {}};
+        return {Kind::responseLost, {}};
     if (s.stateLate > 0 && time_.chance(0.2)) {
-        const auto kind = std::array{Kind::refused, Kind::mute, Kind::late, Kind::slow};
+        const auto kind =
+            std::array{Kind::refused, Kind::responseLost, Kind::executedLate, Kind::respondedLate};
         return {kind.at(static_cast<std::size_t>(time_.between(0, 4))),
                 fromSeconds(time_.between(0.05, 4))};
     }
-    if (s.stateSlow > 0) return {Kind::slow, fromSeconds(std::exp(time_.between(-4, 0.5)))};
+    if (s.stateSlow > 0)
+        return {Kind::respondedLate, fromSeconds(std::exp(time_.between(-4, 0.5)))};
     return {};
 }
 
@@ -581,8 +583,8 @@
             [isNode](const Machine& a, const Machine& b) { return isNode(a) && isNode(b); });
         time_.at(until, [this, id] { network_.allow(id); });
     } else if (f.kind == "state_limits") {
-        s.state->lower({s.terms.state.rps, s.terms.next.writeRps, s.terms.next.valueBytes,
-                        s.terms.next.txnOps, s.terms.state.latency});
+        s.state->lowerLimits({s.terms.state.rps, s.terms.next.writeRps, s.terms.next.valueBytes,
+                              s.terms.next.txnOps, s.terms.state.latency});
     } else if (f.kind == "state_outage") {
         ++s.outages;
         s.state->down = true;
--- a/src/simulator/simulation.h
+++ b/src/simulator/simulation.h
@@ -22,12 +22,14 @@
     /// Plays the scenario to its end.
     void run();
     /// Lets only these faults happen, by their place in faults(); for finding the fewest.
-    void keep(const std::set<std::size_t>& which) { kept_ = which; }
+    void applyOnlyFaults(const std::set<std::size_t>& which) { kept_ = which; }
     [[nodiscard]] const std::vector<Fault>& faults() const { return faults_; }
     [[nodiscard]] const History& history() const { return history_; }
     [[nodiscard]] CheckResult checkResult() const { return check(history_, rules_); }
     /// Changes that the state services carried out, by the first part of their keys.
-    [[nodiscard]] const std::map<std::string, std::uint64_t>& changes() const { return changes_; }
+    [[nodiscard]] const std::map<std::string, std::uint64_t>& writesByKeyPrefix() const {
+        return changes_;
+    }
 
   private:
     struct Node {
@@ -80,7 +82,7 @@
     void lasts(int& count, double forS);
     void apply(const Fault& fault);
     void applyTo(Site& site, const Fault& fault);
-    void cutFor(const Fault& fault, Network::Between between);
+    void cutFor(const Fault& fault, Network::LinkPredicate between);
     /// So many nodes, the leader first if it is meant.
     std::vector<Node*> some(Site& site, const Fault& fault);
     std::vector<Agent*> someWorkers(Site& site, std::uint32_t count, bool spotOnly);
--- a/src/simulator/simulation_test.cpp
+++ b/src/simulator/simulation_test.cpp
@@ -233,7 +233,7 @@
     Network network{time};
     Machine here{network, "here", "10.9.0.1", "a", "x", 0, 0ms};
     Machine there{network, "there", "10.9.0.2", "b", "x", 0.0005, 0ms};
-    Scope hereScope{here.boot()}, thereScope{there.boot()};
+    Scope hereScope{here.startProcess()}, thereScope{there.startProcess()};
     std::unique_ptr<http::Server> server =
         std::make_unique<http::Server>(there.loop(), "10.9.0.2:80", http::ServerLimits{},
                                        [](http::Request r) -> Task<http::Response> {
@@ -247,8 +247,8 @@
     Echo(const Echo&) = delete;
     Echo& operator=(const Echo&) = delete;
     ~Echo() {
-        here.unwind(hereScope);
-        if (there.on()) there.unwind(thereScope);
+        here.drainScope(hereScope);
+        if (there.on()) there.drainScope(thereScope);
         server.reset();
     }
     void ask(Duration timeout) {
@@ -308,7 +308,7 @@
     EXPECT_FALSE(echo.done);
     echo.pass(300ms);
     EXPECT_TRUE(echo.got.answered);
-    echo.there.cutOff(false);
+    echo.there.disconnect(false);
     echo.ask(2s);
     echo.pass(1900ms);
     EXPECT_FALSE(echo.done) << "no reset, no refusal";
--- a/src/simulator/state_service.cpp
+++ b/src/simulator/state_service.cpp
@@ -10,19 +10,19 @@
 using namespace std::chrono_literals;
 
 StateService::StateService(EventLoop& loop, Scope& scope, const std::string& address)
-    : StateService(loop, scope, address, Terms{}) {}
-StateService::StateService(EventLoop& loop, Scope& scope, const std::string& address, Terms terms)
+    : StateService(loop, scope, address, Limits{}) {}
+StateService::StateService(EventLoop& loop, Scope& scope, const std::string& address, Limits limits)
     : loop_(loop),
       scope_(scope),
-      terms_(terms),
-      requests_(terms.rps, terms.rps, loop.now()),
-      changes_(terms.writeRps, terms.writeRps, loop.now()),
+      limits_(limits),
+      requests_(limits.rps, limits.rps, loop.now()),
+      changes_(limits.writeRps, limits.writeRps, loop.now()),
       server_(loop, address, {}, [this](http::Request r) { return handle(std::move(r), nobody_); }),
       changed_(loop) {
     server_.start(scope);
 }
 
-void StateService::open(const std::string& address, Refuses refuses) {
+void StateService::addListener(const std::string& address, Refuses refuses) {
     Door& door = doors_.emplace_back(Door{std::move(refuses), nullptr});
     door.server = std::make_unique<http::Server>(
         loop_, address, http::ServerLimits{},
@@ -30,12 +30,12 @@
     door.server->start(scope_);
 }
 
-void StateService::lower(const Terms& terms) {
-    if (terms.valueBytes > 0) terms_.valueBytes = terms.valueBytes;
-    if (terms.txnOps > 0) terms_.txnOps = terms.txnOps;
-    if (terms.writeRps > 0) {
-        terms_.writeRps = terms.writeRps;
-        changes_ = RateLimiter(terms.writeRps, terms.writeRps, loop_.now());
+void StateService::lowerLimits(const Limits& limits) {
+    if (limits.valueBytes > 0) limits_.valueBytes = limits.valueBytes;
+    if (limits.txnOps > 0) limits_.txnOps = limits.txnOps;
+    if (limits.writeRps > 0) {
+        limits_.writeRps = limits.writeRps;
+        changes_ = RateLimiter(limits.writeRps, limits.writeRps, loop_.now());
     }
 }
 
@@ -52,7 +52,7 @@
     for (const auto& k : attached) erase(k);
     return {200, "{}"};
 }
-void StateService::endGrantOf(const std::string& key) {
+void StateService::expireLeaseOf(const std::string& key) {
     forgetGrant(keys.at(key).grant);
 }
 void StateService::expire() {
@@ -68,10 +68,10 @@
     const auto doc = json::parse(body);
     json::Writer out;
     std::vector<std::string> failed;
-    if ((*doc)["then"].Size() > terms_.txnOps || body.size() > std::size_t{64} * 1024)
+    if ((*doc)["then"].Size() > limits_.txnOps || body.size() > std::size_t{64} * 1024)
         return {400, R"({"error":"too large"})"};
     for (const auto& p : (*doc)["then"].GetArray())
-        if (p.HasMember("data") && json::text(p["data"]).size() > terms_.valueBytes)
+        if (p.HasMember("data") && json::text(p["data"]).size() > limits_.valueBytes)
             return {400, R"({"error":"value too large"})"};
     for (const auto& g : (*doc)["guards"].GetArray()) {
         const std::string key = g["key"].GetString();
@@ -154,12 +154,12 @@
 
 Task<http::Response> StateService::handle(http::Request r, const Refuses& refuses) {
     const Fault f = fault ? fault(r) : Fault{};
-    if (terms_.latency > Duration::zero()) co_await loop_.sleep(terms_.latency, scope_);
+    if (limits_.latency > Duration::zero()) co_await loop_.sleep(limits_.latency, scope_);
     if (f.kind == Fault::Kind::refused) co_return http::Response{503, R"({"error":"trouble"})"};
-    if (f.kind == Fault::Kind::late) co_await loop_.sleep(f.late, scope_);
+    if (f.kind == Fault::Kind::executedLate) co_await loop_.sleep(f.delay, scope_);
     auto response = co_await serve(std::move(r), refuses);
-    if (f.kind == Fault::Kind::slow) {
-        co_await loop_.sleep(f.late, scope_);
+    if (f.kind == Fault::Kind::respondedLate) {
+        co_await loop_.sleep(f.delay, scope_);
         co_return response;
     }
     // Whoever asked has given up long before.
--- a/src/simulator/state_service.h
+++ b/src/simulator/state_service.h
@@ -13,18 +13,18 @@
 /// The state service by its published protocol, with its limits and with what goes wrong.
 class StateService {
   public:
-    struct Terms {
+    struct Limits {
         double rps = 1e9, writeRps = 1e9;  // a second; bursts of one second's worth
         std::size_t valueBytes = SIZE_MAX, txnOps = SIZE_MAX;
         Duration latency{};
     };
     /// On any loop; routines belong to `scope`.
     StateService(EventLoop& loop, Scope& scope, const std::string& address = "127.0.0.1:0");
-    StateService(EventLoop& loop, Scope& scope, const std::string& address, Terms terms);
+    StateService(EventLoop& loop, Scope& scope, const std::string& address, Limits limits);
     [[nodiscard]] std::string address() const { return server_.address(); }
     /// Another address of it, for one node alone, which it refuses for as long as `refuses`: that
     /// node cannot tell this from an outage.
-    void open(const std::string& address, std::function<bool()> refuses);
+    void addListener(const std::string& address, std::function<bool()> refuses);
     struct Entry {
         std::string data;
         std::uint64_t stamp = 0, grant = 0;
@@ -35,21 +35,27 @@
     /// What goes wrong with a request: refused, executed without an answer, executed late, or
     /// answered late.
     struct Fault {
-        enum class Kind { none, refused, mute, late, slow } kind = Kind::none;
-        Duration late{};
+        enum class Kind {
+            none,
+            refused,
+            responseLost,
+            executedLate,
+            respondedLate
+        } kind = Kind::none;
+        Duration delay{};
     };
     std::function<Fault(const http::Request&)> fault;
     /// A key was put.
     std::function<void(const std::string& key, const std::string& data)> onPut;
     /// Its limits are others from now on, where they are not 0; what is stored stays.
-    void lower(const Terms& terms);
+    void lowerLimits(const Limits& limits);
     /// Other changes, after which the service no longer knows what came before them.
-    void changeElsewhere(std::uint64_t times) {
+    void advanceRevisionAndCompact(std::uint64_t times) {
         epoch_ += times;
         oldest_ = epoch_ - 1;
     }
     /// Ends the grant that holds a key, as if its time had run out.
-    void endGrantOf(const std::string& key);
+    void expireLeaseOf(const std::string& key);
 
   private:
     using Refuses = std::function<bool()>;
@@ -64,7 +70,7 @@
 
     EventLoop& loop_;
     Scope& scope_;
-    Terms terms_;
+    Limits limits_;
     RateLimiter requests_, changes_;
     Refuses nobody_ = [] { return false; };
     http::Server server_;
--- a/src/simulator/users.cpp
+++ b/src/simulator/users.cpp
@@ -123,7 +123,7 @@
              History& history)
     : time_(time),
       machine_(machine),
-      loop_(machine.boot()),
+      loop_(machine.startProcess()),
       scope_(loop_),
       balancer_(time, loop_, scope_, nodes),
       history_(history),
@@ -131,8 +131,8 @@
       nodes_(nodes.size()) {}
 
 void Users::end() {
-    machine_.cutOff();
-    machine_.unwind(scope_);
+    machine_.disconnect();
+    machine_.drainScope(scope_);
 }
 
 std::size_t Users::say(HistoryEvent::Kind kind, const std::string& job,
--- a/src/testing/world.h
+++ b/src/testing/world.h
@@ -42,7 +42,7 @@
     explicit CloudService(World& world);
     [[nodiscard]] std::string address() const { return server_.address(); }
     std::set<std::string> deleted;
-    std::vector<std::string> bookings;  // of requests to rent, all refused
+    std::vector<std::string> rentRequestIds;  // of requests to rent, all refused
 
   private:
     World& world_;
@@ -70,7 +70,7 @@
         ++report.sequence;
         return report;
     }
-    void newSession() {
+    void startIncarnation() {
         ++report.incarnation;
         report.tasks.clear();
     }
--- a/src/testing/world_test.cpp
+++ b/src/testing/world_test.cpp
@@ -76,7 +76,7 @@
           }
           if (r.method == "POST") {
               const auto doc = json::parse(r.body);
-              bookings.push_back(json::string(*doc, "booking").value_or(""));
+              rentRequestIds.push_back(json::string(*doc, "booking").value_or(""));
           }
           if (r.method == "POST") co_return http::Response{503, R"({"error":"no capacity"})"};
           co_return http::Response{200, R"({"hosts":[],"truncated":false})"};
