--- a/src/simulator/cloud.cpp
+++ b/src/simulator/cloud.cpp
@@ -10,7 +10,7 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration shownDead = 30s;  // a machine that dies goes on being listed as running
+constexpr Duration deadMachineListedFor = 30s;  // as running
 }  // namespace
 
 Cloud::Cloud(Timeline& time, EventLoop& loop, Scope& scope, const std::string& address,
@@ -23,10 +23,10 @@
       server_(loop, address, {},
               [this](http::Request r) -> Task<http::Response> { co_return serve(r); }) {
     server_.start(scope);
-    changed();
+    recordSnapshot();
 }
 
-const SimulatedMachineType* Cloud::typeOf(const std::string& name) const {
+const SimulatedMachineType* Cloud::findType(const std::string& name) const {
     const auto it = std::find_if(config_.types.begin(), config_.types.end(),
                                  [&](const auto& t) { return t.name == name; });
     return it == config_.types.end() ? nullptr : &*it;
@@ -45,15 +45,16 @@
 void Cloud::addRunning(const std::string& type, const std::string& zone) {
     Host& h = add(type, zone, false);
     h.running = true;
-    changed();
+    recordSnapshot();
     hooks_.boot(h);
 }
 
-void Cloud::changed() {
-    past_[time_.now()] = hosts_;
-    // Lists are as old as twice the lag at most.
-    while (past_.size() > 1 && std::next(past_.begin())->first < time_.now() - config_.listLag * 2)
-        past_.erase(past_.begin());
+void Cloud::recordSnapshot() {
+    snapshots_[time_.now()] = hosts_;
+    // A list is at most twice the lag old.
+    while (snapshots_.size() > 1 &&
+           std::next(snapshots_.begin())->first < time_.now() - config_.listLag * 2)
+        snapshots_.erase(snapshots_.begin());
 }
 
 void Cloud::lose(const std::string& name, bool taken) {
@@ -61,14 +62,14 @@
     if (it == hosts_.end()) return;
     if (taken) {
         hosts_.erase(it);
-        changed();
+        recordSnapshot();
         return;
     }
-    time_.after(shownDead, [this, name] {
+    time_.after(deadMachineListedFor, [this, name] {
         if (const auto h = hosts_.find(name); h != hosts_.end()) {
             h->second.running = false;
             h->second.failed = true;
-            changed();
+            recordSnapshot();
         }
     });
 }
@@ -80,11 +81,11 @@
     const auto zone = doc ? json::string(*doc, "hall") : std::nullopt;
     const auto many = doc ? json::count(*doc, "howMany") : std::nullopt;
     const bool spot = doc && json::boolean(*doc, "loaners").value_or(false);
-    if (!booking || !type || !zone || !many || *many > 50 || typeOf(*type) == nullptr)
+    if (!booking || !type || !zone || !many || *many > 50 || findType(*type) == nullptr)
         return {400, R"({"error":"malformed"})"};
-    if (const auto before = rented_.find(*booking); before != rented_.end())
+    if (const auto before = rentResponses_.find(*booking); before != rentResponses_.end())
         return {200, before->second};
-    const SimulatedMachineType& t = *typeOf(*type);
+    const SimulatedMachineType& t = *findType(*type);
     const auto used = std::count_if(hosts_.begin(), hosts_.end(), [&](const auto& h) {
         return h.second.type == *type && h.second.zone == *zone && h.second.spot == spot;
     });
@@ -103,13 +104,13 @@
             const auto h = hosts_.find(name);
             if (h == hosts_.end()) return;
             h->second.running = true;
-            changed();
+            recordSnapshot();
             hooks_.boot(h->second);
         });
     }
     out.closeArray().close();
-    changed();
-    rented_[*booking] = out.text();
+    recordSnapshot();
+    rentResponses_[*booking] = out.text();
     return {200, out.text()};
 }
 
@@ -118,8 +119,8 @@
                       page = queryParameter(target, "page");
     const std::size_t most = page.empty() ? 500 : std::min<std::size_t>(500, std::stoul(page));
     const double lag = toSeconds(config_.listLag) * time_.between(0.5, 2);
-    auto shown = past_.upper_bound(time_.now() - fromSeconds(lag));
-    if (shown != past_.begin()) --shown;
+    auto shown = snapshots_.upper_bound(time_.now() - fromSeconds(lag));
+    if (shown != snapshots_.begin()) --shown;
     json::Writer out;
     out.open().key("hosts").openArray();
     std::size_t n = 0;
@@ -167,7 +168,7 @@
             hosts_.erase(h);
             hooks_.remove(gone);
         }
-        changed();
+        recordSnapshot();
         return {200, "{}"};
     }
     if (r.target == "/hosts" && r.method == "POST") return rent(r.body);
--- a/src/simulator/network.cpp
+++ b/src/simulator/network.cpp
@@ -39,7 +39,7 @@
     return Timeline::start() + std::chrono::duration_cast<Duration>(span / (1 + rate_));
 }
 
-// Descriptors
+// Sockets
 
 SimulatedSocketBackend::~SimulatedSocketBackend() {
     while (!open_.empty()) close(open_.begin()->first);
@@ -56,18 +56,18 @@
 void SimulatedSocketBackend::resetBacklog(Endpoint& listener) {
     for (const auto& waiting : std::exchange(listener.backlog, {}))
         if (const auto peer = waiting->peer.lock())
-            network_.carry(machine_, peer, [peer] {
+            network_.deliver(machine_, peer, [peer] {
                 peer->reset = true;
                 if (!peer->closed && peer->fd >= 0)
                     peer->machine->host_->changed(*peer, true, true);
             });
 }
 int SimulatedSocketBackend::add(std::shared_ptr<Endpoint> end) {
-    if (dead_ || open_.size() >= most_) {
+    if (dead_ || open_.size() >= maxDescriptors_) {
         errno = EMFILE;
         return -1;
     }
-    // The lowest that is free, as the kernel does.
+    // The lowest free descriptor, as the kernel assigns them.
     const int fd = closed_.empty() ? next_++ : closed_.extract(closed_.begin()).value();
     end->machine = &machine_;
     end->fd = fd;
@@ -111,7 +111,7 @@
     inet_pton(AF_INET, machine_.address.c_str(), &end->local.sin_addr);
     end->local.sin_family = AF_INET;
     end->local.sin_port = htons(network_.port_++);
-    network_.knock(end);
+    network_.startConnect(end);
     errno = EINPROGRESS;
     return fd;
 }
@@ -166,9 +166,9 @@
         return -1;
     }
     const auto peer = end.peer.lock();
-    // The other side is gone and its end has not come through: it is lost, as on a real network.
+    // The peer is gone but its close has not arrived yet: the data is lost, as on a real network.
     if (!peer) return static_cast<ssize_t>(data.size());
-    network_.carry(machine_, peer, [peer, text = std::string(data.begin(), data.end())] {
+    network_.deliver(machine_, peer, [peer, text = std::string(data.begin(), data.end())] {
         if (peer->closed) return;
         peer->inbox += text;
         if (peer->fd >= 0) peer->machine->host_->changed(*peer, true, false);
@@ -180,7 +180,7 @@
     end.closed = true;
     end.inbox.clear();
     if (const auto peer = end.peer.lock())
-        network_.carry(machine_, peer, [peer] {
+        network_.deliver(machine_, peer, [peer] {
             peer->ended = true;
             if (!peer->closed && peer->fd >= 0) peer->machine->host_->changed(*peer, true, true);
         });
@@ -230,8 +230,8 @@
     auto host = std::make_unique<SimulatedSocketBackend>(network_, *this, descriptors);
     host_ = host.get();
     loop_ = std::make_unique<EventLoop>(clock_, std::move(host));
-    ++boots_;
-    wakesAt_ = TimePoint::max();
+    ++processCount_;
+    nextWakeAt_ = TimePoint::max();
     frozenUntil_ = TimePoint{};
     powered_ = true;
     wake();
@@ -260,8 +260,8 @@
 }
 void Machine::freeze(Duration span) {
     frozenUntil_ = std::max(frozenUntil_, network_.time().now() + span);
-    network_.time().at(frozenUntil_, [this, boot = boots_] {
-        if (boot == boots_) wake();
+    network_.time().at(frozenUntil_, [this, boot = processCount_] {
+        if (boot == processCount_) wake();
     });
 }
 void Machine::wake() {
@@ -272,25 +272,25 @@
 void Machine::run() {
     queued_ = false;
     if (!on() || host_->dead_ || network_.time().now() < frozenUntil_) return;
-    const std::uint64_t boot = boots_;
-    // What never comes to rest at one moment is a fault of the code under test.
+    const std::uint64_t boot = processCount_;
+    // A process that never becomes idle at one time is a fault of the code under test.
     for (int rounds = 0; loop_->runOnce(Duration::zero()); ++rounds) {
-        if (boot != boots_ || !on()) return;
-        if (rounds > 100'000) throw std::runtime_error(name + " never comes to rest");
+        if (boot != processCount_ || !on()) return;
+        if (rounds > 100'000) throw std::runtime_error(name + " never becomes idle");
     }
     sleepUntilNextTimer();
 }
 void Machine::sleepUntilNextTimer() {
     const TimePoint next = loop_->nextTimer();
     if (next == TimePoint::max()) return;
-    // Timers fire in steps of a millisecond.
+    // Event loop timers have a resolution of 1 ms.
     const TimePoint due = std::chrono::ceil<std::chrono::milliseconds>(clock_.trueTime(next)) + 0ns;
     const TimePoint now = network_.time().now();
-    if (due >= wakesAt_ && wakesAt_ > now) return;
-    wakesAt_ = std::max(due, now + 100us);
-    network_.time().at(wakesAt_, [this, boot = boots_, at = wakesAt_] {
-        if (boot != boots_) return;
-        if (wakesAt_ == at) wakesAt_ = TimePoint::max();
+    if (due >= nextWakeAt_ && nextWakeAt_ > now) return;
+    nextWakeAt_ = std::max(due, now + 100us);
+    network_.time().at(nextWakeAt_, [this, boot = processCount_, at = nextWakeAt_] {
+        if (boot != processCount_) return;
+        if (nextWakeAt_ == at) nextWakeAt_ = TimePoint::max();
         wake();
     });
 }
@@ -301,8 +301,8 @@
     const auto it = machines_.find(address.sin_addr.s_addr);
     return it == machines_.end() ? nullptr : it->second;
 }
-bool Network::isCut(const Machine& from, const Machine& to) const {
-    return std::any_of(cuts_.begin(), cuts_.end(),
+bool Network::isPartitioned(const Machine& from, const Machine& to) const {
+    return std::any_of(partitions_.begin(), partitions_.end(),
                        [&](const auto& c) { return c.second(from, to); });
 }
 Duration Network::latency(const Machine& from, const Machine& to) {
@@ -312,33 +312,33 @@
         span * time_.between(1 - config.jitter, 1 + config.jitter));
     return time_.chance(config.slow) ? span + 200ms : span;
 }
-void Network::carry(const Machine& from, const std::shared_ptr<Endpoint>& to,
-                    std::function<void()> what) {
-    if (isCut(from, *to->machine) || !to->held.empty()) {
-        if (to->held.empty()) holding_.push_back(to);
+void Network::deliver(const Machine& from, const std::shared_ptr<Endpoint>& to,
+                      std::function<void()> what) {
+    if (isPartitioned(from, *to->machine) || !to->held.empty()) {
+        if (to->held.empty()) endpointsWithHeldData_.push_back(to);
         to->held.push_back(std::move(what));
         return;
     }
     to->arrivesAfter = std::max(to->arrivesAfter, time_.now() + latency(from, *to->machine));
     time_.at(to->arrivesAfter, std::move(what));
 }
-void Network::knock(const std::shared_ptr<Endpoint>& from) {
+void Network::startConnect(const std::shared_ptr<Endpoint>& from) {
     Machine& here = *from->machine;
     Machine* there = at(from->remote);
     const auto refused = [&] {
         return std::any_of(refusals_.begin(), refusals_.end(),
                            [&](const auto& r) { return r.second(here, *there); });
     };
-    if (there == nullptr) return;  // nothing has that address: silence
-    if (isCut(here, *there) || isCut(*there, here)) {
-        knocking_.push_back(from);
+    if (there == nullptr) return;  // no machine has that address: no response
+    if (isPartitioned(here, *there) || isPartitioned(*there, here)) {
+        blockedConnects_.push_back(from);
         return;
     }
     const bool no = refused();
     const Duration outbound = latency(here, *there);
     time_.after(outbound, [this, from, no] {
         Machine* to = at(from->remote);
-        // Given up meanwhile, or a machine without power: no answer.
+        // The attempt was given up, or the machine has no power: no response.
         if (from->closed || to == nullptr || !to->powered_) return;
         std::shared_ptr<Endpoint> listener;
         if (to->on())
@@ -369,7 +369,7 @@
     });
 }
 std::uint64_t Network::cut(LinkPredicate between) {
-    cuts_[next_] = std::move(between);
+    partitions_[next_] = std::move(between);
     return next_++;
 }
 std::uint64_t Network::refuse(LinkPredicate between) {
@@ -377,13 +377,13 @@
     return next_++;
 }
 void Network::heal(std::uint64_t which, bool reset) {
-    cuts_.erase(which);
-    for (const auto& weak : std::exchange(holding_, {})) {
+    partitions_.erase(which);
+    for (const auto& weak : std::exchange(endpointsWithHeldData_, {})) {
         const auto to = weak.lock();
         if (!to || to->held.empty()) continue;
         const auto from = to->peer.lock();
-        if (from && isCut(*from->machine, *to->machine)) {
-            holding_.push_back(to);  // another cut lasts
+        if (from && isPartitioned(*from->machine, *to->machine)) {
+            endpointsWithHeldData_.push_back(to);  // another partition lasts
             continue;
         }
         auto held = std::exchange(to->held, {});
@@ -398,8 +398,8 @@
         to->arrivesAfter = std::max(to->arrivesAfter, time_.now() + config.far);
         for (auto& what : held) time_.at(to->arrivesAfter, std::move(what));
     }
-    for (const auto& weak : std::exchange(knocking_, {}))
-        if (const auto from = weak.lock(); from && !from->closed) knock(from);
+    for (const auto& weak : std::exchange(blockedConnects_, {}))
+        if (const auto from = weak.lock(); from && !from->closed) startConnect(from);
 }
 void Network::run(TimePoint until) {
     while (true) {
--- a/src/simulator/network.h
+++ b/src/simulator/network.h
@@ -10,14 +10,15 @@
 
 #include "runtime/loop.h"
 
-// A world of machines that a seed decides: its clock moves from one thing that happens to the next.
+// Simulated time, machines and TCP network. The simulator and network tests use them. A run is
+// determined by its seed: the clock jumps from one event to the next.
 
 namespace basaltchute::simulator {
 
 class Network;
 class Machine;
 
-/// True time, what is to happen in it, and the only source of chance.
+/// The true time, the queue of future events and the only random number generator of a run.
 class Timeline {
   public:
     explicit Timeline(std::uint64_t seed) : random_(seed) {}
@@ -25,12 +26,13 @@
     /// Seconds since the run began.
     [[nodiscard]] double seconds() const { return toSeconds(now_ - start()); }
     [[nodiscard]] static TimePoint start() { return TimePoint(std::chrono::hours(1000)); }
+    /// Runs `what` at a time, in order of calls where times are equal.
     void at(TimePoint when, std::function<void()> what);
     void after(Duration span, std::function<void()> what) { at(now_ + span, std::move(what)); }
-    /// Does the next thing; false if there is none before `until`, which is then the time.
+    /// Runs the next event. If none is due by `until`, sets the time to `until` and returns false.
     bool step(TimePoint until);
     std::mt19937_64& random() { return random_; }
-    /// Evenly between the two.
+    /// A uniformly distributed random number.
     double between(double low, double high) {
         return std::uniform_real_distribution<double>(low, high)(random_);
     }
@@ -43,14 +45,15 @@
     std::mt19937_64 random_;
 };
 
-/// A machine's clocks: the steady one drifts, the time of day moves around inside its bound.
+/// The clocks of a machine: the monotonic clock runs fast by `rate`; the wall clock oscillates
+/// around the true time by at most `off`.
 class DriftingClock final : public Clock {
   public:
     DriftingClock(const Timeline& time, double rate, Duration off)
         : time_(time), rate_(rate), off_(off) {}
     [[nodiscard]] TimePoint now() const override;
     [[nodiscard]] WallMillis wall() const override;
-    /// True time at which this clock shows that.
+    /// The true time at which the monotonic clock shows `shown`.
     [[nodiscard]] TimePoint trueTime(TimePoint shown) const;
 
   private:
@@ -59,7 +62,7 @@
     Duration off_;
 };
 
-/// One end of a connection, or a listener, or an attempt to connect.
+/// A socket: a listener, a connection attempt, or one end of a connection.
 struct Endpoint {
     enum class Kind { listener, connecting, open } kind = Kind::open;
     Machine* machine = nullptr;
@@ -67,22 +70,22 @@
     sockaddr_in local{}, remote{};
     std::weak_ptr<Endpoint> peer;
     std::string inbox;
-    bool ended = false;   // the other side has closed, and all it sent has arrived
-    bool reset = false;   // and not in order
-    bool closed = false;  // this side
+    bool ended = false;   // the peer has closed, and all its data has arrived
+    bool reset = false;   // the connection was reset
+    bool closed = false;  // closed by this side
     int error = 0;
     std::deque<std::shared_ptr<Endpoint>> backlog;
     bool watched = false, readable = false, writable = false;
-    // What travels to this end arrives in order; held back while a cut lasts.
+    // Data for this end arrives in order; `held` keeps it while the network is partitioned.
     TimePoint arrivesAfter{};
     std::deque<std::function<void()>> held;
 };
 
-/// The descriptors of one process. They end with it.
+/// The sockets of one process. All are closed when the process ends.
 class SimulatedSocketBackend final : public SocketBackend {
   public:
     SimulatedSocketBackend(Network& network, Machine& machine, std::size_t descriptors)
-        : network_(network), machine_(machine), most_(descriptors) {}
+        : network_(network), machine_(machine), maxDescriptors_(descriptors) {}
     ~SimulatedSocketBackend() override;
     SimulatedSocketBackend(const SimulatedSocketBackend&) = delete;
     SimulatedSocketBackend& operator=(const SimulatedSocketBackend&) = delete;
@@ -100,9 +103,9 @@
     void watch(int fd) override;
     void unwatch(int fd) override;
     std::size_t wait(std::span<Ready> into, Duration most) override;
-    /// Nothing goes out or comes in from now on.
+    /// Stops all traffic. With `power` the connections are closed; without, peers notice nothing.
     void die(bool power);
-    /// Something about the endpoint has changed: its process is to look.
+    /// Marks the socket readable or writable and wakes its process.
     void changed(Endpoint& end, bool readable, bool writable);
 
   private:
@@ -112,15 +115,15 @@
     void resetBacklog(Endpoint& listener);
     Network& network_;
     Machine& machine_;
-    std::size_t most_;
+    std::size_t maxDescriptors_;
     bool dead_ = false;
     std::map<int, std::shared_ptr<Endpoint>> open_;
     int next_ = 3;          // the lowest descriptor that was never open
-    std::set<int> closed_;  // below it, and free again
+    std::set<int> closed_;  // below next_, free for reuse
     std::set<int> ready_;
 };
 
-/// Something with an address, a clock, and at most one process at a time.
+/// A simulated machine: an address, a clock and at most one process at a time.
 class Machine {
   public:
     Machine(Network& network, std::string name, std::string address, std::string zone,
@@ -128,20 +131,20 @@
     ~Machine();
     Machine(const Machine&) = delete;
     Machine& operator=(const Machine&) = delete;
-    /// Starts a process: a loop of its own on this machine.
+    /// Starts a process with its own event loop, which the machine owns.
     EventLoop& startProcess(std::size_t descriptors = 100'000);
-    /// The process is about to end: nothing of what it still does is seen. Its connections are
-    /// reset, unless the machine loses its power: then they are silent.
+    /// Cuts the process off from the network before it ends. `power`: the machine stays powered and
+    /// its connections are closed; otherwise they fall silent.
     void disconnect(bool power = true);
-    /// Ends the routines of a scope of a process that was cut off.
+    /// Cancels the coroutines of a scope of a disconnected process and runs them to their end.
     void drainScope(Scope& scope);
     /// Ends the process.
     void endProcess();
     [[nodiscard]] bool on() const { return loop_ != nullptr; }
     [[nodiscard]] EventLoop& loop() { return *loop_; }
-    /// Stands still until then, while its clocks run on.
+    /// Suspends the process for `span`, while its clocks run on.
     void freeze(Duration span);
-    /// Lets its routines run as long as they have something to do.
+    /// Runs the event loop until it is idle. Throws std::runtime_error after 100,000 rounds.
     void run();
     void wake();
 
@@ -155,30 +158,30 @@
     Network& network_;
     DriftingClock clock_;
     std::unique_ptr<EventLoop> loop_;
-    SimulatedSocketBackend* host_ = nullptr;  // the loop's
-    std::uint64_t boots_ = 0;
-    TimePoint frozenUntil_{}, wakesAt_ = TimePoint::max();
+    SimulatedSocketBackend* host_ = nullptr;  // owned by loop_
+    std::uint64_t processCount_ = 0;
+    TimePoint frozenUntil_{}, nextWakeAt_ = TimePoint::max();
     bool queued_ = false, powered_ = true;
 };
 
-/// What lies between the machines.
+/// The network between the machines: latency, partitions and refused connections.
 class Network {
   public:
     struct Config {
         Duration near = std::chrono::microseconds(300), far = std::chrono::milliseconds(1);
         Duration betweenSites = std::chrono::milliseconds(20);
         double jitter = 0.25;
-        double slow = 0.001;  // of what is sent: late by a retransmission
+        double slow = 0.001;  // share of messages that are retransmitted, 200 ms late
     };
     explicit Network(Timeline& time) : time_(time) {}
     [[nodiscard]] Timeline& time() { return time_; }
     Config config;
-    /// Everything between two machines for which it says so is held back, one way or both; ended,
-    /// it arrives, or the connections are reset.
+    /// Starts a partition: messages on links for which the predicate holds are held back, in that
+    /// direction only. When heal() ends it they arrive, or the connections are reset if `reset`.
     using LinkPredicate = std::function<bool(const Machine& from, const Machine& to)>;
     std::uint64_t cut(LinkPredicate between);
     void heal(std::uint64_t which, bool reset);
-    /// From now on connections between such machines are refused; open ones go on.
+    /// Refuses new connections on these links until allow(); open connections go on.
     std::uint64_t refuse(LinkPredicate between);
     void allow(std::uint64_t refusal) { refusals_.erase(refusal); }
     void run(TimePoint until);
@@ -186,21 +189,21 @@
   private:
     friend class SimulatedSocketBackend;
     friend class Machine;
-    [[nodiscard]] bool isCut(const Machine& from, const Machine& to) const;
+    [[nodiscard]] bool isPartitioned(const Machine& from, const Machine& to) const;
     Duration latency(const Machine& from, const Machine& to);
-    /// Carries something to an end of a connection, behind what was sent to it before.
-    void carry(const Machine& from, const std::shared_ptr<Endpoint>& to,
-               std::function<void()> what);
-    void knock(const std::shared_ptr<Endpoint>& from);
+    /// Delivers something to a socket, after everything that was sent to it before.
+    void deliver(const Machine& from, const std::shared_ptr<Endpoint>& to,
+                 std::function<void()> what);
+    void startConnect(const std::shared_ptr<Endpoint>& from);
     Machine* at(const sockaddr_in& address);
 
     Timeline& time_;
     std::map<std::uint32_t, Machine*> machines_;  // by address
-    std::map<std::uint64_t, LinkPredicate> cuts_, refusals_;
+    std::map<std::uint64_t, LinkPredicate> partitions_, refusals_;
     std::uint64_t next_ = 1;
     std::uint16_t port_ = 20'000;
-    std::vector<std::weak_ptr<Endpoint>> holding_;
-    std::vector<std::weak_ptr<Endpoint>> knocking_;  // waiting for a cut to end
+    std::vector<std::weak_ptr<Endpoint>> endpointsWithHeldData_;
+    std::vector<std::weak_ptr<Endpoint>> blockedConnects_;  // wait for a partition to end
     std::deque<Machine*> runnable_;
 };
 
--- a/src/simulator/state_service.cpp
+++ b/src/simulator/state_service.cpp
@@ -17,17 +17,18 @@
       limits_(limits),
       requests_(limits.rps, limits.rps, loop.now()),
       changes_(limits.writeRps, limits.writeRps, loop.now()),
-      server_(loop, address, {}, [this](http::Request r) { return handle(std::move(r), nobody_); }),
+      server_(loop, address, {},
+              [this](http::Request r) { return handle(std::move(r), neverRefuse_); }),
       changed_(loop) {
     server_.start(scope);
 }
 
 void StateService::addListener(const std::string& address, Refuses refuses) {
-    Door& door = doors_.emplace_back(Door{std::move(refuses), nullptr});
-    door.server = std::make_unique<http::Server>(
+    Listener& listener = listeners_.emplace_back(Listener{std::move(refuses), nullptr});
+    listener.server = std::make_unique<http::Server>(
         loop_, address, http::ServerLimits{},
-        [this, &door](http::Request r) { return handle(std::move(r), door.refuses); });
-    door.server->start(scope_);
+        [this, &listener](http::Request r) { return handle(std::move(r), listener.refuses); });
+    listener.server->start(scope_);
 }
 
 void StateService::lowerLimits(const Limits& limits) {
@@ -41,11 +42,11 @@
 
 void StateService::erase(const std::string& key) {
     keys.erase(key);
-    erasedAt_ = ++epoch_;
+    lastErasedAt_ = ++revision_;
     changed_.notify();
 }
-http::Response StateService::forgetGrant(std::uint64_t id) {
-    grants_.erase(id);
+http::Response StateService::endLease(std::uint64_t id) {
+    leases_.erase(id);
     std::vector<std::string> attached;
     for (const auto& [k, e] : keys)
         if (e.grant == id) attached.push_back(k);
@@ -53,18 +54,18 @@
     return {200, "{}"};
 }
 void StateService::expireLeaseOf(const std::string& key) {
-    forgetGrant(keys.at(key).grant);
+    endLease(keys.at(key).grant);
 }
-void StateService::expire() {
+void StateService::expireLeases() {
     std::vector<std::uint64_t> ended;
-    for (auto& [id, g] : grants_) {
-        if (down) g.end = loop_.now() + g.life;  // full time again after an outage
+    for (auto& [id, g] : leases_) {
+        if (down) g.end = loop_.now() + g.life;  // leases restart in full after an outage
         if (g.end < loop_.now()) ended.push_back(id);
     }
-    for (const auto id : ended) forgetGrant(id);
+    for (const auto id : ended) endLease(id);
 }
 
-http::Response StateService::multi(const std::string& body) {
+http::Response StateService::executeTransaction(const std::string& body) {
     const auto doc = json::parse(body);
     json::Writer out;
     std::vector<std::string> failed;
@@ -79,52 +80,54 @@
         if ((it == keys.end() ? 0 : it->second.stamp) != g["stamp"].GetUint64())
             failed.push_back(key);
     }
-    // Refused conditions count as well.
+    // Transactions whose preconditions fail count against the write rate as well.
     if (!changes_.tryTake(loop_.now(), static_cast<double>((*doc)["then"].Size())))
         return {429, R"({"error":"too many changes"})"};
     if (!failed.empty()) {
         out.open().key("failed").openArray();
         for (const auto& k : failed) out.value(k);
-        out.closeArray().field("epoch", epoch_).close();
+        out.closeArray().field("epoch", revision_).close();
         return {409, out.text()};
     }
     for (const auto& p : (*doc)["then"].GetArray())
-        if (p.HasMember("hold") && !grants_.contains(p["hold"].GetUint64()))
+        if (p.HasMember("hold") && !leases_.contains(p["hold"].GetUint64()))
             return {400, R"({"error":"no such lease"})"};
-    ++epoch_;
+    ++revision_;
     for (const auto& p : (*doc)["then"].GetArray()) {
         if (p.HasMember("delete")) {
-            if (keys.erase(p["delete"].GetString()) > 0) erasedAt_ = epoch_;
+            if (keys.erase(p["delete"].GetString()) > 0) lastErasedAt_ = revision_;
             ++writes;
             continue;
         }
-        keys[p["put"].GetString()] = {json::text(p["data"]), epoch_,
+        keys[p["put"].GetString()] = {json::text(p["data"]), revision_,
                                       p.HasMember("hold") ? p["hold"].GetUint64() : 0};
         ++writes;
         if (onPut) onPut(p["put"].GetString(), keys[p["put"].GetString()].data);
     }
     changed_.notify();
-    out.open().field("epoch", epoch_).close();
+    out.open().field("epoch", revision_).close();
     return {200, out.text()};
 }
 
 Task<http::Response> StateService::watch(std::string target, const Refuses& refuses) {
     const auto after = std::stoull(queryParameter(target, "after"));
     ++watches;
-    if (after < oldest_) co_return http::Response{410, "{}"};
+    if (after < compactedBelow_) co_return http::Response{410, "{}"};
     const std::string prefix = queryParameter(target, "under");
     const TimePoint until =
         loop_.now() + std::chrono::milliseconds(std::stol(queryParameter(target, "waitMs")));
     const auto changed = [&] {
-        return erasedAt_ > after || std::any_of(keys.begin(), keys.end(), [&](const auto& k) {
+        return lastErasedAt_ > after || std::any_of(keys.begin(), keys.end(), [&](const auto& k) {
                    return k.first.starts_with(prefix) && k.second.stamp > after;
                });
     };
-    std::uint64_t looked = 0;
+    std::uint64_t lastRevisionSeen = 0;
     while (loop_.now() < until && !scope_.cancelled()) {
-        if (!down && !refuses() && std::exchange(looked, epoch_) != epoch_ && changed()) break;
+        if (!down && !refuses() && std::exchange(lastRevisionSeen, revision_) != revision_ &&
+            changed())
+            break;
         co_await loop_.wait(changed_, std::min(until, loop_.now() + 50ms), scope_);
-        expire();
+        expireLeases();
     }
     co_return http::Response{200, R"({"epoch":1,"log":[]})"};
 }
@@ -148,7 +151,7 @@
         out.open().field("key", k->first).key("data").raw(k->second.data);
         out.field("stamp", k->second.stamp).close();
     }
-    out.closeArray().field("truncated", more).field("epoch", epoch_).close();
+    out.closeArray().field("truncated", more).field("epoch", revision_).close();
     return {200, out.text()};
 }
 
@@ -162,13 +165,13 @@
         co_await loop_.sleep(f.delay, scope_);
         co_return response;
     }
-    // Whoever asked has given up long before.
+    // One minute is longer than any client timeout, so the response is lost.
     if (f.kind != Fault::Kind::none) co_await loop_.sleep(std::chrono::minutes(1), scope_);
     co_return response;
 }
 
 Task<http::Response> StateService::serve(http::Request r, const Refuses& refuses) {
-    expire();
+    expireLeases();
     if (r.target.starts_with("/watch")) {
         auto response = co_await watch(std::move(r.target), refuses);
         co_return response;
@@ -176,26 +179,26 @@
     if (down || refuses()) co_return http::Response{503, R"({"error":"trouble"})"};
     if (!requests_.tryTake(loop_.now())) co_return http::Response{429, R"({"error":"too many"})"};
     json::Writer out;
-    if (r.target == "/multi") co_return multi(r.body);
+    if (r.target == "/multi") co_return executeTransaction(r.body);
     if (r.target == "/grants") {
         const auto doc = json::parse(r.body);
         const Duration life = std::chrono::milliseconds((*doc)["lifeMs"].GetInt64());
-        grants_[nextGrant_] = {life, loop_.now() + life};
-        out.open().field("hold", nextGrant_++).close();
+        leases_[nextLeaseId_] = {life, loop_.now() + life};
+        out.open().field("hold", nextLeaseId_++).close();
         co_return http::Response{200, out.text()};
     }
     if (r.target.starts_with("/grants/")) {
         const auto id = std::stoull(r.target.substr(8));
-        if (!grants_.contains(id)) co_return http::Response{404, "{}"};
-        if (r.method == "DELETE") co_return forgetGrant(id);
-        grants_[id].end = loop_.now() + grants_[id].life;
+        if (!leases_.contains(id)) co_return http::Response{404, "{}"};
+        if (r.method == "DELETE") co_return endLease(id);
+        leases_[id].end = loop_.now() + leases_[id].life;
         co_return http::Response{200, "{}"};
     }
     if (r.target.starts_with("/keys?")) co_return list(r.target);
     const std::string key = r.target.substr(6);
     const auto it = keys.find(key);
     if (it == keys.end()) {
-        out.open().field("epoch", epoch_).close();
+        out.open().field("epoch", revision_).close();
         co_return http::Response{404, out.text()};
     }
     out.open()
--- a/src/simulator/state_service.h
+++ b/src/simulator/state_service.h
@@ -8,23 +8,30 @@
 #include "http/server.h"
 #include "runtime/rate_limiter.h"
 
+// The simulated state service. The simulator runs one for each site, and tests of other modules run
+// it on the event loop of the test (testing/world.h).
+
 namespace basaltchute::simulator {
 
-/// The state service by its published protocol, with its limits and with what goes wrong.
+/// An in-memory key-value store that speaks the published HTTP protocol of the state service:
+/// transactions, leases, lists and watches. It enforces request limits and can inject faults.
 class StateService {
   public:
+    /// Limits that requests must keep, and the latency that is added to each.
     struct Limits {
-        double rps = 1e9, writeRps = 1e9;  // a second; bursts of one second's worth
+        double rps = 1e9, writeRps = 1e9;  // requests and changed keys a second; bursts of 1 s
         std::size_t valueBytes = SIZE_MAX, txnOps = SIZE_MAX;
         Duration latency{};
     };
-    /// On any loop; routines belong to `scope`.
+    /// Listens on `address`. Runs on `loop`; its coroutines belong to `scope`. Both must outlive
+    /// it.
     StateService(EventLoop& loop, Scope& scope, const std::string& address = "127.0.0.1:0");
     StateService(EventLoop& loop, Scope& scope, const std::string& address, Limits limits);
     [[nodiscard]] std::string address() const { return server_.address(); }
-    /// Another address of it, for one node alone, which it refuses for as long as `refuses`: that
-    /// node cannot tell this from an outage.
+    /// Listens on one more address, which is meant for a single node. While `refuses` returns true,
+    /// requests to it get 503, which that node cannot tell from an outage.
     void addListener(const std::string& address, std::function<bool()> refuses);
+    /// A stored value. `stamp` is the revision that wrote it; `grant` is its lease, 0 for none.
     struct Entry {
         std::string data;
         std::uint64_t stamp = 0, grant = 0;
@@ -32,8 +39,8 @@
     std::map<std::string, Entry> keys;
     bool down = false;
     int writes = 0, watches = 0;
-    /// What goes wrong with a request: refused, executed without an answer, executed late, or
-    /// answered late.
+    /// The fault of one request: refused with 503, executed but never answered in time, executed
+    /// after `delay` and not answered in time, or answered after `delay`.
     struct Fault {
         enum class Kind {
             none,
@@ -44,48 +51,51 @@
         } kind = Kind::none;
         Duration delay{};
     };
+    /// Decides the fault of each request, if set.
     std::function<Fault(const http::Request&)> fault;
-    /// A key was put.
+    /// Called after each put, if set.
     std::function<void(const std::string& key, const std::string& data)> onPut;
-    /// Its limits are others from now on, where they are not 0; what is stored stays.
+    /// Replaces the value size, transaction size and write rate where the new limit is not 0.
+    /// Stored values stay, even if they exceed the new limits.
     void lowerLimits(const Limits& limits);
-    /// Other changes, after which the service no longer knows what came before them.
+    /// Advances the revision as `times` changes by other clients would, and compacts the log:
+    /// watches from an older revision get 410.
     void advanceRevisionAndCompact(std::uint64_t times) {
-        epoch_ += times;
-        oldest_ = epoch_ - 1;
+        revision_ += times;
+        compactedBelow_ = revision_ - 1;
     }
-    /// Ends the grant that holds a key, as if its time had run out.
+    /// Ends the lease of a key as if it had expired, which deletes all keys of that lease.
     void expireLeaseOf(const std::string& key);
 
   private:
     using Refuses = std::function<bool()>;
     Task<http::Response> handle(http::Request request, const Refuses& refuses);
     Task<http::Response> serve(http::Request request, const Refuses& refuses);
-    http::Response multi(const std::string& body);
+    http::Response executeTransaction(const std::string& body);
     http::Response list(const std::string& target);
     Task<http::Response> watch(std::string target, const Refuses& refuses);
-    void expire();
+    void expireLeases();
     void erase(const std::string& key);
-    http::Response forgetGrant(std::uint64_t id);
+    http::Response endLease(std::uint64_t id);
 
     EventLoop& loop_;
     Scope& scope_;
     Limits limits_;
     RateLimiter requests_, changes_;
-    Refuses nobody_ = [] { return false; };
+    Refuses neverRefuse_ = [] { return false; };
     http::Server server_;
-    struct Door {
+    struct Listener {
         Refuses refuses;
         std::unique_ptr<http::Server> server;
     };
-    std::list<Door> doors_;  // references stay valid
+    std::list<Listener> listeners_;  // a list, since request handlers refer to its elements
     Event changed_;
-    std::uint64_t epoch_ = 1, nextGrant_ = 1, erasedAt_ = 0, oldest_ = 0;
-    struct Grant {
+    std::uint64_t revision_ = 1, nextLeaseId_ = 1, lastErasedAt_ = 0, compactedBelow_ = 0;
+    struct Lease {
         Duration life{};
         TimePoint end{};
     };
-    std::map<std::uint64_t, Grant> grants_;
+    std::map<std::uint64_t, Lease> leases_;
 };
 
 }  // namespace basaltchute::simulator
