--- a/src/simulator/history.cpp
+++ b/src/simulator/history.cpp
@@ -27,10 +27,11 @@
 }
 
 std::uint64_t History::digest() const {
-    std::uint64_t sum = 1469598103934665603U;
+    // The steps of 64-bit FNV-1a over the lines of the log, from another start value.
+    std::uint64_t hash = 1469598103934665603U;
     for (const auto& e : events)
-        for (const char c : text(e)) sum = (sum ^ static_cast<unsigned char>(c)) * 1099511628211U;
-    return sum;
+        for (const char c : text(e)) hash = (hash ^ static_cast<unsigned char>(c)) * 1099511628211U;
+    return hash;
 }
 
 }  // namespace basaltchute::simulator
--- a/src/simulator/history.h
+++ b/src/simulator/history.h
@@ -1,3 +1,4 @@
+// The event log of a simulated run. The simulation writes it; the checker and the measures read it.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -8,47 +9,53 @@
 
 namespace basaltchute::simulator {
 
-/// What users, workers, the cloud and the state services saw: all that a checker may know.
+/// One event as seen by a user, a worker, the cloud or a state service. The checker knows nothing
+/// else about a run.
 struct HistoryEvent {
     enum class Kind {
-        submitted,        // the first attempt of a user; with the job
-        asked,            // a poll, repetition or withdrawal left
-        answered,         // and its answer: `status` and `word`
-        cancelRequested,  // a user asks to cancel
-        taskStarted,      // a task has its image on a machine: `machine`, `job`, `task`
-        taskStopped,      // and is gone from it
-        completed,        // and has a result
-        up,               // a machine reports
-        gone,             // a machine is deleted, dead or taken
-        elected,          // a key of a leader stands: `word` is the node, `number` the token
-        fault,            // begins or ends: `word`
+        submitted,        // a user submits a job for the first time
+        asked,            // a user sends a request; `question` is its type
+        answered,         // its response: HTTP `status`, and the job's status in `text`
+        cancelRequested,  // a user decides to cancel a job
+        taskStarted,      // a task with its image runs: `machine`, `job`, `task`
+        taskStopped,      // a task no longer runs on its machine
+        completed,        // a task has a result
+        up,               // a machine reports to the controllers
+        gone,             // a machine is deleted, has failed or was reclaimed
+        elected,          // a leader key is written: node in `text`, fencing token in `number`
+        fault,            // a fault begins or ends: `text`
     };
+    /// The type of a user's request.
     enum class Question { submission, repetition, poll, cancellation };
-    double at = 0;  // seconds of true time
+    double at = 0;  // seconds of simulated true time, unaffected by clock offsets
     Kind kind = Kind::fault;
     std::string site{}, job{}, machine{}, text{};
     std::uint32_t task = 0;
     int status = 0;
     std::uint64_t number = 0;
     Question question = Question::poll;
-    /// Of an answer: which fact its question is. Without, it was asked just before.
+    /// For an answer: the index in `History::events` of its request. Without a value, the request
+    /// was sent immediately before.
     std::optional<std::size_t> asked{};
 };
 
+/// Fixed properties of a simulated machine.
 struct MachineFacts {
     std::string type, zone, site;
     bool spot = false;
     Resources capacity{};
 };
 
+/// Everything observed in one run.
 struct History {
-    std::vector<HistoryEvent> events;
-    std::unordered_map<std::string, JobSpec> jobs;  // by id, as submitted
-    /// Submissions that no controller may accept, and why.
+    std::vector<HistoryEvent> events;               // in order of time
+    std::unordered_map<std::string, JobSpec> jobs;  // by job id, as submitted
+    /// Submissions that no controller may accept, by job id, with the reason.
     std::unordered_map<std::string, std::string> unfit;
     std::unordered_map<std::string, MachineFacts> machines;
+    /// One line of the event log. Two builds are compared by these lines, so their form is fixed.
     [[nodiscard]] static std::string text(const HistoryEvent& event);
-    /// The whole log as one number: two runs of one seed give the same.
+    /// A hash of the whole event log; two runs with the same seed give the same value.
     [[nodiscard]] std::uint64_t digest() const;
 };
 
--- a/src/simulator/main.cpp
+++ b/src/simulator/main.cpp
@@ -12,36 +12,38 @@
 #include "simulator/measures.h"
 #include "simulator/simulation.h"
 
-// Plays scenarios from seeds: real controllers, simulated machines, network, users and services.
+// The simulator's command line. It runs scenarios from seeds, with real controllers and simulated
+// machines, network, users and services.
 
 namespace simulator = basaltchute::simulator;
 
 namespace {
 
-struct Played {
+/// The outcome of one run.
+struct RunResult {
     simulator::CheckResult result;
     std::string failure;  // a crash or a hang of a controller
     std::vector<simulator::Fault> faults;
     simulator::History history;
 };
 
-Played play(const simulator::Scenario& scenario, std::uint64_t seed,
-            const std::optional<std::set<std::size_t>>& kept = {}) {
-    Played out;
+RunResult runScenario(const simulator::Scenario& scenario, std::uint64_t seed,
+                      const std::optional<std::set<std::size_t>>& kept = {}) {
+    RunResult out;
     try {
-        simulator::Simulation world(scenario, seed);
-        if (kept) world.applyOnlyFaults(*kept);
-        out.faults = world.faults();
-        world.run();
-        out.result = world.checkResult();
-        out.history = world.history();
+        simulator::Simulation simulation(scenario, seed);
+        if (kept) simulation.applyOnlyFaults(*kept);
+        out.faults = simulation.faults();
+        simulation.run();
+        out.result = simulation.checkResult();
+        out.history = simulation.history();
     } catch (const std::exception& e) {
         out.failure = e.what();
     }
     return out;
 }
 
-std::string firstRule(const Played& p) {
+std::string firstRule(const RunResult& p) {
     if (!p.failure.empty()) return "controller: " + p.failure;
     return p.result.violations.empty() ? "" : p.result.violations.front().rule;
 }
@@ -68,13 +70,14 @@
         v.overtaken, v.startedCancelled);
 }
 
-struct Show {
+/// What to print about each run beside its result.
+struct OutputOptions {
     bool log = false, shares = false, json = false;
 };
 
-/// One seed; 0 if nothing was wrong.
-int one(const simulator::Scenario& scenario, std::uint64_t seed, Show show) {
-    const Played p = play(scenario, seed);
+/// Runs one seed and prints its result; returns 0 if no rule was broken.
+int runSeed(const simulator::Scenario& scenario, std::uint64_t seed, OutputOptions show) {
+    const RunResult p = runScenario(scenario, seed);
     if (show.log)
         for (const auto& e : p.history.events) std::cout << simulator::History::text(e) << '\n';
     const std::string rule = firstRule(p);
@@ -89,9 +92,9 @@
     return rule.empty() ? 0 : 1;
 }
 
-/// Seeds in processes of their own, so that a crash is a finding with its seed.
+/// Runs each seed in a process of its own, so that a crash is reported with its seed.
 int simulate(const simulator::Scenario& scenario, std::uint64_t from, std::uint64_t to,
-             unsigned jobs, Show show) {
+             unsigned jobs, OutputOptions show) {
     std::map<pid_t, std::uint64_t> running;
     std::uint64_t broken = 0;
     const auto reap = [&] {
@@ -106,7 +109,7 @@
         if (running.size() >= jobs) reap();
         std::cout.flush();
         const pid_t pid = ::fork();
-        if (pid == 0) ::_exit(one(scenario, seed, show));
+        if (pid == 0) ::_exit(runSeed(scenario, seed, show));
         running[pid] = seed;
     }
     while (!running.empty()) reap();
@@ -114,9 +117,9 @@
     return broken == 0 ? 0 : 1;
 }
 
-/// The fewest faults with which the same rule breaks.
+/// Removes faults one by one as long as the same rule still breaks, and prints those that remain.
 int shrink(const simulator::Scenario& scenario, std::uint64_t seed) {
-    const Played all = play(scenario, seed);
+    const RunResult all = runScenario(scenario, seed);
     const std::string rule = firstRule(all);
     if (rule.empty()) {
         std::cout << "seed " << seed << " breaks nothing\n";
@@ -127,20 +130,23 @@
     for (std::size_t i = 0; i < all.faults.size(); ++i) {
         auto fewer = kept;
         fewer.erase(i);
-        if (firstRule(play(scenario, seed, fewer)) == rule) kept = fewer;
+        if (firstRule(runScenario(scenario, seed, fewer)) == rule) kept = fewer;
     }
     std::cout << rule << " with " << kept.size() << " of " << all.faults.size() << " faults:\n";
     for (const std::size_t i : kept) std::cout << "  " << all.faults[i].text() << '\n';
-    print(play(scenario, seed, kept).result);
+    print(runScenario(scenario, seed, kept).result);
     return 0;
 }
 
-struct Side {
+/// One side of an experiment: a build of this program and a scenario.
+struct ExperimentSide {
     std::string program, scenario;
 };
 
-/// What the program prints; nothing if it could not be run or refused its scenario.
-std::optional<std::string> output(const Side& side, const std::string& seeds, unsigned jobs) {
+/// Runs one side and returns what it prints; no value if it could not be run or refused its
+/// scenario.
+std::optional<std::string> runSide(const ExperimentSide& side, const std::string& seeds,
+                                   unsigned jobs) {
     const auto quoted = [](const std::string& s) {
         std::string out = "'";
         for (const char c : s) out += c == '\'' ? std::string("'\\''") : std::string(1, c);
@@ -156,15 +162,17 @@
     for (std::size_t n = 0; (n = ::fread(buffer.data(), 1, buffer.size(), pipe)) > 0;)
         out.append(buffer.data(), n);
     const int status = ::pclose(pipe);
-    // Broken rules are a measure like the others; anything else is no run.
+    // Status 1 means broken rules, which are a measure like the others; other statuses are
+    // failures.
     if (!WIFEXITED(status) || WEXITSTATUS(status) > 1) return std::nullopt;
     return out;
 }
 
-int experiment(const Side& a, const Side& b, const std::string& seeds, unsigned jobs, bool json) {
+int experiment(const ExperimentSide& a, const ExperimentSide& b, const std::string& seeds,
+               unsigned jobs, bool json) {
     std::array<std::map<std::uint64_t, simulator::Measures>, 2> runs;
     for (unsigned i = 0; i < 2; ++i) {
-        const auto text = output(i == 0 ? a : b, seeds, jobs);
+        const auto text = runSide(i == 0 ? a : b, seeds, jobs);
         if (!text) {
             std::cerr << (i == 0 ? a : b).program << ": could not be run\n";
             return 2;
@@ -196,42 +204,51 @@
 
 }  // namespace
 
-// CLI11 throws while options are defined, which every start shows.
+// CLI11 throws only while options are defined, so a mistake there shows at every start.
 // NOLINTNEXTLINE(bugprone-exception-escape)
 int main(int argc, char** argv) {
-    CLI::App cli{"basaltchute-lab: controllers under any fault, from a seed."};
+    CLI::App cli{"basaltchute-lab: simulates controllers under faults, reproducibly from a seed."};
     cli.require_subcommand(1);
     std::string path, seeds = "1", level = "off";
     unsigned jobs = 1;
-    Show show;
+    OutputOptions show;
     std::uint64_t seed = 1;
-    auto* sim = cli.add_subcommand("simulate", "play a scenario and check every rule");
+    auto* sim = cli.add_subcommand("simulate", "run a scenario and check every rule");
     sim->add_option("scenario", path, "scenario (JSON)")->required()->check(CLI::ExistingFile);
     sim->add_option("--seeds", seeds, "A or A-B");
-    sim->add_option("--jobs", jobs, "seeds at once")->check(CLI::Range(1, 64));
+    sim->add_option("--jobs", jobs, "number of seeds to run in parallel")->check(CLI::Range(1, 64));
     sim->add_flag("--log", show.log, "print every event");
-    sim->add_flag("--shares", show.shares, "print what was accepted, started and ended");
-    sim->add_flag("--json", show.json, "print what was measured, a line of JSON a seed");
+    sim->add_flag("--shares", show.shares, "print the shares of jobs accepted, started and ended");
+    sim->add_flag("--json", show.json, "print measures, one line of JSON per seed");
     sim->add_option("--controllers", level, "log level of the controllers");
-    auto* small = cli.add_subcommand("shrink", "the fewest faults with which a seed fails");
-    small->add_option("scenario", path, "scenario (JSON)")->required()->check(CLI::ExistingFile);
-    small->add_option("--seed", seed, "the seed")->required();
+    auto* shrinkCommand = cli.add_subcommand("shrink", "reduce the faults of a failing seed");
+    shrinkCommand->add_option("scenario", path, "scenario (JSON)")
+        ->required()
+        ->check(CLI::ExistingFile);
+    shrinkCommand->add_option("--seed", seed, "the seed")->required();
     std::string a, b, pathB;
     bool asJson = false;
-    auto* both = cli.add_subcommand("experiment", "two builds or scenarios over the same seeds");
-    both->add_option("scenario", path, "scenario (JSON)")->required()->check(CLI::ExistingFile);
-    both->add_option("--b-scenario", pathB, "the other one's, if it has its own")
+    auto* experimentCommand =
+        cli.add_subcommand("experiment", "compare two builds or scenarios over the same seeds");
+    experimentCommand->add_option("scenario", path, "scenario (JSON)")
+        ->required()
+        ->check(CLI::ExistingFile);
+    experimentCommand
+        ->add_option("--b-scenario", pathB, "scenario of side B; the same one by default")
+        ->check(CLI::ExistingFile);
+    experimentCommand->add_option("--a", a, "program of side A; this one by default")
+        ->check(CLI::ExistingFile);
+    experimentCommand->add_option("--b", b, "program of side B; this one by default")
         ->check(CLI::ExistingFile);
-    both->add_option("--a", a, "program; this one unless it is given")->check(CLI::ExistingFile);
-    both->add_option("--b", b, "the other program")->check(CLI::ExistingFile);
-    both->add_option("--seeds", seeds, "A or A-B");
-    both->add_option("--jobs", jobs, "seeds at once")->check(CLI::Range(1, 64));
-    both->add_flag("--json", asJson, "as JSON");
+    experimentCommand->add_option("--seeds", seeds, "A or A-B");
+    experimentCommand->add_option("--jobs", jobs, "number of seeds to run in parallel")
+        ->check(CLI::Range(1, 64));
+    experimentCommand->add_flag("--json", asJson, "print JSON");
     CLI11_PARSE(cli, argc, argv);
     spdlog::set_default_logger(spdlog::stderr_logger_st("controllers"));
     spdlog::set_level(spdlog::level::from_str(level));
 
-    if (*both) {
+    if (*experimentCommand) {
         if (b.empty() && pathB.empty()) {
             std::cerr << "experiment: expected --b or --b-scenario\n";
             return 2;
@@ -243,12 +260,12 @@
     }
     const auto text = basaltchute::settings::readFile(path);
     const auto parsed = simulator::parseScenario(text.value_or(""));
-    if (const auto* wrong = std::get_if<std::string>(&parsed)) {
-        std::cerr << path << ": " << *wrong << '\n';
+    if (const auto* error = std::get_if<std::string>(&parsed)) {
+        std::cerr << path << ": " << *error << '\n';
         return 2;
     }
     const auto& scenario = std::get<simulator::Scenario>(parsed);
-    if (*small) return shrink(scenario, seed);
+    if (*shrinkCommand) return shrink(scenario, seed);
     const auto dash = seeds.find('-');
     std::uint64_t from = 0, to = 0;
     try {
--- a/src/simulator/measures.cpp
+++ b/src/simulator/measures.cpp
@@ -15,13 +15,14 @@
 
 namespace bh = boost::histogram;
 
-/// Times over some decades, each bin 5% wide.
-auto noTimes() {
+/// An empty histogram of times from 1 ms to 1000 s, with 300 bins on a logarithmic scale (each
+/// about 5% wide).
+auto emptyHistogram() {
     return bh::make_histogram(bh::axis::regular<double, bh::axis::transform::log>(300, 1e-3, 1e3));
 }
-using Times = decltype(noTimes());
+using TimeHistogram = decltype(emptyHistogram());
 
-double quantile(const Times& times, double share) {
+double quantile(const TimeHistogram& times, double share) {
     const double all = bh::algorithm::sum(times);
     double below = 0;
     for (const auto& bin : bh::indexed(times, bh::coverage::all)) {
@@ -45,20 +46,20 @@
     }
     std::map<std::string, double> submitted;
     std::set<std::string> accepted, started;
-    std::map<std::string, Times> times;
-    const auto count = [&](const HistoryEvent& f, const char* what) {
-        const std::string name = history.jobs.at(f.job).jobClass + ' ' + what;
-        times.try_emplace(name, noTimes())
-            .first->second(std::max(f.at - submitted.at(f.job), 1e-3));
+    std::map<std::string, TimeHistogram> times;
+    const auto addTime = [&](const HistoryEvent& event, const char* what) {
+        const std::string name = history.jobs.at(event.job).jobClass + ' ' + what;
+        times.try_emplace(name, emptyHistogram())
+            .first->second(std::max(event.at - submitted.at(event.job), 1e-3));
     };
-    for (const auto& f : history.events) {
-        if (f.kind == HistoryEvent::Kind::submitted) submitted[f.job] = f.at;
-        if (!submitted.contains(f.job)) continue;
-        const bool yes =
-            f.kind == HistoryEvent::Kind::answered && (f.status == 200 || f.status == 201);
-        if (yes && accepted.insert(f.job).second) count(f, "acceptance");
-        if (f.kind == HistoryEvent::Kind::taskStarted && started.insert(f.job).second)
-            count(f, "first start");
+    for (const auto& event : history.events) {
+        if (event.kind == HistoryEvent::Kind::submitted) submitted[event.job] = event.at;
+        if (!submitted.contains(event.job)) continue;
+        const bool acceptedAnswer = event.kind == HistoryEvent::Kind::answered &&
+                                    (event.status == 200 || event.status == 201);
+        if (acceptedAnswer && accepted.insert(event.job).second) addTime(event, "acceptance");
+        if (event.kind == HistoryEvent::Kind::taskStarted && started.insert(event.job).second)
+            addTime(event, "first start");
     }
     for (const auto& [name, h] : times) {
         out[name + " p50 s"] = quantile(h, 0.5);
@@ -113,13 +114,14 @@
         d.difference = d.meanB - d.meanA;
         double squares = 0;
         for (const auto& [x, y] : values) squares += std::pow(y - x - d.difference, 2);
-        double half = std::numeric_limits<double>::infinity();  // one pair says nothing
+        double halfWidth =
+            std::numeric_limits<double>::infinity();  // one pair gives no estimate of the spread
         if (values.size() > 1) {
             const boost::math::students_t t(n - 1);
-            half = boost::math::quantile(t, 0.975) * std::sqrt(squares / (n - 1) / n);
+            halfWidth = boost::math::quantile(t, 0.975) * std::sqrt(squares / (n - 1) / n);
         }
-        d.low = d.difference - half;
-        d.high = d.difference + half;
+        d.low = d.difference - halfWidth;
+        d.high = d.difference + halfWidth;
         out.push_back(d);
     }
     return out;
--- a/src/simulator/measures_test.cpp
+++ b/src/simulator/measures_test.cpp
@@ -9,7 +9,7 @@
 namespace basaltchute::simulator {
 namespace {
 
-TEST(Measures, TellHowLongAcceptanceAndTheFirstStartTook) {
+TEST(Measures, ContainTimesUntilAcceptanceAndShareOfAcceptedJobs) {
     History h;
     for (int i = 0; i < 20; ++i) {
         const std::string id = "run-" + std::to_string(i);
@@ -31,15 +31,15 @@
     EXPECT_EQ(parseMeasures("seed 3: kept\n" + measuresText(3, m) + "\n").at(3).size(), m.size());
 }
 
-TEST(Measures, PairedSeedsShowADifferenceThatTheirSpreadWouldHide) {
+TEST(Measures, PairedComparisonFindsDifferenceSmallerThanSpreadBetweenSeeds) {
     std::map<std::uint64_t, Measures> a, b;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-        const auto luck = static_cast<double>(seed * seed % 7);
-        a[seed] = {{"x", luck}, {"y", luck}};
-        b[seed] = {{"x", luck + 0.1 + 0.01 * static_cast<double>(seed % 3)},
-                   {"y", luck + (seed % 2 == 0 ? 1.0 : -1.0)}};
+        const auto seedEffect = static_cast<double>(seed * seed % 7);
+        a[seed] = {{"x", seedEffect}, {"y", seedEffect}};
+        b[seed] = {{"x", seedEffect + 0.1 + 0.01 * static_cast<double>(seed % 3)},
+                   {"y", seedEffect + (seed % 2 == 0 ? 1.0 : -1.0)}};
     }
-    b[99] = {{"x", 1e6}};  // has no partner
+    b[99] = {{"x", 1e6}};  // in one set only, ignored
     const auto found = compare(a, b);
     ASSERT_EQ(found.size(), 2U);
     EXPECT_EQ(found[0].pairs, 10U);
--- a/src/simulator/query.h
+++ b/src/simulator/query.h
@@ -1,9 +1,11 @@
+// Reads query parameters of request targets, for the simulated cloud and state service.
 #pragma once
 #include <string>
 
 namespace basaltchute::simulator {
 
-/// The value of a parameter in a request's target; empty if it is not there.
+/// Returns the value of the query parameter `name` in a request target, or an empty string if it
+/// is missing. The value is not percent-decoded.
 inline std::string queryParameter(const std::string& target, const std::string& name) {
     const auto at = target.find(name + '=');
     if (at == std::string::npos) return "";
--- a/src/simulator/scenario.cpp
+++ b/src/simulator/scenario.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-const json::Value& none() {
+const json::Value& emptyObject() {
     static const json::Document empty = [] {
         json::Document d;
         d.SetObject();
@@ -20,9 +20,9 @@
     }();
     return empty;
 }
-const json::Value& part(const json::Value& v, const char* name) {
+const json::Value& objectOrEmpty(const json::Value& v, const char* name) {
     const auto* p = json::find(v, name);
-    return p == nullptr ? none() : *p;
+    return p == nullptr ? emptyObject() : *p;
 }
 double numberOr(const json::Value& v, const char* name, double fallback) {
     return json::number(v, name).value_or(fallback);
@@ -39,14 +39,14 @@
         for (const auto& v : array->GetArray()) out.emplace_back(v.GetString());
     return out;
 }
-Priority priorityOf(const std::string& s) {
+Priority parsePriority(const std::string& s) {
     return s == "production" ? Priority::production
            : s == "high"     ? Priority::high
            : s == "normal"   ? Priority::normal
                              : Priority::low;
 }
 
-SimulatedMachineType typeIn(const json::Value& v) {
+SimulatedMachineType parseMachineType(const json::Value& v) {
     SimulatedMachineType t;
     t.name = textOr(v, "name");
     t.cores = numberOr(v, "cores", 1);
@@ -63,11 +63,11 @@
     return t;
 }
 
-JobClassOptions classIn(const json::Value& v) {
+JobClassOptions parseJobClass(const json::Value& v) {
     JobClassOptions c;
     c.name = textOr(v, "name");
     c.standing = textOr(v, "shape") == "standing";
-    c.priority = priorityOf(textOr(v, "priority"));
+    c.priority = parsePriority(textOr(v, "priority"));
     c.cores = numberOr(v, "cores", 1);
     c.ramGb = numberOr(v, "ramGb", 1);
     c.perMinute = numberOr(v, "perMinute", 0);
@@ -91,7 +91,7 @@
     return c;
 }
 
-PipelineOptions pipelineIn(const json::Value& v) {
+PipelineOptions parsePipeline(const json::Value& v) {
     PipelineOptions p;
     p.name = textOr(v, "name");
     p.perMinute = numberOr(v, "perMinute", 0);
@@ -112,22 +112,22 @@
     return p;
 }
 
-SiteOptions siteIn(const json::Value& v) {
+SiteOptions parseSite(const json::Value& v) {
     SiteOptions s;
     s.name = textOr(v, "name");
     s.nodes = countOr(v, "nodes", 3);
     s.sockets = countOr(v, "sockets", 2000);
     s.zones = texts(json::array(v, "zones"));
-    for (const auto& t : v["types"].GetArray()) s.types.push_back(typeIn(t));
+    for (const auto& t : v["types"].GetArray()) s.types.push_back(parseMachineType(t));
     for (const auto& t : v["teams"].GetArray())
         s.teams.push_back(
             {textOr(t, "name"), numberOr(t, "cores", 0), numberOr(t, "coresMax", 0), 0, 0});
-    for (const auto& c : v["classes"].GetArray()) s.classes.push_back(classIn(c));
+    for (const auto& c : v["classes"].GetArray()) s.classes.push_back(parseJobClass(c));
     if (const auto* pipelines = json::array(v, "pipelines"))
-        for (const auto& p : pipelines->GetArray()) s.pipelines.push_back(pipelineIn(p));
+        for (const auto& p : pipelines->GetArray()) s.pipelines.push_back(parsePipeline(p));
     s.heldBack = json::boolean(v, "heldBack").value_or(false);
-    const auto& state = part(v, "state");
-    const auto& next = part(state, "next");
+    const auto& state = objectOrEmpty(v, "state");
+    const auto& next = objectOrEmpty(state, "next");
     s.next.valueBytes = static_cast<std::size_t>(numberOr(next, "valueKb", 0) * 1024);
     s.next.txnOps = countOr(next, "txnOps", 0);
     s.next.writeRps = numberOr(next, "writeRps", 0);
@@ -136,10 +136,10 @@
     s.state.valueBytes = static_cast<std::size_t>(numberOr(state, "valueKb", 16) * 1024);
     s.state.txnOps = countOr(state, "txnOps", static_cast<std::uint32_t>(s.state.txnOps));
     s.state.latency = fromSeconds(numberOr(state, "latencyMs", 4) / 1000);
-    const auto& cloud = part(v, "cloud");
+    const auto& cloud = objectOrEmpty(v, "cloud");
     s.cloudRps = numberOr(cloud, "rps", s.cloudRps);
     s.listLagS = numberOr(cloud, "listLagS", s.listLagS);
-    const auto& workers = part(v, "workers");
+    const auto& workers = objectOrEmpty(v, "workers");
     s.reportS = numberOr(workers, "reportS", s.reportS);
     s.leaseS = numberOr(workers, "leaseS", s.leaseS);
     s.cancelS = numberOr(workers, "cancelS", s.cancelS);
@@ -148,12 +148,12 @@
     return s;
 }
 
-bool isKind(const std::string& kind) {
+bool isFaultKind(const std::string& kind) {
     const auto& all = faultKinds();
     return std::find(all.begin(), all.end(), kind) != all.end();
 }
 
-std::string wrongIn(const PipelineOptions& p, const SiteOptions& site) {
+std::string validationError(const PipelineOptions& p, const SiteOptions& site) {
     for (std::size_t i = 0; i < p.stages.size(); ++i) {
         const auto& stage = p.stages[i];
         const std::string at = fmt::format("/stages/{}", i);
@@ -168,7 +168,7 @@
     return "";
 }
 
-std::string wrongIn(const Scenario& s) {
+std::string validationError(const Scenario& s) {
     for (std::size_t i = 0; i < s.sites.size(); ++i) {
         const SiteOptions& site = s.sites[i];
         const std::string at = fmt::format("#/sites/{}", i);
@@ -190,8 +190,8 @@
             if (site.types[t].up > site.types[t].ordinary)
                 return fmt::format("{}/types/{}/up: expected no more than ordinary", at, t);
         for (std::size_t p = 0; p < site.pipelines.size(); ++p)
-            if (auto wrong = wrongIn(site.pipelines[p], site); !wrong.empty())
-                return fmt::format("{}/pipelines/{}{}", at, p, wrong);
+            if (auto error = validationError(site.pipelines[p], site); !error.empty())
+                return fmt::format("{}/pipelines/{}{}", at, p, error);
         if (site.cancelS <= site.leaseS) return at + "/workers/cancelS: expected more than leaseS";
     }
     const auto siteOf = [&](const std::string& name) {
@@ -201,7 +201,7 @@
     for (std::size_t i = 0; i < s.faults.size(); ++i) {
         const Fault& f = s.faults[i];
         const std::string at = fmt::format("#/faults/{}", i);
-        if (!isKind(f.kind)) return at + "/kind: expected a known kind of fault";
+        if (!isFaultKind(f.kind)) return at + "/kind: expected a known kind of fault";
         if (f.atS > s.seconds) return at + "/atS: expected a time within the run";
         if (f.kind == "state_limits" &&
             std::any_of(s.sites.begin(), s.sites.end(), [&](const SiteOptions& x) {
@@ -221,11 +221,11 @@
             return at + "/class: expected a class of that site";
     }
     for (std::size_t i = 0; i < s.swarm.kinds.size(); ++i)
-        if (!isKind(s.swarm.kinds[i]))
+        if (!isFaultKind(s.swarm.kinds[i]))
             return fmt::format("#/swarm/kinds/{}: expected a known kind of fault", i);
     for (std::size_t i = 0; i < s.swarm.pairs.size(); ++i)
         for (std::size_t k = 0; k < 2; ++k)
-            if (s.swarm.pairs[i].at(k) != Swarm::anyKind && !isKind(s.swarm.pairs[i].at(k)))
+            if (s.swarm.pairs[i].at(k) != Swarm::anyKind && !isFaultKind(s.swarm.pairs[i].at(k)))
                 return fmt::format("#/swarm/pairs/{}/{}: expected a known kind of fault, or \"{}\"",
                                    i, k, Swarm::anyKind);
     if (s.swarm.thenLeaderEnds && s.swarm.pairs.empty())
@@ -270,10 +270,10 @@
     if (auto error = json::schemaError(*doc, scenarioSchema)) return std::move(*error);
     Scenario s;
     s.seconds = numberOr(*doc, "seconds", 60);
-    const auto& shown = part(*doc, "shown");
+    const auto& shown = objectOrEmpty(*doc, "shown");
     s.shown.knownS = numberOr(shown, "knownS", s.shown.knownS);
     s.shown.beginS = numberOr(shown, "beginS", 0);
-    for (const auto& v : (*doc)["sites"].GetArray()) s.sites.push_back(siteIn(v));
+    for (const auto& v : (*doc)["sites"].GetArray()) s.sites.push_back(parseSite(v));
     if (const auto* faults = json::array(*doc, "faults"))
         for (const auto& v : faults->GetArray()) {
             Fault f;
@@ -290,7 +290,7 @@
             f.reset = json::boolean(v, "reset").value_or(false);
             s.faults.push_back(std::move(f));
         }
-    const auto& swarm = part(*doc, "swarm");
+    const auto& swarm = objectOrEmpty(*doc, "swarm");
     s.swarm.fromS = numberOr(swarm, "fromS", 10);
     s.swarm.toS = numberOr(swarm, "toS", 0);
     s.swarm.kinds = texts(json::array(swarm, "kinds"));
@@ -300,14 +300,15 @@
         for (const auto& p : pairs->GetArray())
             s.swarm.pairs.push_back({p[0].GetString(), p[1].GetString()});
     if (s.swarm.kinds.empty()) {
-        // What the sites have no terms for would be no trouble.
-        const bool falls = std::all_of(s.sites.begin(), s.sites.end(), [](const SiteOptions& x) {
-            return x.next.valueBytes > 0 || x.next.txnOps > 0 || x.next.writeRps > 0;
-        });
+        // Without next limits on every site, the fault `state_limits` would change nothing.
+        const bool limitsChange =
+            std::all_of(s.sites.begin(), s.sites.end(), [](const SiteOptions& x) {
+                return x.next.valueBytes > 0 || x.next.txnOps > 0 || x.next.writeRps > 0;
+            });
         for (const auto& k : faultKinds())
-            if (k != "state_limits" || falls) s.swarm.kinds.push_back(k);
+            if (k != "state_limits" || limitsChange) s.swarm.kinds.push_back(k);
     }
-    if (auto wrong = wrongIn(s); !wrong.empty()) return wrong;
+    if (auto error = validationError(s); !error.empty()) return error;
     return s;
 }
 
--- a/src/simulator/scenario.h
+++ b/src/simulator/scenario.h
@@ -1,3 +1,5 @@
+// Scenarios: sites, load and faults of a simulated run, parsed from JSON (scenario.schema.json).
+// Times are seconds since the start of the run. Used by the simulation and its command line.
 #pragma once
 #include <array>
 #include <optional>
@@ -12,42 +14,46 @@
 
 namespace basaltchute::simulator {
 
+/// A class of jobs that the users of a site submit. Ranges are drawn from for each job.
 struct JobClassOptions {
     std::string name;
     bool standing = false;
     Priority priority = Priority::normal;
     double cores = 1, ramGb = 1, perMinute = 0, imageGb = 0, checkpointS = 0, saveS = 0;
     double deadlineFactor = 0, cancelledShare = 0;  // 0: none
-    double apart = 0;  // its last task takes so many run times longer than its first
+    double apart = 0;  // how much longer the last task runs than the first, in run times
     std::array<std::uint32_t, 2> tasks{1, 1};
     std::array<double, 2> runS{1, 1};
     std::uint32_t initial = 0, images = 3;
     bool spot = false, spread = false, together = false;
-    double bound = 0;  // the share of its jobs that may run in one zone only, which is drawn
+    double bound = 0;  // share of jobs that may run only in one, randomly drawn zone
     std::optional<double> waitS;
 };
 
-/// Jobs of which the later ones need the earlier ones; the deadline is the last one's.
+/// Jobs in stages, where later stages depend on earlier ones. The deadline is set on the last job.
 struct PipelineOptions {
+    /// Jobs of one class that depend on the same earlier stages.
     struct Stage {
         std::string jobClass;
         std::array<std::uint32_t, 2> jobs{1, 1};
-        std::vector<std::size_t> needs;  // stages before it
+        std::vector<std::size_t> needs;  // indexes of earlier stages
     };
     std::string name;
     std::vector<Stage> stages;
     double perMinute = 0, fromS = 0, deadlinePlusS = 60;
-    /// Shares of them: the first job needs one of another class that was accepted before; the last
-    /// is submitted once the others are over; one of its jobs is withdrawn.
+    /// Shares of the pipelines in which the first job also depends on an accepted job outside the
+    /// pipeline (`onEarlier`), the last job is submitted only when the others have ended (`late`),
+    /// or one job is cancelled by its user (`cancelledShare`).
     double onEarlier = 0, late = 0, cancelledShare = 0;
 };
 
-/// Limits of the state service that come with a trouble; 0: as they are.
+/// Limits of the state service that apply once the fault `state_limits` begins; 0: unchanged.
 struct NextLimits {
     std::size_t valueBytes = 0, txnOps = 0;
     double writeRps = 0;
 };
 
+/// A site: its controllers, machines, teams, load, and the services it uses.
 struct SiteOptions {
     std::string name;
     std::size_t nodes = 3, sockets = 2000;
@@ -56,8 +62,8 @@
     std::vector<settings::Team> teams;
     std::vector<JobClassOptions> classes;
     std::vector<PipelineOptions> pipelines;
-    /// Its nodes start by settings that know no next limits and hold the stored state's form back,
-    /// as versions before chains do; a roll brings the others.
+    /// Its nodes start with settings that lack the next limits and keep the older format of the
+    /// stored state, as versions before chains do; a rolling restart applies the current settings.
     bool heldBack = false;
     NextLimits next;
     StateService::Limits state{200, 60, std::size_t{16} * 1024, 20, std::chrono::milliseconds(4)};
@@ -65,36 +71,39 @@
     double restartS = 0.2, clockOffMs = 250;
 };
 
+/// One fault to inject.
 struct Fault {
     double atS = 0, forS = 0, factor = 1;
-    double share = 0.3;  // of what it may hit each time: transactions, reports, jobs that end
+    double share = 0.3;  // of the transactions, reports or ending jobs that it may affect
     std::string kind, site, zone, jobClass;
     std::uint32_t count = 1;
     bool leader = false, reset = false;
+    /// The fault as JSON, in the form that scenarios use.
     [[nodiscard]] std::string text() const;
 };
 
-/// What each seed draws beside the faults that are named.
+/// Random faults that each seed draws in addition to the listed ones.
 struct Swarm {
-    double fromS = 10, toS = 0;  // 0: none
+    double fromS = 10, toS = 0;  // toS 0: no random faults
     std::vector<std::string> kinds;
     std::uint32_t most = 6;
-    /// Drawn instead of single ones: the second of a pair begins while the first one lasts, or
-    /// shortly after it. anyKind: one of `kinds`.
+    /// If given, pairs are drawn instead of single faults: the second begins during the first or
+    /// shortly after it. `anyKind` stands for any of `kinds`.
     std::vector<std::array<std::string, 2>> pairs;
     static constexpr const char* anyKind = "any";
-    bool thenLeaderEnds = false;  // and the leader ends shortly after each pair has begun
+    bool thenLeaderEnds = false;  // the leader also stops shortly after each pair has begun
 };
 
-/// What is to be shown of a scenario beside the rules; 0: nothing.
+/// Bounds that a scenario sets for the checker; 0: not checked.
 struct ExtraChecks {
-    /// Once all troubles are over, no job's polls are in vain for so long.
+    /// Once all faults are over, no job's polls stay unanswered for longer than this.
     double knownS = 75;
-    /// The largest jobs of each class begin within that, and of each class, team and class's
-    /// largest jobs half is started.
+    /// The largest jobs of each class start within this time, and at least half of the jobs of each
+    /// class, of each team and among the largest of each class are started.
     double beginS = 0;
 };
 
+/// A whole scenario.
 struct Scenario {
     double seconds = 60;
     ExtraChecks shown;
@@ -103,9 +112,10 @@
     Swarm swarm;
 };
 
-/// All kinds of faults by name.
+/// The names of all kinds of faults.
 const std::vector<std::string>& faultKinds();
-/// One line: which field is wrong and what was expected there.
+/// Parses and validates a scenario. On an error returns one line that names the invalid field and
+/// what was expected there.
 std::variant<Scenario, std::string> parseScenario(const std::string& text);
 
 }  // namespace basaltchute::simulator
--- a/src/simulator/users.cpp
+++ b/src/simulator/users.cpp
@@ -9,10 +9,10 @@
 using namespace std::chrono_literals;
 
 namespace {
-constexpr Duration accepting = 500ms;  // the load balancer waits so long for a connection
-constexpr double tryingS = 60;         // users go on trying
-constexpr std::size_t looks = 3;       // at every node, of those who look closely
-const char* wordOf(Priority p) {
+constexpr Duration connectTimeout = 500ms;  // of the load balancer, to a node
+constexpr double submitRetryLimitS = 60;    // users then give up a submission
+constexpr std::size_t closePollRounds = 3;  // at every node, while `pollClosely` is on
+const char* priorityText(Priority p) {
     switch (p) {
         case Priority::production:
             return "production";
@@ -30,7 +30,9 @@
     json::Writer o;
     o.open().field("ref", s.id).field("category", s.jobClass).field("crew", s.team);
     o.field("shape", s.shape == Shape::service ? "standing" : "array");
-    o.field("rank", wordOf(s.priority)).field("splits", s.tasks).field("cores", s.demand.cores);
+    o.field("rank", priorityText(s.priority))
+        .field("splits", s.tasks)
+        .field("cores", s.demand.cores);
     o.field("gpus", s.demand.gpus).field("ramGb", s.demand.ramGb).field("build", s.image);
     o.field("sizeGb", s.imageGb).key("rigs");
     if (!s.machineTypes) {
@@ -72,19 +74,20 @@
     for (std::size_t i = 0; i < nodes_.size(); ++i) scope_.spawn(probe(i));
 }
 
-void Balancer::took(Node& n, bool well) {
-    n.probes.push_back(well);
+void Balancer::recordProbe(Node& n, bool succeeded) {
+    n.probes.push_back(succeeded);
     if (n.probes.size() > 6) n.probes.pop_front();
-    n.good = well ? n.good + 1 : 0;
-    n.bad = well ? 0 : n.bad + 1;
+    n.successesInRow = succeeded ? n.successesInRow + 1 : 0;
+    n.failuresInRow = succeeded ? 0 : n.failuresInRow + 1;
     const auto bad = std::count(n.probes.begin(), n.probes.end(), false);
-    if (n.healthy && (n.bad >= 2 || bad >= 3)) {
+    if (n.healthy && (n.failuresInRow >= 2 || bad >= 3)) {
         n.healthy = false;
-        n.pause = loop_.now() - n.removedAt < 2min ? std::min<Duration>(n.pause * 2, 60s) : 3s;
+        n.backoff = loop_.now() - n.removedAt < 2min ? std::min<Duration>(n.backoff * 2, 60s) : 3s;
         n.removedAt = loop_.now();
-        n.notBefore = loop_.now() + n.pause;
-    } else if (!n.healthy && loop_.now() >= n.notBefore && n.good >= (n.ever ? 2 : 1)) {
-        n.healthy = n.ever = true;
+        n.unhealthyUntil = loop_.now() + n.backoff;
+    } else if (!n.healthy && loop_.now() >= n.unhealthyUntil &&
+               n.successesInRow >= (n.everHealthy ? 2 : 1)) {
+        n.healthy = n.everHealthy = true;
         n.probes.clear();
     }
 }
@@ -95,7 +98,7 @@
         http::Request request{"GET", "/up", ""};
         const auto o = co_await client.request(std::move(request), 1s, scope_);
         if (scope_.cancelled()) co_return;
-        took(nodes_[node], o.answered && o.response.status == 200);
+        recordProbe(nodes_[node], o.answered && o.response.status == 200);
         co_await loop_.sleep(fromSeconds(time_.between(0.9, 1.1)), scope_);
     }
 }
@@ -112,7 +115,7 @@
     return out;
 }
 
-void Balancer::failed(std::size_t node) {
+void Balancer::connectFailed(std::size_t node) {
     Node& n = nodes_[node];
     if (++n.failures < 3) return;
     n.failures = 0;
@@ -127,17 +130,17 @@
       scope_(loop_),
       balancer_(time, loop_, scope_, nodes),
       history_(history),
-      moved_(loop_),
-      nodes_(nodes.size()) {}
+      stageChanged_(loop_),
+      nodeCount_(nodes.size()) {}
 
 void Users::end() {
     machine_.disconnect();
     machine_.drainScope(scope_);
 }
 
-std::size_t Users::say(HistoryEvent::Kind kind, const std::string& job,
-                       HistoryEvent::Question question, int status, std::string word,
-                       std::optional<std::size_t> asked) {
+std::size_t Users::record(HistoryEvent::Kind kind, const std::string& job,
+                          HistoryEvent::Question question, int status, std::string word,
+                          std::optional<std::size_t> asked) {
     HistoryEvent e;
     e.at = time_.seconds();
     e.kind = kind;
@@ -164,43 +167,43 @@
     }
 }
 
-Task<std::optional<http::Response>> Users::askAt(std::size_t node, std::string job,
-                                                 HistoryEvent::Question question, TimePoint until,
-                                                 std::size_t asked) {
+Task<std::optional<http::Response>> Users::askNode(std::size_t node, std::string job,
+                                                   HistoryEvent::Question question, TimePoint until,
+                                                   std::size_t asked) {
     http::Client client(loop_, balancer_.address(node), 0);
-    balancer_.opened(node);
+    balancer_.connectionOpened(node);
     http::Request r = request(job, question);
     auto o = co_await client.request(std::move(r), until - loop_.now(), scope_);
-    balancer_.closed(node);
+    balancer_.connectionClosed(node);
     if (!o.answered) co_return std::nullopt;
     const auto doc = json::parse(o.response.body);
     const bool known = o.response.status == 200 || o.response.status == 201;
     const std::string word = known && doc ? json::string(*doc, "status").value_or("?") : "";
-    say(HistoryEvent::Kind::answered, job, question, o.response.status, word, asked);
-    learn(job, o.response.status, word);
+    record(HistoryEvent::Kind::answered, job, question, o.response.status, word, asked);
+    noteAnswer(job, o.response.status, word);
     co_return std::move(o.response);
 }
 
 Task<std::optional<http::Response>> Users::ask(std::string job, HistoryEvent::Question question,
                                                Duration timeout) {
     const TimePoint until = loop_.now() + timeout;
-    const std::size_t asked = say(HistoryEvent::Kind::asked, job, question);
+    const std::size_t asked = record(HistoryEvent::Kind::asked, job, question);
     for (const std::size_t node : balancer_.choose()) {
         const auto to = parseAddress(balancer_.address(node));
-        auto socket =
-            co_await Socket::connect(loop_, *to, std::min(until, loop_.now() + accepting), scope_);
+        auto socket = co_await Socket::connect(
+            loop_, *to, std::min(until, loop_.now() + connectTimeout), scope_);
         if (!socket) {
-            balancer_.failed(node);
+            balancer_.connectFailed(node);
             continue;
         }
         socket.reset();
-        auto response = co_await askAt(node, job, question, until, asked);
+        auto response = co_await askNode(node, job, question, until, asked);
         co_return response;
     }
     co_return std::nullopt;
 }
 
-void Users::learn(const std::string& job, int status, const std::string& word) {
+void Users::noteAnswer(const std::string& job, int status, const std::string& word) {
     if (status != 200 && status != 201) return;
     std::string& known = newestAnswers_[job];
     const bool ends = word == "done" || word == "cancelled";
@@ -212,18 +215,18 @@
 
 Task<void> Users::pollAllNodes(std::string job, bool mayCancel) {
     using Question = HistoryEvent::Question;
-    for (std::size_t round = 0; round < looks && !scope_.cancelled(); ++round) {
-        for (std::size_t node = 0; node < nodes_; ++node)
+    for (std::size_t round = 0; round < closePollRounds && !scope_.cancelled(); ++round) {
+        for (std::size_t node = 0; node < nodeCount_; ++node)
             scope_.spawn(
-                peek(node, job, time_.chance(0.3) ? Question::repetition : Question::poll));
+                askNodeOnce(node, job, time_.chance(0.3) ? Question::repetition : Question::poll));
         co_await loop_.sleep(fromSeconds(time_.between(0.001, 0.05)), scope_);
     }
     if (mayCancel && time_.chance(0.15) && !scope_.cancelled()) co_await requestCancel(job);
 }
 
-Task<void> Users::peek(std::size_t node, std::string job, HistoryEvent::Question question) {
-    const std::size_t asked = say(HistoryEvent::Kind::asked, job, question);
-    co_await askAt(node, std::move(job), question, loop_.now() + 2s, asked);
+Task<void> Users::askNodeOnce(std::size_t node, std::string job, HistoryEvent::Question question) {
+    const std::size_t asked = record(HistoryEvent::Kind::asked, job, question);
+    co_await askNode(node, std::move(job), question, loop_.now() + 2s, asked);
 }
 
 void Users::cancelNow(const std::string& job) {
@@ -247,7 +250,7 @@
     }
     if (history_.jobs.empty()) return;
     JobSpec spec = history_.jobs.begin()->second;
-    spec.id = "odd-" + std::to_string(++unfits_);
+    spec.id = "odd-" + std::to_string(++unfitCount_);
     spec.dependencies.clear();
     std::string& why = history_.unfit[spec.id];
     std::string body;
@@ -292,7 +295,7 @@
 
 Task<void> Users::submitUnfit(std::string id) {
     const TimePoint since = loop_.now();
-    while (!scope_.cancelled() && toSeconds(loop_.now() - since) < tryingS) {
+    while (!scope_.cancelled() && toSeconds(loop_.now() - since) < submitRetryLimitS) {
         const auto r = co_await ask(id, HistoryEvent::Question::submission, 5s);
         if (r && r->status < 429) break;
         co_await loop_.sleep(1s, scope_);
@@ -300,12 +303,12 @@
     if (!scope_.cancelled()) co_await ask(std::move(id), HistoryEvent::Question::poll, 2s);
 }
 
-void Users::submit(PlannedJob wish) {
-    const std::string id = wish.spec.id;
-    history_.jobs[id] = wish.spec;
-    say(HistoryEvent::Kind::submitted, id, HistoryEvent::Question::submission);
-    reached(id, Stage::submitted);
-    scope_.spawn(follow(std::move(wish)));
+void Users::submit(PlannedJob planned) {
+    const std::string id = planned.spec.id;
+    history_.jobs[id] = planned.spec;
+    record(HistoryEvent::Kind::submitted, id, HistoryEvent::Question::submission);
+    setStage(id, Stage::submitted);
+    scope_.spawn(follow(std::move(planned)));
 }
 
 void Users::submit(Pipeline pipeline) {
@@ -321,10 +324,10 @@
             return s == Stage::over || (!late && s == Stage::accepted);
         };
         for (const auto& id : p.jobs[i].spec.dependencies) {
-            if (!stages_.contains(id)) co_return;  // not even submitted
+            if (!stages_.contains(id)) co_return;  // the dependency was never submitted
             while (!ready(id) && !scope_.cancelled()) {
                 if (stages_.at(id) == Stage::refused) co_return;
-                co_await loop_.wait(moved_, TimePoint::max(), scope_);
+                co_await loop_.wait(stageChanged_, TimePoint::max(), scope_);
             }
         }
         if (scope_.cancelled()) co_return;
@@ -352,7 +355,7 @@
 }
 
 Task<bool> Users::requestCancel(std::string job) {
-    say(HistoryEvent::Kind::cancelRequested, job, HistoryEvent::Question::cancellation);
+    record(HistoryEvent::Kind::cancelRequested, job, HistoryEvent::Question::cancellation);
     while (!scope_.cancelled()) {
         const auto r = co_await ask(job, HistoryEvent::Question::cancellation, 5s);
         if (r && r->status == 200) co_return true;
@@ -363,8 +366,8 @@
     co_return false;
 }
 
-Task<void> Users::follow(PlannedJob wish) {
-    const std::string id = wish.spec.id;
+Task<void> Users::follow(PlannedJob planned) {
+    const std::string id = planned.spec.id;
     const TimePoint since = loop_.now();
     bool accepted = false;
     while (!accepted && !scope_.cancelled()) {
@@ -372,26 +375,27 @@
         if (r && (r->status == 200 || r->status == 201)) accepted = true;
         const Duration later = std::max<Duration>(1s, std::chrono::seconds(r ? r->retryAfterS : 0));
         const bool refused = r && (r->status == 400 || r->status == 422);
-        if (!accepted && (refused || toSeconds(loop_.now() + later - since) > tryingS)) {
-            reached(id, Stage::refused);
+        if (!accepted && (refused || toSeconds(loop_.now() + later - since) > submitRetryLimitS)) {
+            setStage(id, Stage::refused);
             co_return;
         }
         if (accepted) break;
         co_await loop_.sleep(later, scope_);
     }
-    reached(id, Stage::accepted);
-    if (wish.spec.dependencies.empty() && wish.spec.shape != Shape::service)
+    setStage(id, Stage::accepted);
+    if (planned.spec.dependencies.empty() && planned.spec.shape != Shape::service)
         accepted_.push_back(id);
     const TimePoint at = loop_.now();
     bool final = false, repeated = false;
-    while (!final && !scope_.cancelled() && toSeconds(loop_.now() - at) < wish.pollTimeoutS) {
+    while (!final && !scope_.cancelled() && toSeconds(loop_.now() - at) < planned.pollTimeoutS) {
         co_await loop_.sleep(fromSeconds(time_.between(4.5, 5.5)), scope_);
         if (scope_.cancelled()) co_return;
-        if (wish.cancelAfterS && toSeconds(loop_.now() - at) > *wish.cancelAfterS) {
-            wish.cancelAfterS.reset();
+        if (planned.cancelAfterS && toSeconds(loop_.now() - at) > *planned.cancelAfterS) {
+            planned.cancelAfterS.reset();
             co_await requestCancel(id);
         }
-        if (wish.repeatAfterS && !repeated && toSeconds(loop_.now() - at) > *wish.repeatAfterS) {
+        if (planned.repeatAfterS && !repeated &&
+            toSeconds(loop_.now() - at) > *planned.repeatAfterS) {
             repeated = true;
             co_await ask(id, HistoryEvent::Question::repetition, 5s);
         }
@@ -400,16 +404,16 @@
         const auto status = doc ? json::string(*doc, "status") : std::nullopt;
         final = status && (*status == "done" || *status == "cancelled");
     }
-    if (final) reached(id, Stage::over);
-    // And once more at some later time: what was final stays so.
+    if (final) setStage(id, Stage::over);
+    // Poll once more later, so that the checker sees whether a final status stays final.
     co_await loop_.sleep(fromSeconds(time_.between(5, 40)), scope_);
     if (!scope_.cancelled() && final) co_await ask(id, HistoryEvent::Question::poll, 2s);
 }
 
 void Users::pollUnknownJob() {
-    scope_.spawn(strayPoll("stray-" + std::to_string(++strays_)));
+    scope_.spawn(pollOnce("stray-" + std::to_string(++unknownJobCount_)));
 }
-Task<void> Users::strayPoll(std::string id) {
+Task<void> Users::pollOnce(std::string id) {
     co_await ask(std::move(id), HistoryEvent::Question::poll, 2s);
 }
 
--- a/src/simulator/users.h
+++ b/src/simulator/users.h
@@ -1,3 +1,4 @@
+// The simulated users of a site and their load balancer. The simulation owns them.
 #pragma once
 #include <deque>
 #include <functional>
@@ -10,104 +11,114 @@
 
 namespace basaltchute::simulator {
 
-/// The load balancer of a site: which node a new connection goes to, by probes of `/up`.
+/// The load balancer of a site. It probes `/up` on each node and chooses nodes for new connections.
 class Balancer {
   public:
     Balancer(Timeline& time, EventLoop& loop, Scope& scope, std::vector<std::string> nodes);
-    /// Up to three healthy nodes to try, the first to be preferred.
+    /// Returns up to three healthy nodes in the order in which to try them.
     std::vector<std::size_t> choose();
-    void failed(std::size_t node);
-    void opened(std::size_t node) { ++nodes_[node].open; }
-    void closed(std::size_t node) { --nodes_[node].open; }
+    /// Reports a failed connection attempt; after three the node is skipped for 3 s.
+    void connectFailed(std::size_t node);
+    /// Count the open connections of a node, which decide the order of `choose`.
+    void connectionOpened(std::size_t node) { ++nodes_[node].open; }
+    void connectionClosed(std::size_t node) { --nodes_[node].open; }
     [[nodiscard]] const std::string& address(std::size_t node) const {
         return nodes_[node].address;
     }
 
   private:
+    /// What the load balancer knows about a node.
     struct Node {
         std::string address;
-        bool healthy = false, ever = false;
-        int open = 0, failures = 0, good = 0, bad = 0;
+        bool healthy = false, everHealthy = false;
+        int open = 0, failures = 0, successesInRow = 0, failuresInRow = 0;
         std::deque<bool> probes;
-        TimePoint notBefore{}, skipUntil{}, removedAt{};
-        Duration pause = std::chrono::seconds(3);
+        TimePoint unhealthyUntil{}, skipUntil{}, removedAt{};
+        Duration backoff = std::chrono::seconds(3);
     };
     Task<void> probe(std::size_t node);
-    void took(Node& node, bool well);
+    void recordProbe(Node& node, bool succeeded);
     Timeline& time_;
     EventLoop& loop_;
     Scope& scope_;
     std::vector<Node> nodes_;
 };
 
-/// The users of a site, by the published protocol: each job has one, who submits it, repeats that
-/// until it is answered, polls, and perhaps withdraws it.
+/// The users of a site, who follow the published protocol. Each job has one user, who submits it,
+/// retries until there is an answer, polls it, and may cancel it. All requests and answers are
+/// recorded in the history.
 class Users {
   public:
     Users(Timeline& time, Machine& machine, const std::vector<std::string>& nodes,
           History& history);
+    /// A job and what its user will do with it. Times are seconds after its acceptance.
     struct PlannedJob {
         JobSpec spec;
-        std::optional<double> cancelAfterS;  // once it is accepted
-        std::optional<double> repeatAfterS;  // submits it once more, long after
+        std::optional<double> cancelAfterS;  // cancels it
+        std::optional<double> repeatAfterS;  // submits it again
         double pollTimeoutS = 1e9;           // stops polling
     };
-    void submit(PlannedJob wish);
-    /// Jobs that need others of the same pipeline: submitted one after another, each as soon as
-    /// those that it needs are accepted; `lastLate`: the last only when the others are over.
+    /// Starts the user of a job, who submits it at once.
+    void submit(PlannedJob planned);
+    /// Jobs that depend on others of the same pipeline. They are submitted in order, each as soon
+    /// as its dependencies are accepted; with `lastLate`, the last one when its dependencies have
+    /// ended.
     struct Pipeline {
         std::vector<PlannedJob> jobs;
-        std::vector<std::vector<std::size_t>> dependencies;  // for each, which of them
+        std::vector<std::vector<std::size_t>> dependencies;  // for each job, indexes of others
         bool lastLate = false;
     };
+    /// Starts the user of a pipeline.
     void submit(Pipeline pipeline);
-    /// Some array that was accepted, of no pipeline; empty if there is none.
+    /// Returns the id of a random accepted array job without dependencies; empty if there is none.
     [[nodiscard]] std::string anyAcceptedJob();
-    /// From now on somebody asks every node, again and again within milliseconds, and repeats the
-    /// submission, whenever a job was said to be accepted, done or cancelled; some cancel at once.
+    /// While on: as soon as a job is reported accepted, done or cancelled, its status is polled and
+    /// its submission repeated at every node several times within milliseconds, and some jobs are
+    /// then cancelled.
     void pollClosely(bool on) { pollClosely_ = on; }
-    /// Its user calls off a job that was accepted.
+    /// Has a job that is known to be accepted cancelled now; does nothing for other jobs.
     void cancelNow(const std::string& job);
-    /// Somebody repeats the submission of a job, cancels one that is done, or sends what can never
-    /// run or lacks a field.
+    /// Sends one unusual request: repeats a submission, cancels a job that has ended, or submits a
+    /// job that can never run or lacks a field.
     void sendOddRequest();
-    /// A message that the network had kept: it arrives at some node, and nobody waits for the
-    /// answer.
+    /// Delivers a POST that the network had delayed to a healthy node; the answer is ignored.
     void deliver(std::string target, std::string body);
+    /// The same, to a given node.
     void deliverTo(std::size_t node, std::string target, std::string body);
-    /// Somebody asks about a job that nobody has submitted.
+    /// Polls a job that was never submitted.
     void pollUnknownJob();
+    /// Disconnects the users and ends all their coroutines.
     void end();
 
   private:
-    /// How far a job is, for those who wait to submit what needs it.
+    /// The progress of a job, for pipelines that wait to submit its dependents.
     enum class Stage { submitted, accepted, refused, over };
-    Task<void> follow(PlannedJob wish);
+    Task<void> follow(PlannedJob planned);
     Task<void> follow(Pipeline pipeline);
     Task<void> post(std::size_t node, std::string target, std::string body);
     Task<void> pollAllNodes(std::string job, bool mayCancel);
-    /// One node is asked, whatever the load balancer thinks of it.
-    Task<std::optional<http::Response>> askAt(std::size_t node, std::string job,
-                                              HistoryEvent::Question question, TimePoint until,
-                                              std::size_t asked);
-    Task<void> peek(std::size_t node, std::string job, HistoryEvent::Question question);
+    /// Sends a request to a given node, whether or not the load balancer considers it healthy.
+    Task<std::optional<http::Response>> askNode(std::size_t node, std::string job,
+                                                HistoryEvent::Question question, TimePoint until,
+                                                std::size_t asked);
+    Task<void> askNodeOnce(std::size_t node, std::string job, HistoryEvent::Question question);
     Task<void> submitUnfit(std::string id);
     Task<void> cancel(std::string job);
     Task<void> repeat(std::string job);
-    void learn(const std::string& job, int status, const std::string& word);
-    void reached(const std::string& job, Stage stage) {
+    void noteAnswer(const std::string& job, int status, const std::string& word);
+    void setStage(const std::string& job, Stage stage) {
         stages_[job] = stage;
-        moved_.notify();
+        stageChanged_.notify();
     }
-    Task<void> strayPoll(std::string id);
-    /// Nothing if no node answered in time.
+    Task<void> pollOnce(std::string id);
+    /// Sends a request through the load balancer; no value if no node answered in time.
     Task<std::optional<http::Response>> ask(std::string job, HistoryEvent::Question question,
                                             Duration timeout);
     Task<bool> requestCancel(std::string job);
-    /// Where in the history it stands.
-    std::size_t say(HistoryEvent::Kind kind, const std::string& job,
-                    HistoryEvent::Question question, int status = 0, std::string word = "",
-                    std::optional<std::size_t> asked = {});
+    /// Adds an event to the history and returns its index.
+    std::size_t record(HistoryEvent::Kind kind, const std::string& job,
+                       HistoryEvent::Question question, int status = 0, std::string word = "",
+                       std::optional<std::size_t> asked = {});
     [[nodiscard]] http::Request request(const std::string& job,
                                         HistoryEvent::Question question) const;
 
@@ -117,18 +128,18 @@
     Scope scope_;
     Balancer balancer_;
     History& history_;
-    std::uint64_t strays_ = 0;
+    std::uint64_t unknownJobCount_ = 0;
     std::map<std::string, Stage> stages_;
     std::vector<std::string> accepted_;
     bool pollClosely_ = false;
-    std::map<std::string, std::string> newestAnswers_;  // the newest that was told of each job
+    std::map<std::string, std::string> newestAnswers_;  // by job: accepted, done or cancelled
     std::map<std::string, std::string> unfitBodies_;
-    std::uint64_t unfits_ = 0;
-    basaltchute::Event moved_;
-    std::size_t nodes_ = 0;
+    std::uint64_t unfitCount_ = 0;
+    basaltchute::Event stageChanged_;
+    std::size_t nodeCount_ = 0;
 };
 
-/// A submission as users send it.
+/// Returns the JSON body with which users submit a job.
 std::string submissionBody(const JobSpec& spec);
 
 }  // namespace basaltchute::simulator
