--- a/src/simulator/agent.cpp
+++ b/src/simulator/agent.cpp
@@ -9,10 +9,10 @@
 using worker_api::TaskStatus;
 
 namespace {
-constexpr Duration timeout = 4s, pause = 1s, soonest = 500ms;
-constexpr double heldAtMostS = 8;  // a command that is held up
+constexpr Duration requestTimeout = 4s, retryDelay = 1s, minReportInterval = 500ms;
+constexpr double maxCommandDelayS = 8;  // of a command
 
-const char* wordOf(TaskStatus s) {
+const char* toText(TaskStatus s) {
     switch (s) {
         case TaskStatus::pulling:
             return "pulling";
@@ -24,7 +24,7 @@
             return "running";
     }
 }
-const char* wordOf(ExitCause c) {
+const char* toText(ExitCause c) {
     switch (c) {
         case ExitCause::done:
             return "done";
@@ -43,12 +43,12 @@
 }  // namespace
 
 Agent::Agent(Timeline& time, Machine& machine, Cloud::Host host, SimulatedMachineType type,
-             AgentEnvironment& terms, History& history, const Agent* former)
+             AgentEnvironment& environment, History& history, const Agent* former)
     : time_(time),
       machine_(machine),
       host_(std::move(host)),
       type_(std::move(type)),
-      terms_(terms),
+      environment_(environment),
       history_(history),
       loop_(machine.startProcess()),
       scope_(loop_),
@@ -57,7 +57,8 @@
         std::make_unique<http::Server>(loop_, host_.address, http::ServerLimits{},
                                        [this](http::Request r) { return serve(std::move(r)); });
     server_->start(scope_);
-    node_ = static_cast<std::size_t>(time_.between(0, static_cast<double>(terms_.nodes.size())));
+    node_ =
+        static_cast<std::size_t>(time_.between(0, static_cast<double>(environment_.nodes.size())));
     if (former != nullptr) {
         incarnation_ = former->incarnation_ + 1;
         sequence_ = former->sequence_;
@@ -74,8 +75,8 @@
 void Agent::kill(bool power) {
     if (gone_) return;
     gone_ = true;
-    for (auto& [key, h] : tasks_)
-        if (h.on) say(HistoryEvent::Kind::taskStopped, h);
+    for (auto& [key, running] : tasks_)
+        if (running.executing) recordEvent(HistoryEvent::Kind::taskStopped, running);
     history_.events.push_back(
         {time_.seconds(), HistoryEvent::Kind::gone, machine_.site, "", host_.name});
     machine_.disconnect(power);
@@ -91,43 +92,43 @@
 
 std::set<std::string> Agent::jobsOn() const {
     std::set<std::string> out;
-    for (const auto& [key, h] : tasks_)
-        if (h.on) out.insert(h.job);
+    for (const auto& [key, running] : tasks_)
+        if (running.executing) out.insert(running.job);
     return out;
 }
 
 void Agent::noticeInterruption(Duration notice) {
     notice_ = now() + notice;
-    change();
+    reportSoon();
 }
 
-void Agent::say(HistoryEvent::Kind kind, const RunningTask& h) {
+void Agent::recordEvent(HistoryEvent::Kind kind, const RunningTask& running) {
     HistoryEvent e;
     e.at = time_.seconds();
     e.kind = kind;
     e.site = machine_.site;
-    e.job = h.job;
-    e.task = h.task;
+    e.job = running.job;
+    e.task = running.task;
     e.machine = host_.name;
-    e.number = h.attempt;
+    e.number = running.attempt;
     history_.events.push_back(std::move(e));
 }
 
 void Agent::renew(TimePoint sentAt) {
-    leaseEnd_ = std::max(leaseEnd_, sentAt + terms_.lease);
-    // By the worker's clock, and also while it hangs: what is on it counts no longer then.
+    leaseEnd_ = std::max(leaseEnd_, sentAt + environment_.lease);
+    // By the worker's own clock, also while it hangs: its tasks no longer count after the lease.
     time_.at(machine_.clock().trueTime(leaseEnd_) + 1us, [this, until = leaseEnd_] {
         if (!gone_ && leaseEnd_ == until) endIncarnation();
     });
 }
 void Agent::endIncarnation() {
-    for (auto& [key, h] : tasks_)
-        if (h.on) say(HistoryEvent::Kind::taskStopped, h);
+    for (auto& [key, running] : tasks_)
+        if (running.executing) recordEvent(HistoryEvent::Kind::taskStopped, running);
     tasks_.clear();
     ++incarnation_;
     leaseEnd_ = TimePoint{};
     renew(now());
-    change();
+    reportSoon();
 }
 
 std::string Agent::report() {
@@ -140,10 +141,13 @@
     else
         o.null();
     o.key("splits").openArray();
-    for (const auto& [key, h] : tasks_) {
-        o.open().field("split", h.id()).field("try", h.attempt).field("status", wordOf(h.status));
-        if (h.status == TaskStatus::exited) o.field("cause", wordOf(h.cause));
-        if (h.stored) o.field("stored", true);
+    for (const auto& [key, running] : tasks_) {
+        o.open()
+            .field("split", running.id())
+            .field("try", running.attempt)
+            .field("status", toText(running.status));
+        if (running.status == TaskStatus::exited) o.field("cause", toText(running.cause));
+        if (running.checkpointed) o.field("stored", true);
         o.close();
     }
     o.closeArray().close();
@@ -155,32 +159,33 @@
     while (!scope_.cancelled()) {
         changed_ = false;
         if (now() < outboundBlockedUntil_) {
-            // No connection comes about.
-            node_ = (node_ + 1) % terms_.nodes.size();
-            co_await loop_.sleep(pause, scope_);
+            // Connection attempts fail.
+            node_ = (node_ + 1) % environment_.nodes.size();
+            co_await loop_.sleep(retryDelay, scope_);
             continue;
         }
         const TimePoint sentAt = now();
         const std::uint64_t session = incarnation_;
         auto& client = clients[node_];
-        if (!client) client = std::make_unique<http::Client>(loop_, terms_.nodes[node_].second, 1);
+        if (!client)
+            client = std::make_unique<http::Client>(loop_, environment_.nodes[node_].second, 1);
         http::Request request{"POST", "/agent/beat", report()};
-        if (terms_.reported) terms_.reported(request.body);
-        auto o = co_await client->request(std::move(request), timeout, scope_);
+        if (environment_.onReport) environment_.onReport(request.body);
+        auto o = co_await client->request(std::move(request), requestTimeout, scope_);
         if (scope_.cancelled()) co_return;
         if (inboundBlocked()) {
-            // The answer does not arrive; the connection is given up.
-            const TimePoint until = sentAt + timeout;
+            // The response does not arrive; the request times out.
+            const TimePoint until = sentAt + requestTimeout;
             while (now() < until && !scope_.cancelled())
                 co_await loop_.sleep(until - now(), scope_);
             if (scope_.cancelled()) co_return;
             o = http::RequestOutcome{};
         }
         const auto doc = o.answered ? json::parse(o.response.body) : std::nullopt;
-        if (o.answered && o.response.status == 200 && doc && now() - sentAt <= timeout) {
+        if (o.answered && o.response.status == 200 && doc && now() - sentAt <= requestTimeout) {
             const auto token = json::count(*doc, "baton");
             if (token && *token >= token_ && session == incarnation_) {
-                if (*token > token_ && now() >= tokenSeenAt_ + terms_.lease / 2) {
+                if (*token > token_ && now() >= tokenSeenAt_ + environment_.lease / 2) {
                     tokenSeenAt_ = now();
                     changed_ = true;
                 }
@@ -191,32 +196,35 @@
         } else {
             const auto to =
                 doc && o.response.status == 421 ? json::string(*doc, "steward") : std::nullopt;
-            const auto known = std::find_if(terms_.nodes.begin(), terms_.nodes.end(),
+            const auto known = std::find_if(environment_.nodes.begin(), environment_.nodes.end(),
                                             [&](const auto& n) { return to && n.first == *to; });
-            const auto place = static_cast<std::size_t>(known - terms_.nodes.begin());
+            const auto place = static_cast<std::size_t>(known - environment_.nodes.begin());
             clients.erase(node_);
-            if (known != terms_.nodes.end() && place != node_) {
+            if (known != environment_.nodes.end() && place != node_) {
                 node_ = place;
                 co_await loop_.sleep(fromSeconds(time_.between(0, 0.5)), scope_);
             } else {
-                node_ = (node_ + 1) % terms_.nodes.size();
-                co_await loop_.sleep(pause, scope_);
+                node_ = (node_ + 1) % environment_.nodes.size();
+                co_await loop_.sleep(retryDelay, scope_);
             }
             continue;
         }
-        const TimePoint next = sentAt + std::chrono::duration_cast<Duration>(
-                                            terms_.report * time_.between(0.75, 1.25));
-        while (!scope_.cancelled() && now() < next && !(changed_ && now() >= sentAt + soonest))
-            co_await loop_.wait(wake_, changed_ ? std::min(next, sentAt + soonest) : next, scope_);
+        const TimePoint next =
+            sentAt + std::chrono::duration_cast<Duration>(environment_.reportInterval *
+                                                          time_.between(0.75, 1.25));
+        while (!scope_.cancelled() && now() < next &&
+               !(changed_ && now() >= sentAt + minReportInterval))
+            co_await loop_.wait(wake_, changed_ ? std::min(next, sentAt + minReportInterval) : next,
+                                scope_);
     }
 }
 
 Task<http::Response> Agent::serve(http::Request r) {
-    // Held back, and delivered when it ends.
+    // Commands are held back and delivered when the blockage ends.
     while (inboundBlocked() && !scope_.cancelled())
         co_await loop_.sleep(inboundBlockedUntil_ - now(), scope_);
-    const bool held = now() < holdUntil_, answer = held && time_.chance(0.5);
-    const auto pause = fromSeconds(held ? time_.between(0.2, heldAtMostS) : 0);
+    const bool held = now() < commandsDelayedUntil_, answer = held && time_.chance(0.5);
+    const auto pause = fromSeconds(held ? time_.between(0.2, maxCommandDelayS) : 0);
     if (held && !answer) co_await loop_.sleep(pause, scope_);
     auto response = command(r);
     if (answer) co_await loop_.sleep(pause, scope_);
@@ -250,26 +258,26 @@
                    static_cast<std::uint32_t>(std::stoul(split->substr(slash + 1))), *attempt);
         } else if (*verb == "stop") {
             stop(key, fromSeconds(json::number(o, "windDownS").value_or(0)));
-        } else if (const auto h = tasks_.find(key);
-                   h != tasks_.end() && h->second.status == TaskStatus::exited) {
-            tasks_.erase(h);
+        } else if (const auto running = tasks_.find(key);
+                   running != tasks_.end() && running->second.status == TaskStatus::exited) {
+            tasks_.erase(running);
         }
     }
 }
 
 void Agent::launch(const std::string& job, std::uint32_t task, Attempt attempt) {
-    RunningTask h;
-    h.job = job;
-    h.task = task;
-    h.attempt = attempt;
-    const Key key{h.id(), attempt};
+    RunningTask running;
+    running.job = job;
+    running.task = task;
+    running.attempt = attempt;
+    const Key key{running.id(), attempt};
     if (tasks_.contains(key)) return;
     const auto known = history_.jobs.find(job);
     const auto refuse = [&](ExitCause why) {
-        h.status = TaskStatus::exited;
-        h.cause = why;
-        tasks_[key] = h;
-        change();
+        running.status = TaskStatus::exited;
+        running.cause = why;
+        tasks_[key] = running;
+        reportSoon();
     };
     if (known == history_.jobs.end() || task >= known->second.tasks)
         return refuse(ExitCause::noSuch);
@@ -286,80 +294,84 @@
     constexpr double tiny = 1e-6;
     if (cores > type_.cores + tiny || ram > type_.ramGb + tiny || gpus > type_.gpus + tiny)
         return refuse(ExitCause::full);
-    h.serial = ++serials_;
-    tasks_[key] = h;
-    change();
-    scope_.spawn(run(key, h.serial));
+    running.generation = ++lastGeneration_;
+    tasks_[key] = running;
+    reportSoon();
+    scope_.spawn(run(key, running.generation));
 }
 
-Agent::RunningTask* Agent::find(const Key& key, std::uint64_t serial) {
+Agent::RunningTask* Agent::find(const Key& key, std::uint64_t generation) {
     const auto it = tasks_.find(key);
-    return it != tasks_.end() && it->second.serial == serial ? &it->second : nullptr;
+    return it != tasks_.end() && it->second.generation == generation ? &it->second : nullptr;
 }
 
-Task<void> Agent::run(Key key, std::uint64_t serial) {
-    const JobSpec spec = history_.jobs.at(find(key, serial)->job);
+Task<void> Agent::run(Key key, std::uint64_t generation) {
+    const JobSpec spec = history_.jobs.at(find(key, generation)->job);
     auto [image, fresh] = images_.try_emplace(spec.image, now());
     if (fresh)
         image->second += fromSeconds(spec.imageGb / type_.fetchGbPerS * time_.between(0.67, 1.33));
     const TimePoint there = image->second;
     while (now() < there && !scope_.cancelled()) co_await loop_.sleep(there - now(), scope_);
-    RunningTask* h = find(key, serial);
-    if (h == nullptr || scope_.cancelled()) co_return;
-    h->status = TaskStatus::running;
-    h->on = true;
-    h->since = now();
-    say(HistoryEvent::Kind::taskStarted, *h);
-    change();
-    const std::string id = h->id();
-    const double place = spec.tasks > 1 ? static_cast<double>(h->task) / (spec.tasks - 1) : 0;
-    const double whole = terms_.runS.at(spec.id) * (1 + terms_.apart[spec.id] * place);
-    double left = failing_ ? 1.0 : whole - terms_.progress[id];
-    if (terms_.results.contains(id)) left = 0;
-    if (spec.shape == Shape::service && !failing_) co_return;  // until it is stopped
+    RunningTask* running = find(key, generation);
+    if (running == nullptr || scope_.cancelled()) co_return;
+    running->status = TaskStatus::running;
+    running->executing = true;
+    running->startedAt = now();
+    recordEvent(HistoryEvent::Kind::taskStarted, *running);
+    reportSoon();
+    const std::string id = running->id();
+    const double place = spec.tasks > 1 ? static_cast<double>(running->task) / (spec.tasks - 1) : 0;
+    const double whole = environment_.trueRuntimeS.at(spec.id) *
+                         (1 + environment_.lastTaskExtraRuntime[spec.id] * place);
+    double left = failing_ ? 1.0 : whole - environment_.savedProgressS[id];
+    if (environment_.completedTasks.contains(id)) left = 0;
+    if (spec.shape == Shape::service && !failing_)
+        co_return;  // services run until they are stopped
     const TimePoint until = now() + fromSeconds(std::max(left, 0.05));
     while (now() < until && !scope_.cancelled()) co_await loop_.sleep(until - now(), scope_);
-    h = find(key, serial);
-    if (h == nullptr || scope_.cancelled()) co_return;
-    const bool failed = failing_ && !terms_.results.contains(id);
-    if (!failed && terms_.results.insert(id).second) {
-        say(HistoryEvent::Kind::completed, *h);
-        if (++terms_.resultsOf[spec.id] == spec.tasks && terms_.ended) terms_.ended(spec.id);
+    running = find(key, generation);
+    if (running == nullptr || scope_.cancelled()) co_return;
+    const bool failed = failing_ && !environment_.completedTasks.contains(id);
+    if (!failed && environment_.completedTasks.insert(id).second) {
+        recordEvent(HistoryEvent::Kind::completed, *running);
+        if (++environment_.completedTaskCounts[spec.id] == spec.tasks &&
+            environment_.onJobCompleted)
+            environment_.onJobCompleted(spec.id);
     }
-    end(*h, failed ? ExitCause::error : ExitCause::done, false);
+    end(*running, failed ? ExitCause::error : ExitCause::done, false);
 }
 
 void Agent::stop(const Key& key, Duration grace) {
     const auto it = tasks_.find(key);
     if (it == tasks_.end() || it->second.status == TaskStatus::exited) return;
-    RunningTask& h = it->second;
-    const JobSpec& spec = history_.jobs.at(h.job);
-    const bool saves = h.status == TaskStatus::running && spec.checkpointIntervalS > 0 &&
+    RunningTask& running = it->second;
+    const JobSpec& spec = history_.jobs.at(running.job);
+    const bool saves = running.status == TaskStatus::running && spec.checkpointIntervalS > 0 &&
                        grace >= fromSeconds(spec.checkpointDurationS);
-    if (h.status == TaskStatus::checkpointing && grace > Duration::zero()) return;
-    h.serial = ++serials_;
-    if (!saves) return end(h, ExitCause::stopped, false);
-    h.status = TaskStatus::checkpointing;
-    change();
-    scope_.spawn(save(key, h.serial, fromSeconds(spec.checkpointDurationS)));
+    if (running.status == TaskStatus::checkpointing && grace > Duration::zero()) return;
+    running.generation = ++lastGeneration_;
+    if (!saves) return end(running, ExitCause::stopped, false);
+    running.status = TaskStatus::checkpointing;
+    reportSoon();
+    scope_.spawn(save(key, running.generation, fromSeconds(spec.checkpointDurationS)));
 }
-Task<void> Agent::save(Key key, std::uint64_t serial, Duration span) {
+Task<void> Agent::save(Key key, std::uint64_t generation, Duration span) {
     const TimePoint until = now() + span;
     while (now() < until && !scope_.cancelled()) co_await loop_.sleep(until - now(), scope_);
-    RunningTask* h = find(key, serial);
-    if (h == nullptr || scope_.cancelled()) co_return;
-    terms_.progress[h->id()] += toSeconds(now() - h->since);
-    end(*h, ExitCause::stopped, true);
+    RunningTask* running = find(key, generation);
+    if (running == nullptr || scope_.cancelled()) co_return;
+    environment_.savedProgressS[running->id()] += toSeconds(now() - running->startedAt);
+    end(*running, ExitCause::stopped, true);
 }
 
-void Agent::end(RunningTask& h, ExitCause cause, bool stored) {
-    if (h.on) say(HistoryEvent::Kind::taskStopped, h);
-    h.on = false;
-    h.status = TaskStatus::exited;
-    h.cause = cause;
-    h.stored = stored;
-    h.serial = ++serials_;
-    change();
+void Agent::end(RunningTask& running, ExitCause cause, bool checkpointed) {
+    if (running.executing) recordEvent(HistoryEvent::Kind::taskStopped, running);
+    running.executing = false;
+    running.status = TaskStatus::exited;
+    running.cause = cause;
+    running.checkpointed = checkpointed;
+    running.generation = ++lastGeneration_;
+    reportSoon();
 }
 
 }  // namespace basaltchute::simulator
--- a/src/simulator/agent.h
+++ b/src/simulator/agent.h
@@ -10,44 +10,53 @@
 #include "simulator/history.h"
 #include "worker_api/status_report.h"
 
+// The simulated worker agent. Simulation starts one on each machine that the cloud has booted.
+
 namespace basaltchute::simulator {
 
-/// What the workers of a site know alike, and what is stored outside of their machines.
+/// Configuration that all agents of a site share, and state that is stored outside their machines.
 struct AgentEnvironment {
-    Duration report{}, lease{};
+    Duration reportInterval{}, lease{};
     std::vector<std::pair<std::string, std::string>> nodes;  // name and address of controllers
-    std::map<std::string, double> progress;                  // saved seconds, by task
-    std::set<std::string> results;                           // tasks that are done
-    std::map<std::string, double> runS;                      // true run time, by job
-    std::map<std::string, double> apart;  // how much longer its last task takes, in run times
-    std::function<void(const std::string& report)> reported;  // one has left
-    std::function<void(const std::string& job)> ended;        // all its tasks have results
-    std::map<std::string, std::uint32_t> resultsOf;           // how many tasks of a job have
+    std::map<std::string, double> savedProgressS;            // checkpointed run time, by task
+    std::set<std::string> completedTasks;
+    std::map<std::string, double> trueRuntimeS;               // by job
+    std::map<std::string, double> lastTaskExtraRuntime;       // by job, as a share of its run time
+    std::function<void(const std::string& report)> onReport;  // called as a report is sent
+    std::function<void(const std::string& job)> onJobCompleted;  // all tasks are completed
+    std::map<std::string, std::uint32_t> completedTaskCounts;    // by job
 };
 
-/// A worker by its published protocol, on a machine of its own.
+/// A worker agent that speaks the published worker protocol, on its own simulated machine: it sends
+/// heartbeats with status reports and executes commands.
 class Agent {
   public:
-    /// `former`: the process that it follows on the same machine. Its lease counts as over:
-    /// messages are told older from newer by session and sequence, so they go on.
+    /// `former`: the previous agent process on the same machine, if any. The new one continues its
+    /// incarnation and sequence numbers, by which controllers order messages, and counts the lease
+    /// of the former as ended.
     Agent(Timeline& time, Machine& machine, Cloud::Host host, SimulatedMachineType type,
-          AgentEnvironment& terms, History& history, const Agent* former = nullptr);
-    /// The machine and all that is on it is gone; `power`: its connections are reset.
+          AgentEnvironment& environment, History& history, const Agent* former = nullptr);
+    /// Removes the machine with everything on it. `power`: its connections are closed; otherwise
+    /// they fall silent.
     void kill(bool power);
-    /// It does not execute its tasks and says nothing, and goes on later.
+    /// Suspends the agent and its tasks for `span`.
     void hang(Duration span) { machine_.freeze(span); }
-    /// Its reports go out, but neither answers nor commands come in; what was held back does later.
+    /// Reports go out, but no responses or commands come in. Commands are delivered afterwards.
     void blockInbound(Duration span);
-    /// It reaches no controller, while commands reach it.
+    /// The agent reaches no controller, while commands still reach it.
     void blockOutbound(Duration span) {
         outboundBlockedUntil_ = std::max(outboundBlockedUntil_, now() + span);
     }
-    /// What has its image and has not ended.
+    /// Jobs with a task that is executing here.
     [[nodiscard]] std::set<std::string> jobsOn() const;
-    /// Commands, or their answers, are held up for a moment each; its reports go on.
-    void holdCommands(Duration span) { holdUntil_ = std::max(holdUntil_, now() + span); }
+    /// Delays each command, or its response, by up to 8 s; reports are sent as usual.
+    void delayCommands(Duration span) {
+        commandsDelayedUntil_ = std::max(commandsDelayedUntil_, now() + span);
+    }
+    /// Announces that the spot machine will be reclaimed after `notice`.
     void noticeInterruption(Duration notice);
-    void setFailing(bool sick) { failing_ = sick; }
+    /// While set, each task that starts fails after 1 s.
+    void setFailing(bool failing) { failing_ = failing; }
     [[nodiscard]] bool gone() const { return gone_; }
     [[nodiscard]] const Cloud::Host& host() const { return host_; }
 
@@ -58,10 +67,10 @@
         Attempt attempt = 0;
         worker_api::TaskStatus status = worker_api::TaskStatus::pulling;
         worker_api::ExitCause cause = worker_api::ExitCause::other;
-        bool stored = false;
-        bool on = false;
-        TimePoint since{};         // running
-        std::uint64_t serial = 0;  // changes when something else is to become of it
+        bool checkpointed = false;
+        bool executing = false;
+        TimePoint startedAt{};         // start of execution
+        std::uint64_t generation = 0;  // invalidates coroutines of an earlier state
         [[nodiscard]] std::string id() const { return job + '/' + std::to_string(task); }
     };
     using Key = std::pair<std::string, Attempt>;  // task and attempt
@@ -70,37 +79,37 @@
     Task<void> sendHeartbeats();
     Task<http::Response> serve(http::Request request);
     http::Response command(const http::Request& request);
-    Task<void> run(Key key, std::uint64_t serial);
-    Task<void> save(Key key, std::uint64_t serial, Duration span);
+    Task<void> run(Key key, std::uint64_t generation);
+    Task<void> save(Key key, std::uint64_t generation, Duration span);
     [[nodiscard]] std::string report();
     void execute(const json::Value& answer);
     void launch(const std::string& job, std::uint32_t task, Attempt attempt);
     void stop(const Key& key, Duration grace);
-    void end(RunningTask& held, worker_api::ExitCause cause, bool stored);
-    RunningTask* find(const Key& key, std::uint64_t serial);
+    void end(RunningTask& running, worker_api::ExitCause cause, bool checkpointed);
+    RunningTask* find(const Key& key, std::uint64_t generation);
     void renew(TimePoint sentAt);
     void endIncarnation();
-    void change() {
+    void reportSoon() {
         changed_ = true;
         wake_.notify();
     }
-    void say(HistoryEvent::Kind kind, const RunningTask& held);
+    void recordEvent(HistoryEvent::Kind kind, const RunningTask& running);
 
     Timeline& time_;
     Machine& machine_;
     Cloud::Host host_;
     SimulatedMachineType type_;
-    AgentEnvironment& terms_;
+    AgentEnvironment& environment_;
     History& history_;
     EventLoop& loop_;
     Scope scope_;
     basaltchute::Event wake_;
     std::unique_ptr<http::Server> server_;
     std::map<Key, RunningTask> tasks_;
-    std::map<std::string, TimePoint> images_;  // by when each is there
-    std::uint64_t incarnation_ = 1, sequence_ = 0, serials_ = 0;
+    std::map<std::string, TimePoint> images_;  // time at which each is downloaded
+    std::uint64_t incarnation_ = 1, sequence_ = 0, lastGeneration_ = 0;
     FencingToken token_ = 0;
-    TimePoint leaseEnd_{}, tokenSeenAt_{}, inboundBlockedUntil_{}, holdUntil_{},
+    TimePoint leaseEnd_{}, tokenSeenAt_{}, inboundBlockedUntil_{}, commandsDelayedUntil_{},
         outboundBlockedUntil_{};
     std::optional<TimePoint> notice_;
     bool failing_ = false, gone_ = false, changed_ = false;
