--- a/src/gateway/app/gateway_test.cpp
+++ b/src/gateway/app/gateway_test.cpp
@@ -125,7 +125,7 @@
     s.world.run(1s);
     const auto records = s.state.keys;
     // The lease expires, and the owner writes before it notices.
-    s.state.endGrantOf("gw/own/member/gw-1");
+    s.state.expireLeaseOf("gw/own/member/gw-1");
     EXPECT_EQ(queueOwner->replay("t:1"), std::nullopt);
     auto& other = s.start("gw-2");
     ASSERT_TRUE(s.until([&] { return s.holder(checks) != nullptr; }));
@@ -147,7 +147,7 @@
     const auto staleOwner = one.queueOwner(checks);
     // The ownership record is replaced while the instance still holds its lease.
     s.state.keys["gw/own/queue/" + checks].stamp += 1000;
-    s.state.changeElsewhere(2000);
+    s.state.advanceRevisionAndCompact(2000);
     const auto before = s.state.keys;
     s.broker.publish(atBroker, GatewayFixture::message("m", "1"));
     s.world.run(500ms);
@@ -168,9 +168,9 @@
             case 0:
                 return {Fault::Kind::refused, {}};
             case 1:
-                return {Fault::Kind::mute, {}};
+                return {Fault::Kind::responseLost, {}};
             case 2:
-                return {Fault::Kind::late, 4s};
+                return {Fault::Kind::executedLate, 4s};
             default:
                 return {};
         }
@@ -373,11 +373,11 @@
         if (r.target.starts_with("/watch?under=gw/own/")) {
             // Each watch request reports a change.
             const auto after = std::stoull(simulator::param(r.target, "after"));
-            s.state.changeElsewhere(1);
+            s.state.advanceRevisionAndCompact(1);
             s.state.keys["gw/own/noise"] = {"{}", after + 1, 0};
         }
         const bool listing = r.target.starts_with("/keys?under=gw/own/");
-        return listing ? Fault{Fault::Kind::slow, 3s} : Fault{};
+        return listing ? Fault{Fault::Kind::respondedLate, 3s} : Fault{};
     };
     std::string better = "gw-2";
     const auto member = [](const std::string& name) {
--- a/src/gateway/testing/fault_test.cpp
+++ b/src/gateway/testing/fault_test.cpp
@@ -109,9 +109,10 @@
         if (x < 0.03) return ++f["state requests refused"], Fault{Fault::Kind::refused, {}};
         if (r.target != "/multi" || x > 0.07) return {};
         if (x < 0.05)
-            return ++f["state requests executed without answer"], Fault{Fault::Kind::mute, {}};
+            return ++f["state requests executed without answer"],
+                   Fault{Fault::Kind::responseLost, {}};
         return ++f["state requests executed late"],
-               Fault{Fault::Kind::late, fromSeconds(2 + 10 * share())};
+               Fault{Fault::Kind::executedLate, fromSeconds(2 + 10 * share())};
     }
 
     void fault() {
@@ -137,7 +138,7 @@
             // Simulates an owner that was suspended until after its lease expired.
             for (const auto& [key, entry] : fixture_.state.keys)
                 if (key.starts_with("gw/own/member/") && entry.grant != 0) {
-                    fixture_.state.endGrantOf(std::string(key));
+                    fixture_.state.expireLeaseOf(std::string(key));
                     ++f["leases expired under a running owner"];
                     break;
                 }
--- a/src/simulator/network.cpp
+++ b/src/simulator/network.cpp
@@ -39,12 +39,12 @@
     return Timeline::start() + std::chrono::duration_cast<Duration>(span / (1 + rate_));
 }
 
-// Descriptors
+// Sockets
 
-SimulatedHost::~SimulatedHost() {
+SimulatedSocketBackend::~SimulatedSocketBackend() {
     while (!open_.empty()) close(open_.begin()->first);
 }
-void SimulatedHost::die(bool power) {
+void SimulatedSocketBackend::die(bool power) {
     dead_ = true;
     for (auto& [fd, end] : open_) {
         if (!power) end->peer.reset();
@@ -53,45 +53,45 @@
         resetBacklog(*end);
     }
 }
-void SimulatedHost::resetBacklog(Endpoint& listener) {
+void SimulatedSocketBackend::resetBacklog(Endpoint& listener) {
     for (const auto& waiting : std::exchange(listener.backlog, {}))
         if (const auto peer = waiting->peer.lock())
-            network_.carry(machine_, peer, [peer] {
+            network_.deliver(machine_, peer, [peer] {
                 peer->reset = true;
                 if (!peer->closed && peer->fd >= 0)
                     peer->machine->host_->changed(*peer, true, true);
             });
 }
-int SimulatedHost::add(std::shared_ptr<Endpoint> end) {
-    if (dead_ || open_.size() >= most_) {
+int SimulatedSocketBackend::add(std::shared_ptr<Endpoint> end) {
+    if (dead_ || open_.size() >= maxDescriptors_) {
         errno = EMFILE;
         return -1;
     }
-    // The lowest that is free, as the kernel does.
+    // The lowest free descriptor, as the kernel assigns them.
     const int fd = closed_.empty() ? next_++ : closed_.extract(closed_.begin()).value();
     end->machine = &machine_;
     end->fd = fd;
     open_[fd] = std::move(end);
     return fd;
 }
-void SimulatedHost::changed(Endpoint& end, bool readable, bool writable) {
+void SimulatedSocketBackend::changed(Endpoint& end, bool readable, bool writable) {
     end.readable = end.readable || readable;
     end.writable = end.writable || writable;
     if (!end.watched) return;
     ready_.insert(end.fd);
     machine_.wake();
 }
-void SimulatedHost::watch(int fd) {
+void SimulatedSocketBackend::watch(int fd) {
     Endpoint& end = *open_.at(fd);
     end.watched = true;
     const bool open = end.kind == Endpoint::Kind::open;
     changed(end, !end.inbox.empty() || end.ended || end.reset || !end.backlog.empty(), open);
 }
-void SimulatedHost::unwatch(int fd) {
+void SimulatedSocketBackend::unwatch(int fd) {
     ready_.erase(fd);
     if (const auto it = open_.find(fd); it != open_.end()) it->second->watched = false;
 }
-std::size_t SimulatedHost::wait(std::span<Ready> into, Duration) {
+std::size_t SimulatedSocketBackend::wait(std::span<Ready> into, Duration) {
     std::size_t n = 0;
     while (n < into.size() && !ready_.empty()) {
         Endpoint& end = *open_.at(*ready_.begin());
@@ -102,7 +102,7 @@
     }
     return n;
 }
-int SimulatedHost::connect(const sockaddr_in& to) {
+int SimulatedSocketBackend::connect(const sockaddr_in& to) {
     auto end = std::make_shared<Endpoint>();
     end->kind = Endpoint::Kind::connecting;
     end->remote = to;
@@ -111,11 +111,11 @@
     inet_pton(AF_INET, machine_.address.c_str(), &end->local.sin_addr);
     end->local.sin_family = AF_INET;
     end->local.sin_port = htons(network_.port_++);
-    network_.knock(end);
+    network_.startConnect(end);
     errno = EINPROGRESS;
     return fd;
 }
-int SimulatedHost::listen(const sockaddr_in& at) {
+int SimulatedSocketBackend::listen(const sockaddr_in& at) {
     auto end = std::make_shared<Endpoint>();
     end->kind = Endpoint::Kind::listener;
     end->local = at;
@@ -127,7 +127,7 @@
     if (fd < 0) throw std::system_error(EMFILE, std::generic_category(), "listen");
     return fd;
 }
-int SimulatedHost::accept(int fd) {
+int SimulatedSocketBackend::accept(int fd) {
     Endpoint& listener = *open_.at(fd);
     while (!listener.backlog.empty()) {
         auto end = listener.backlog.front();
@@ -139,7 +139,7 @@
     errno = EAGAIN;
     return -1;
 }
-ssize_t SimulatedHost::receive(int fd, std::span<char> into) {
+ssize_t SimulatedSocketBackend::receive(int fd, std::span<char> into) {
     Endpoint& end = *open_.at(fd);
     if (end.reset) {
         errno = ECONNRESET;
@@ -155,37 +155,37 @@
     end.inbox.erase(0, n);
     return static_cast<ssize_t>(n);
 }
-bool SimulatedHost::stale(int fd) const {
+bool SimulatedSocketBackend::stale(int fd) const {
     const Endpoint& end = *open_.at(fd);
     return end.reset || end.ended || !end.inbox.empty();
 }
-ssize_t SimulatedHost::send(int fd, std::span<const char> data) {
+ssize_t SimulatedSocketBackend::send(int fd, std::span<const char> data) {
     Endpoint& end = *open_.at(fd);
     if (dead_ || end.reset || end.closed) {
         errno = EPIPE;
         return -1;
     }
     const auto peer = end.peer.lock();
-    // The other side is gone and its end has not come through: it is lost, as on a real network.
+    // The peer is gone but its close has not arrived yet: the data is lost, as on a real network.
     if (!peer) return static_cast<ssize_t>(data.size());
-    network_.carry(machine_, peer, [peer, text = std::string(data.begin(), data.end())] {
+    network_.deliver(machine_, peer, [peer, text = std::string(data.begin(), data.end())] {
         if (peer->closed) return;
         peer->inbox += text;
         if (peer->fd >= 0) peer->machine->host_->changed(*peer, true, false);
     });
     return static_cast<ssize_t>(data.size());
 }
-void SimulatedHost::shutDown(int fd) {
+void SimulatedSocketBackend::shutDown(int fd) {
     Endpoint& end = *open_.at(fd);
     end.closed = true;
     end.inbox.clear();
     if (const auto peer = end.peer.lock())
-        network_.carry(machine_, peer, [peer] {
+        network_.deliver(machine_, peer, [peer] {
             peer->ended = true;
             if (!peer->closed && peer->fd >= 0) peer->machine->host_->changed(*peer, true, true);
         });
 }
-void SimulatedHost::close(int fd) {
+void SimulatedSocketBackend::close(int fd) {
     const auto end = open_.at(fd);
     ready_.erase(fd);
     if (end->kind == Endpoint::Kind::open && !end->closed) shutDown(fd);
@@ -195,13 +195,13 @@
     open_.erase(fd);
     closed_.insert(fd);
 }
-int SimulatedHost::error(int fd) const {
+int SimulatedSocketBackend::error(int fd) const {
     return open_.at(fd)->error;
 }
-sockaddr_in SimulatedHost::local(int fd) const {
+sockaddr_in SimulatedSocketBackend::local(int fd) const {
     return open_.at(fd)->local;
 }
-sockaddr_in SimulatedHost::remote(int fd) const {
+sockaddr_in SimulatedSocketBackend::remote(int fd) const {
     return open_.at(fd)->remote;
 }
 
@@ -220,28 +220,28 @@
     network_.machines_[at.s_addr] = this;
 }
 Machine::~Machine() {
-    halt();
+    endProcess();
     in_addr at{};
     inet_pton(AF_INET, address.c_str(), &at);
     network_.machines_.erase(at.s_addr);
     std::erase(network_.runnable_, this);
 }
-EventLoop& Machine::boot(std::size_t descriptors) {
-    auto host = std::make_unique<SimulatedHost>(network_, *this, descriptors);
+EventLoop& Machine::startProcess(std::size_t descriptors) {
+    auto host = std::make_unique<SimulatedSocketBackend>(network_, *this, descriptors);
     host_ = host.get();
     loop_ = std::make_unique<EventLoop>(clock_, std::move(host));
-    ++boots_;
-    wakesAt_ = TimePoint::max();
+    ++processCount_;
+    nextWakeAt_ = TimePoint::max();
     frozenUntil_ = TimePoint{};
     powered_ = true;
     wake();
     return *loop_;
 }
-void Machine::cutOff(bool power) {
+void Machine::disconnect(bool power) {
     powered_ = power;
     if (host_ != nullptr) host_->die(power);
 }
-void Machine::unwind(Scope& scope) {
+void Machine::drainScope(Scope& scope) {
     bool ended = false;
     loop_->spawn([](Scope& s, bool& flag) -> Task<void> {
         co_await s.cancelAndWait();
@@ -252,16 +252,16 @@
         loop_->runOnce(Duration::zero());
     }
 }
-void Machine::halt() {
+void Machine::endProcess() {
     if (!loop_) return;
-    if (!host_->dead_) cutOff();
+    if (!host_->dead_) disconnect();
     loop_.reset();
     host_ = nullptr;
 }
 void Machine::freeze(Duration span) {
     frozenUntil_ = std::max(frozenUntil_, network_.time().now() + span);
-    network_.time().at(frozenUntil_, [this, boot = boots_] {
-        if (boot == boots_) wake();
+    network_.time().at(frozenUntil_, [this, boot = processCount_] {
+        if (boot == processCount_) wake();
     });
 }
 void Machine::wake() {
@@ -272,73 +272,73 @@
 void Machine::run() {
     queued_ = false;
     if (!on() || host_->dead_ || network_.time().now() < frozenUntil_) return;
-    const std::uint64_t boot = boots_;
-    // What never comes to rest at one moment is a fault of the code under test.
+    const std::uint64_t boot = processCount_;
+    // A process that never becomes idle at one time is a fault of the code under test.
     for (int rounds = 0; loop_->runOnce(Duration::zero()); ++rounds) {
-        if (boot != boots_ || !on()) return;
-        if (rounds > 100'000) throw std::runtime_error(name + " never comes to rest");
+        if (boot != processCount_ || !on()) return;
+        if (rounds > 100'000) throw std::runtime_error(name + " never becomes idle");
     }
     sleepUntilNextTimer();
 }
 void Machine::sleepUntilNextTimer() {
     const TimePoint next = loop_->nextTimer();
     if (next == TimePoint::max()) return;
-    // Timers fire in steps of a millisecond.
+    // Event loop timers have a resolution of 1 ms.
     const TimePoint due = std::chrono::ceil<std::chrono::milliseconds>(clock_.trueTime(next)) + 0ns;
     const TimePoint now = network_.time().now();
-    if (due >= wakesAt_ && wakesAt_ > now) return;
-    wakesAt_ = std::max(due, now + 100us);
-    network_.time().at(wakesAt_, [this, boot = boots_, at = wakesAt_] {
-        if (boot != boots_) return;
-        if (wakesAt_ == at) wakesAt_ = TimePoint::max();
+    if (due >= nextWakeAt_ && nextWakeAt_ > now) return;
+    nextWakeAt_ = std::max(due, now + 100us);
+    network_.time().at(nextWakeAt_, [this, boot = processCount_, at = nextWakeAt_] {
+        if (boot != processCount_) return;
+        if (nextWakeAt_ == at) nextWakeAt_ = TimePoint::max();
         wake();
     });
 }
 
-// Between them
+// LinkPredicate them
 
 Machine* Network::at(const sockaddr_in& address) {
     const auto it = machines_.find(address.sin_addr.s_addr);
     return it == machines_.end() ? nullptr : it->second;
 }
-bool Network::isCut(const Machine& from, const Machine& to) const {
-    return std::any_of(cuts_.begin(), cuts_.end(),
+bool Network::isPartitioned(const Machine& from, const Machine& to) const {
+    return std::any_of(partitions_.begin(), partitions_.end(),
                        [&](const auto& c) { return c.second(from, to); });
 }
 Duration Network::latency(const Machine& from, const Machine& to) {
     const bool zoned = !from.zone.empty() && from.zone == to.zone;
-    Duration span = from.site != to.site ? terms.betweenSites : zoned ? terms.near : terms.far;
-    span = std::chrono::duration_cast<Duration>(span *
-                                                time_.between(1 - terms.jitter, 1 + terms.jitter));
-    return time_.chance(terms.slow) ? span + 200ms : span;
-}
-void Network::carry(const Machine& from, const std::shared_ptr<Endpoint>& to,
-                    std::function<void()> what) {
-    if (isCut(from, *to->machine) || !to->held.empty()) {
-        if (to->held.empty()) holding_.push_back(to);
+    Duration span = from.site != to.site ? config.betweenSites : zoned ? config.near : config.far;
+    span = std::chrono::duration_cast<Duration>(
+        span * time_.between(1 - config.jitter, 1 + config.jitter));
+    return time_.chance(config.slow) ? span + 200ms : span;
+}
+void Network::deliver(const Machine& from, const std::shared_ptr<Endpoint>& to,
+                      std::function<void()> what) {
+    if (isPartitioned(from, *to->machine) || !to->held.empty()) {
+        if (to->held.empty()) endpointsWithHeldData_.push_back(to);
         to->held.push_back(std::move(what));
         return;
     }
     to->arrivesAfter = std::max(to->arrivesAfter, time_.now() + latency(from, *to->machine));
     time_.at(to->arrivesAfter, std::move(what));
 }
-void Network::knock(const std::shared_ptr<Endpoint>& from) {
+void Network::startConnect(const std::shared_ptr<Endpoint>& from) {
     Machine& here = *from->machine;
     Machine* there = at(from->remote);
     const auto refused = [&] {
         return std::any_of(refusals_.begin(), refusals_.end(),
                            [&](const auto& r) { return r.second(here, *there); });
     };
-    if (there == nullptr) return;  // nothing has that address: silence
-    if (isCut(here, *there) || isCut(*there, here)) {
-        knocking_.push_back(from);
+    if (there == nullptr) return;  // no machine has that address: no response
+    if (isPartitioned(here, *there) || isPartitioned(*there, here)) {
+        blockedConnects_.push_back(from);
         return;
     }
     const bool no = refused();
     const Duration outbound = latency(here, *there);
     time_.after(outbound, [this, from, no] {
         Machine* to = at(from->remote);
-        // Given up meanwhile, or a machine without power: no answer.
+        // The attempt was given up, or the machine has no power: no response.
         if (from->closed || to == nullptr || !to->powered_) return;
         std::shared_ptr<Endpoint> listener;
         if (to->on())
@@ -368,22 +368,22 @@
         });
     });
 }
-std::uint64_t Network::cut(Between between) {
-    cuts_[next_] = std::move(between);
+std::uint64_t Network::cut(LinkPredicate between) {
+    partitions_[next_] = std::move(between);
     return next_++;
 }
-std::uint64_t Network::refuse(Between between) {
+std::uint64_t Network::refuse(LinkPredicate between) {
     refusals_[next_] = std::move(between);
     return next_++;
 }
 void Network::heal(std::uint64_t which, bool reset) {
-    cuts_.erase(which);
-    for (const auto& weak : std::exchange(holding_, {})) {
+    partitions_.erase(which);
+    for (const auto& weak : std::exchange(endpointsWithHeldData_, {})) {
         const auto to = weak.lock();
         if (!to || to->held.empty()) continue;
         const auto from = to->peer.lock();
-        if (from && isCut(*from->machine, *to->machine)) {
-            holding_.push_back(to);  // another cut lasts
+        if (from && isPartitioned(*from->machine, *to->machine)) {
+            endpointsWithHeldData_.push_back(to);  // another partition lasts
             continue;
         }
         auto held = std::exchange(to->held, {});
@@ -395,11 +395,11 @@
                 }
             continue;
         }
-        to->arrivesAfter = std::max(to->arrivesAfter, time_.now() + terms.far);
+        to->arrivesAfter = std::max(to->arrivesAfter, time_.now() + config.far);
         for (auto& what : held) time_.at(to->arrivesAfter, std::move(what));
     }
-    for (const auto& weak : std::exchange(knocking_, {}))
-        if (const auto from = weak.lock(); from && !from->closed) knock(from);
+    for (const auto& weak : std::exchange(blockedConnects_, {}))
+        if (const auto from = weak.lock(); from && !from->closed) startConnect(from);
 }
 void Network::run(TimePoint until) {
     while (true) {
