--- a/src/gateway/app/gateway_test.cpp
+++ b/src/gateway/app/gateway_test.cpp
@@ -372,7 +372,7 @@
     s.state.fault = [&](const http::Request& r) {
         if (r.target.starts_with("/watch?under=gw/own/")) {
             // Each watch request reports a change.
-            const auto after = std::stoull(simulator::param(r.target, "after"));
+            const auto after = std::stoull(simulator::queryParameter(r.target, "after"));
             s.state.advanceRevisionAndCompact(1);
             s.state.keys["gw/own/noise"] = {"{}", after + 1, 0};
         }
