--- a/src/scheduler/fault_interactions_test.cpp
+++ b/src/scheduler/fault_interactions_test.cpp
@@ -3,7 +3,7 @@
 #include "scheduler/cluster_fixture.h"
 
 // Tests of two faults at a time, for the pairs whose outcome depends only on reports and records.
-// See docs/meetings.md.
+// See docs/fault-interactions.md.
 
 namespace basaltchute::scheduler {
 namespace {
