--- a/src/simulator/fault_interactions_test.cpp
+++ b/src/simulator/fault_interactions_test.cpp
@@ -1,7 +1,8 @@
 #include "simulator/simulation_fixture.h"
 
-// Two and more troubles that meet, brought about among real controllers: docs/fault-interactions.md. Each
-// test says how often its meeting came about; without that it would show nothing.
+// Two and more troubles that meet, brought about among real controllers:
+// docs/fault-interactions.md. Each test says how often its meeting came about; without that it
+// would show nothing.
 
 namespace basaltchute::simulator {
 namespace {
